--- a/packages/turmericweir-core/turmericweir_core/membership/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Know the other instances and the servers: who lives, who leaves, who reads the store for all."""
+"""Track the other instances, leaving backend servers and the instances that read the store."""
--- a/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
@@ -1,7 +1,7 @@
-"""Say which instance runs which version of the settings, as far as this one knows.
+"""List which instance runs which version of the settings, as far as this one knows.
 
-Members of the own data centre tell their version with each heartbeat. Of another data centre its
-relays tell the lowest one: its instances run that or a newer one.
+Members of this data centre send their version with each heartbeat. The relays of another data
+centre report its lowest version; its instances run that version or a newer one.
 """
 
 from __future__ import annotations
@@ -18,12 +18,12 @@
 
 
 class InstanceState(StrEnum):
-    """How an instance is, as others see it."""
+    """The state of an instance, as other instances see it."""
 
     LIVE = "live"
     LEAVING = "leaving"
-    # Not heard from for some time; what is said of it is its last word.
-    SILENT = "silent"
+    # No sign of progress for some time; the other fields are the last that were received.
+    UNRESPONSIVE = "silent"
 
 
 class InstanceVersion(Struct, frozen=True):
@@ -33,29 +33,30 @@
     data_centre: str
     state: InstanceState
     version: int
-    # It may run a newer one: only the lowest of its data centre is known.
+    # It may run a newer version: only the lowest of its data centre is known.
     at_least: bool
-    # Since it was last heard from, or its data centre was; None if it never was.
+    # Time since the last progress of the instance or the last status of its data centre; None if
+    # there was none.
     age_s: float | None
 
 
 def instance_versions(state: State, now: float) -> list[InstanceVersion]:
-    """List all known instances, this one included, by data centre and name."""
+    """Return all known instances, this one included, by data centre and name."""
     members = [*state.members.by_name.values(), membership.self_member(state)]
-    found = [_version_of(state, now, each) for each in members]
-    return sorted(found, key=lambda each: (each.data_centre, each.name))
+    versions = [_version_of(state, now, member) for member in members]
+    return sorted(versions, key=lambda member: (member.data_centre, member.name))
 
 
-def _version_of(state: State, now: float, each: Member) -> InstanceVersion:
-    is_me = each.name == state.me.name
-    known = InstanceState.LEAVING if each.leaving else InstanceState.LIVE
-    is_known = is_me or membership.is_live(state, now, each)
-    age_s = 0.0 if is_me else max(0.0, now - each.heard_at)
+def _version_of(state: State, now: float, member: Member) -> InstanceVersion:
+    is_self = member.name == state.me.name
+    announced_state = InstanceState.LEAVING if member.leaving else InstanceState.LIVE
+    is_live = is_self or membership.is_live(state, now, member)
+    age_s = 0.0 if is_self else max(0.0, now - member.heard_at)
     return InstanceVersion(
-        name=each.name,
-        data_centre=each.data_centre,
-        state=known if is_known else InstanceState.SILENT,
-        version=each.settings_offset,
-        at_least=each.data_centre != state.me.data_centre,
+        name=member.name,
+        data_centre=member.data_centre,
+        state=announced_state if is_live else InstanceState.UNRESPONSIVE,
+        version=member.settings_offset,
+        at_least=member.data_centre != state.me.data_centre,
         age_s=age_s if isfinite(age_s) else None,
     )
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
@@ -1,7 +1,7 @@
-"""Records of members: telling peers who a member is, believing them, and forgetting.
+"""Records of members: send them to peers, accept them from peers, and drop old members.
 
-A record says where to find a member and which incarnation it is. It makes nobody live: only
-progress does.
+A record holds a member's address and incarnation. It does not make the member live: only progress
+does.
 """
 
 from __future__ import annotations
@@ -10,113 +10,112 @@
 
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.membership.membership import (
-    index_keys,
+    index_member,
     is_live,
     is_retired,
     list_period,
     restart,
-    unindex_keys,
+    unindex_member,
 )
 from turmericweir_core.messages.effects import Effect, SendDatagram
 from turmericweir_core.messages.peer_messages import MemberRecord, MembersSend
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.state import State
 
-# Former incarnations that go with a record.
-_FORMER_TOLD: Final = 2
+# Number of previous incarnations in a record.
+_FORMER_MAX: Final = 2
 
 
-def record_of(each: Member) -> MemberRecord:
-    """Describe a member to a peer."""
+def record_of(member: Member) -> MemberRecord:
+    """Return the record that describes a member to a peer."""
     return MemberRecord(
-        name=each.name,
-        data_centre=each.data_centre,
-        region=each.region,
-        address=each.peer_address,
-        incarnation=each.incarnation,
-        leaving=each.leaving,
-        former=list(each.retired[-_FORMER_TOLD:]),
-        strength=each.strength,
+        name=member.name,
+        data_centre=member.data_centre,
+        region=member.region,
+        address=member.peer_address,
+        incarnation=member.incarnation,
+        leaving=member.leaving,
+        former=list(member.retired[-_FORMER_MAX:]),
+        strength=member.strength,
     )
 
 
 def answer_keys(state: State, sender: Member, keys: list[int]) -> list[Effect]:
-    """Send the records that a peer asked for, as far as they are known."""
+    """Send the known records of the keys that a peer requested."""
     members = state.members
     names = {members.name_by_key[key] for key in keys if key in members.name_by_key}
     records = [record_of(members.by_name[name]) for name in sorted(names)]
-    room = state.options.records_max
+    limit = state.options.records_max
     return [
         SendDatagram(
             sender.name,
             sender.peer_address,
-            MembersSend(state.me.data_centre, 0, records[first : first + room]),
+            MembersSend(state.me.data_centre, 0, records[first : first + limit]),
         )
-        for first in range(0, len(records), room)
+        for first in range(0, len(records), limit)
     ]
 
 
 def take_record(
     state: State, now: float, record: MemberRecord, *, replace: bool = False
 ) -> Member | None:
-    """Take what a peer says of a member, or None where it is of no use.
+    """Record what a peer sent about a member; return None if it is not used.
 
-    It makes nobody live. An incarnation that still seems to live is replaced only by one that is
-    known to have followed it; with `replace` in any case.
+    A live incarnation is replaced only by one that is known to have followed it; with `replace` in
+    any case.
     """
     members = state.members
     if record.name == state.me.name or not record.address:
         return None
     name = InstanceName(record.name)
-    each = members.by_name.get(name)
-    if each is None:
-        each = Member(name, record.data_centre, record.address, incarnation=record.incarnation)
-        members.by_name[name] = each
-    elif each.incarnation != record.incarnation:
-        if not (replace or _follows(state, now, each, record)):
+    member = members.by_name.get(name)
+    if member is None:
+        member = Member(name, record.data_centre, record.address, incarnation=record.incarnation)
+        members.by_name[name] = member
+    elif member.incarnation != record.incarnation:
+        if not (replace or _follows(state, now, member, record)):
             return None
-        unindex_keys(members, each)
-        restart(each, record.incarnation)
-    each.data_centre = record.data_centre
-    each.peer_address = record.address
-    each.region = record.region
-    each.strength = record.strength
-    each.told_at = now
-    # Leaving is never taken back for an incarnation, whoever says otherwise.
-    each.leaving = each.leaving or record.leaving
-    index_keys(members, each)
-    return each
-
-
-def _follows(state: State, now: float, each: Member, record: MemberRecord) -> bool:
-    """Tell whether a record brings a later incarnation than the one that is known.
-
-    Failure: a restarted instance is heard, and then a late datagram of the incarnation before,
-    which so seems to have followed. Were a retired one refused for good, the instance would be left
-    out for as long as it lives, as it is not heard from directly. Who tells of it names the other
-    as its former one, and that one is silent by then: together this shows the true order.
+        unindex_member(members, member)
+        restart(member, record.incarnation)
+    member.data_centre = record.data_centre
+    member.peer_address = record.address
+    member.region = record.region
+    member.strength = record.strength
+    member.told_at = now
+    # The leaving flag of an incarnation is never cleared.
+    member.leaving = member.leaving or record.leaving
+    index_member(members, member)
+    return member
+
+
+def _follows(state: State, now: float, member: Member, record: MemberRecord) -> bool:
+    """Return whether a record names a later incarnation than the recorded one.
+
+    Prevents a delayed datagram of the previous incarnation from excluding a restarted instance: a
+    retired incarnation is accepted again if the record names the current one as its predecessor and
+    the current one is not live.
     """
-    follows = each.incarnation in record.former
-    lives = is_live(state, now, each)
-    if is_retired(each, record.incarnation):
-        return follows and not lives
-    return follows or not lives
+    is_successor = member.incarnation in record.former
+    is_member_live = is_live(state, now, member)
+    if is_retired(member, record.incarnation):
+        return is_successor and not is_member_live
+    return is_successor or not is_member_live
 
 
 def forget(state: State, now: float) -> None:
-    """Let go of members that have been silent for long and that nobody names any more."""
+    """Drop members that have been unresponsive for long and that no source names any more."""
     members = state.members
-    for each in list(members.by_name.values()):
-        silent_s = now - max(each.heard_at, each.told_at)
-        if silent_s > _forget_after(state, now, each) and not is_live(state, now, each):
-            unindex_keys(members, each)
-            del members.by_name[each.name]
-            members.marks_differ.pop(each.name, None)
+    for member in list(members.by_name.values()):
+        unresponsive_s = now - max(member.heard_at, member.told_at)
+        if unresponsive_s > _forget_after_s(state, now, member) and not is_live(state, now, member):
+            unindex_member(members, member)
+            del members.by_name[member.name]
+            members.marks_differ.pop(member.name, None)
 
 
-def _forget_after(state: State, now: float, each: Member) -> float:
+def _forget_after_s(state: State, now: float, member: Member) -> float:
     listed_at = state.servers.listed_at
-    # Two readings of a long list may lie further apart than that.
-    silent_s = max(state.options.forget_s, 2 * list_period(state))
-    outage = listed_at is None or now - listed_at > silent_s
-    return state.options.forget_outage_s if outage and not each.leaving else silent_s
+    # Two reads of a long list may lie further apart than the option.
+    limit_s = max(state.options.forget_s, 2 * list_period(state))
+    is_outage = listed_at is None or now - listed_at > limit_s
+    return state.options.forget_outage_s if is_outage and not member.leaving else limit_s
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_roster.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_roster.py
@@ -1,7 +1,7 @@
-"""The roster: the members of the own data centre in the one order that counters are sent in.
+"""The roster: the members of this data centre in the order in which counters are sent.
 
-It holds who was heard of lately, live or not, sorted by key. Its hash tells two instances whether
-they have the same one. The last few are kept, as peers that lag a little still use them.
+It holds the recently seen members, live or not, sorted by key. Two instances compare rosters by
+hash. The last few are stored, as delayed datagrams still use them.
 """
 
 from __future__ import annotations
@@ -11,25 +11,27 @@
 import xxhash
 
 from turmericweir_core.base.ids import InstanceName
-from turmericweir_core.membership.membership import member_key, own_key, self_member
+from turmericweir_core.membership.membership import member_key, self_key, self_member
 from turmericweir_core.state.membership_state import Member, Membership
 from turmericweir_core.state.state import State
 
-_PAST_ROSTERS: Final = 8
+_PAST_ROSTERS_MAX: Final = 8
 
 
 def refresh_roster(state: State, now: float) -> None:
-    """Bring the roster in line with who has been heard of lately."""
+    """Update the roster to the recently seen members."""
     options = state.options
-    keyed = [(own_key(state), state.me.name)]
-    for each in state.members.by_name.values():
-        if each.data_centre == state.me.data_centre and now - each.heard_at <= options.roster_s:
-            keyed.append((member_key(each.name, each.incarnation, each.leaving), each.name))
-    keyed.sort()
-    keys = tuple(key for key, _ in keyed)
+    keys_and_names = [(self_key(state), state.me.name)]
+    for member in state.members.by_name.values():
+        if member.data_centre == state.me.data_centre and now - member.heard_at <= options.roster_s:
+            keys_and_names.append(
+                (member_key(member.name, member.incarnation, member.leaving), member.name)
+            )
+    keys_and_names.sort()
+    keys = tuple(key for key, _ in keys_and_names)
     if keys == state.members.roster:
         return
-    _adopt_roster(state.members, keys, tuple(name for _, name in keyed))
+    _adopt_roster(state.members, keys, tuple(name for _, name in keys_and_names))
     state.members.unsettled_until = now + options.settle_s
 
 
@@ -38,7 +40,7 @@
 ) -> None:
     if members.roster:
         members.past_rosters[members.roster_hash] = members.roster
-    while len(members.past_rosters) > _PAST_ROSTERS:
+    while len(members.past_rosters) > _PAST_ROSTERS_MAX:
         members.past_rosters.popitem(last=False)
     members.roster = keys
     members.roster_names = names
@@ -51,16 +53,16 @@
 
 
 def roster_by_hash(members: Membership, roster_hash: int) -> tuple[int, ...] | None:
-    """Find the keys of the roster with that hash, if it is or was the own one."""
+    """Return the keys of the current or an earlier roster with that hash, or None."""
     if roster_hash == members.roster_hash:
         return members.roster
     return members.past_rosters.get(roster_hash)
 
 
 def roster_members(state: State) -> list[Member]:
-    """List the members of the roster, this instance among them, in its order."""
-    return [_named(state, name) for name in state.members.roster_names]
+    """Return the members of the roster, this instance included, in roster order."""
+    return [_member_by_name(state, name) for name in state.members.roster_names]
 
 
-def _named(state: State, name: InstanceName) -> Member:
+def _member_by_name(state: State, name: InstanceName) -> Member:
     return self_member(state) if name == state.me.name else state.members.by_name[name]
--- a/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
@@ -1,16 +1,16 @@
-"""Which instances read the platform's store, and how the others know what is there.
+"""Which instances read the platform's store, and how the others receive what was read.
 
-Each call to the store is paid for, and all instances would read the same. So one reads for some
-hundreds, picked by hash among the live ones, and tells the others: of servers at each read, of the
-settings whenever one asks. An instance that has not been told in time reads for itself, whatever
-the reason, and stands in as a reader until another one tells. Each allows another delay, by hash,
-so that one does for all: a reader that dies or cannot reach the store costs few reads and no bound.
+Each call to the store costs money, and all instances would read the same. So one instance reads for
+some hundreds, picked by hash among the live ones, and sends the result to the others: the servers
+at each read, the settings on request. An instance that receives nothing in time reads for itself
+and becomes a fallback reader until another reader announces. Each instance has another delay, by
+hash, so that a failed reader is replaced by few others.
 
-Where there are many, a reader tells the tellers of each data centre (`telling`), and these the
-others there: a reader may be a small machine. Whoever is told by nobody reads for itself.
+In large deployments a reader sends to the relays of each data centre (`telling`), and these send to
+the other instances there, which limits the load on the reader.
 
-An instance that has just started knows few of the others and would take itself for a reader, as all
-would after a start of them all. Until it may know them it only stands in.
+An instance that has just started knows few of the others and would pick itself, so it is only a
+fallback reader at first.
 """
 
 from __future__ import annotations
@@ -25,121 +25,125 @@
     from turmericweir_core.base.ids import InstanceName
     from turmericweir_core.state.state import State
 
-# What the readers are picked for.
+# Hash key for picking the readers.
 _DUTY: Final = "store"
-# Instances for each reader, and readers at the least: where one dies another stands in soon enough.
-_INSTANCES_EACH: Final = 400
+# Instances for each reader, and the minimum number of readers.
+_INSTANCES_PER_READER: Final = 400
 _READERS_MIN: Final = 1
-# Time in which an instance that started with all others comes to know them.
-_YOUNG_S: Final = 8.0
-# Between two looks at who is picked to read; it is asked twenty times a second.
-_PICK_S: Final = 0.25
+# Time in which an instance that started with all others discovers them.
+_START_PHASE_S: Final = 8.0
+# Interval between two picks of the readers; `is_reader` is called far more often.
+_PICK_INTERVAL_S: Final = 0.25
 _NEVER: Final = float("-inf")
-_WEIGHTS: Final = 2.0**64
+_WEIGHT_RANGE: Final = 2.0**64
 
 
 def readers(state: State, now: float) -> list[Member]:
-    """List the instances that read the store, this one maybe among them."""
-    live = [each for each in membership.live_instances(state, now) if not each.leaving]
-    count = max(_READERS_MIN, len(live) // _INSTANCES_EACH)
+    """Return the instances that read the store; this one may be among them."""
+    live = [member for member in membership.live_instances(state, now) if not member.leaving]
+    count = max(_READERS_MIN, len(live) // _INSTANCES_PER_READER)
     return telling.first_by_hash(live, _DUTY, count)
 
 
 def is_reader(state: State, now: float) -> bool:
-    """Tell whether this instance reads for others."""
+    """Return whether this instance reads for others."""
     if state.registry.stands_in:
         return True
     started_at = state.members.started_at
-    if started_at is None or now - started_at < _YOUNG_S:
+    if started_at is None or now - started_at < _START_PHASE_S:
         return False
     registry = state.registry
     if now >= registry.pick_due:
-        registry.pick_due = now + _PICK_S
-        registry.is_picked = any(each.name == state.me.name for each in readers(state, now))
+        registry.pick_due = now + _PICK_INTERVAL_S
+        registry.is_picked = any(member.name == state.me.name for member in readers(state, now))
     return registry.is_picked
 
 
-# --- who tells whom --------------------------------------------------------------------------
+# --- peers to send to ---------------------------------------------------------------------------
 
 
-def audience(state: State, now: float) -> list[Member]:
-    """List whom this instance tells what it has just read: all, or tellers and its own part.
+def read_receivers(state: State, now: float) -> list[Member]:
+    """Return the peers to which this instance sends what it has read.
 
-    Its own part are those who share its teller, as that one may be what has failed.
+    These are all peers, or the relays and this instance's relay group, in case its relay has
+    failed.
     """
     if telling.is_direct(state, now):
-        return _peers(state, membership.region_instances(state, now))
-    here = membership.live_instances(state, now, state.me.data_centre)
-    told = [*telling.all_tellers(state, now), *telling.part_of(here, state.me.name)]
-    return _peers(state, list({each.name: each for each in told}.values()))
-
-
-def told_by_me(state: State, now: float) -> list[Member]:
-    """List whom this instance passes on to what a reader told; none unless it is a teller."""
-    here = membership.live_instances(state, now, state.me.data_centre)
-    if telling.is_direct(state, now) or not _is_among(telling.tellers(here), state):
+        return _without_self(state, membership.region_instances(state, now))
+    local_members = membership.live_instances(state, now, state.me.data_centre)
+    receivers = [
+        *telling.all_tellers(state, now),
+        *telling.relay_group(local_members, state.me.name),
+    ]
+    return _without_self(state, list({member.name: member for member in receivers}.values()))
+
+
+def relay_receivers(state: State, now: float) -> list[Member]:
+    """Return the peers to which this instance relays; none unless it is a relay."""
+    local_members = membership.live_instances(state, now, state.me.data_centre)
+    if telling.is_direct(state, now) or not _has_self(telling.tellers(local_members), state):
         return []
-    return _peers(state, telling.part_of(here, state.me.name))
+    return _without_self(state, telling.relay_group(local_members, state.me.name))
 
 
-def whom_to_ask(state: State, now: float) -> list[Member]:
-    """List the peers that may have a young proof of the settings: tellers here, or the readers."""
-    here = membership.live_instances(state, now, state.me.data_centre)
-    found = telling.tellers(here)
-    if telling.is_direct(state, now) or _is_among(found, state):
-        found = readers(state, now)
-    return _peers(state, found)
+def settings_sources(state: State, now: float) -> list[Member]:
+    """Return peers that may have a fresh proof of the settings: local relays, or the readers."""
+    local_members = membership.live_instances(state, now, state.me.data_centre)
+    sources = telling.tellers(local_members)
+    if telling.is_direct(state, now) or _has_self(sources, state):
+        sources = readers(state, now)
+    return _without_self(state, sources)
 
 
-def _is_among(members: list[Member], state: State) -> bool:
-    return any(each.name == state.me.name for each in members)
+def _has_self(members: list[Member], state: State) -> bool:
+    return any(member.name == state.me.name for member in members)
 
 
-def _peers(state: State, members: list[Member]) -> list[Member]:
-    return [each for each in members if each.name != state.me.name]
+def _without_self(state: State, members: list[Member]) -> list[Member]:
+    return [member for member in members if member.name != state.me.name]
 
 
-# --- who stands in ---------------------------------------------------------------------------
+# --- fallback readers --------------------------------------------------------------------------
 
 
 def note_read(state: State, now: float) -> None:
-    """Stand in for the readers from now on, if this read was made because none had told.
+    """Become a fallback reader if this read was made because no reader announced in time.
 
-    Not at the first one, which all make when they start.
+    Does not apply to the first read, which all instances make when they start.
     """
-    if state.registry.read_at > _NEVER and registry_is_late(state, now):
+    if state.registry.read_at > _NEVER and is_registry_overdue(state, now):
         state.registry.stands_in = True
 
 
 def note_told(state: State, now: float, reader: InstanceName) -> None:
-    """Leave the reading to a peer that reads, if it is picked for it or first among stand-ins."""
-    picked = reader in {each.name for each in readers(state, now)}
-    if picked or rendezvous_weight(_DUTY, reader) > rendezvous_weight(_DUTY, state.me.name):
+    """Stop being a fallback reader if the announcing peer is picked or has the higher weight."""
+    is_picked = reader in {member.name for member in readers(state, now)}
+    if is_picked or rendezvous_weight(_DUTY, reader) > rendezvous_weight(_DUTY, state.me.name):
         state.registry.stands_in = False
 
 
-def registry_is_late(state: State, now: float) -> bool:
-    """Tell whether this instance was told nothing of the servers for too long."""
+def is_registry_overdue(state: State, now: float) -> bool:
+    """Return whether this instance has received no servers for too long."""
     times = state.options.store
-    late_s = times.servers_late_s + times.servers_spread_s * _place(state)
-    return now - state.registry.read_at > late_s
+    overdue_s = times.servers_late_s + times.servers_spread_s * _fallback_position(state)
+    return now - state.registry.read_at > overdue_s
 
 
 def reads_registry(state: State, now: float) -> bool:
-    """Tell whether this instance is to read the servers' entries now."""
-    return is_reader(state, now) or registry_is_late(state, now)
+    """Return whether this instance should read the servers' entries now."""
+    return is_reader(state, now) or is_registry_overdue(state, now)
 
 
 def reads_document(state: State, now: float) -> bool:
-    """Tell whether this instance is to read the settings now."""
-    held = state.document
-    if held is None or is_reader(state, now):
+    """Return whether this instance should read the settings now."""
+    document = state.document
+    if document is None or is_reader(state, now):
         return True
     times = state.options.store
-    late_s = times.settings_late_s + times.settings_spread_s * _place(state)
-    return now - held.proof_at > late_s
+    overdue_s = times.settings_late_s + times.settings_spread_s * _fallback_position(state)
+    return now - document.proof_at > overdue_s
 
 
-def _place(state: State) -> float:
-    """Give this instance's place in the order of those who stand in, 0..1; the readers' order."""
-    return 1.0 - rendezvous_weight(_DUTY, state.me.name) / _WEIGHTS
+def _fallback_position(state: State) -> float:
+    """Return this instance's position in the order of fallback readers, 0..1."""
+    return 1.0 - rendezvous_weight(_DUTY, state.me.name) / _WEIGHT_RANGE
--- a/packages/turmericweir-core/turmericweir_core/membership/subset.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/subset.py
@@ -1,11 +1,10 @@
 """The bounded subset of a target's servers that this instance uses.
 
-At 160 instances before 465 servers, every instance speaking to every server of a model would cost
-each server more connections and each dispatcher more holders than the requests are worth. An
-instance therefore uses up to `subset_size` servers of a target, picked by rendezvous hashing of its
-own name: the subsets of all instances cover the servers evenly, and one server that comes or goes
-moves only the places that it holds. Servers of the own data centre come first, and some places are
-kept for others, so that a crowded data centre can lean on its siblings.
+If every instance used every server of a model, each server would have more connections and each
+dispatcher more holders than the requests justify. An instance therefore uses up to `subset_size`
+servers of a target, picked by rendezvous hashing of its own name: the subsets cover the servers
+evenly, and one added or removed server changes few subsets. Servers of this data centre come first,
+and some places are reserved for others, which take over load when this data centre is overloaded.
 """
 
 from __future__ import annotations
@@ -24,16 +23,16 @@
 
 
 def rendezvous_weight(key: str, candidate: str) -> int:
-    """Give the weight of a candidate for a key; the highest one wins."""
+    """Return the weight of a candidate for a key; the highest weight wins."""
     return xxhash.xxh3_64_intdigest(f"{key}\0{candidate}".encode())
 
 
 def target_subset(state: State, target: Target) -> TargetSubset:
-    """Give the servers of a target that this instance uses."""
-    held = state.subsets.by_target.get(target)
-    if held is None or held.version != state.servers.version:
-        held = state.subsets.by_target[target] = _choose(state, target)
-    return held
+    """Return the servers of a target that this instance uses."""
+    subset = state.subsets.by_target.get(target)
+    if subset is None or subset.version != state.servers.version:
+        subset = state.subsets.by_target[target] = _choose(state, target)
+    return subset
 
 
 def _choose(state: State, target: Target) -> TargetSubset:
@@ -47,55 +46,56 @@
         key=lambda server: rendezvous_weight(me.name, server.entry.name),
         reverse=True,
     )
-    own = [server for server in serving if server.entry.data_centre == me.data_centre]
+    local = [server for server in serving if server.entry.data_centre == me.data_centre]
     others = [server for server in serving if server.entry.data_centre != me.data_centre]
-    # Another region is far away; its servers are for when this one has none.
+    # Servers of another region are used only if this region has none.
     near = [server for server in others if server.entry.data_centre not in state.subsets.foreign]
-    others = near if own or near else others
+    others = near if local or near else others
     size = state.options.subset_size
-    kept = own[: max(size - len(others), size - state.options.subset_remote)]
-    return TargetSubset(state.servers.version, (*kept, *others[: size - len(kept)]), len(serving))
+    local_part = local[: max(size - len(others), size - state.options.subset_remote)]
+    return TargetSubset(
+        state.servers.version, (*local_part, *others[: size - len(local_part)]), len(serving)
+    )
 
 
 def open_servers(state: State, now: float, target: Target) -> list[Server]:
-    """List the servers of the subset that may be given new work now."""
+    """Return the servers of the subset that may receive new work now."""
     subset = target_subset(state, target)
-    found = _proven([server for server in subset.servers if is_open(server, now)])
-    if found or subset.total <= len(subset.servers):
-        return found
-    # Failure: every server of the subset is cut off, say with its rack. Requests would wait until
-    # their deadlines before idle servers; so the others are used until the subset is back.
-    return _proven(list(servers_for(state.servers, target, now)))
+    available = _without_unproven([server for server in subset.servers if is_open(server, now)])
+    if available or subset.total <= len(subset.servers):
+        return available
+    # Prevents requests from waiting while idle servers exist: if the whole subset is unavailable,
+    # the other servers are used.
+    return _without_unproven(list(servers_for(state.servers, target, now)))
 
 
-def _proven(servers: list[Server]) -> list[Server]:
-    """Leave out servers that failed and have not answered a probe since, if any others are left.
+def _without_unproven(servers: list[Server]) -> list[Server]:
+    """Leave out failed servers without a successful probe since, if others remain.
 
-    Failure: a data centre is cut off, and connections to it time out. Trying one of its servers
-    with a caller's request every time that its pause is over costs that caller the timeout.
+    Prevents requests from waiting for connection timeouts to servers that are cut off.
     """
     return [server for server in servers if server.unreachable_until == 0.0] or servers
 
 
 def sharing_instances(state: State, target: Target) -> int:
-    """Estimate how many instances use the same server of a target, this one included."""
+    """Return the estimated number of instances that use the same server of a target."""
     subset = target_subset(state, target)
     if not subset.total:
         return 1
-    used = len(subset.servers) / subset.total
-    return max(1, round(state.subsets.instances * used))
+    used_share = len(subset.servers) / subset.total
+    return max(1, round(state.subsets.instances * used_share))
 
 
 def on_tick(state: State, now: float) -> None:
-    """Follow who shares this region's servers, and which of them are in use here."""
+    """Update the number of instances in this region and the servers in use here."""
     subsets = state.subsets
     if now < subsets.used_due:
         return
     subsets.used_due = now + state.options.subset_look_s
     foreign = frozenset(
-        each.name
-        for each in state.members.centres.values()
-        if each.region and each.region != state.me.region
+        centre.name
+        for centre in state.members.centres.values()
+        if centre.region and centre.region != state.me.region
     )
     if foreign != subsets.foreign:
         subsets.foreign = foreign
--- a/packages/turmericweir-core/turmericweir_core/membership/telling.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/telling.py
@@ -1,11 +1,11 @@
-"""Tell hundreds of instances without each speaking to each: a few tell the others of their place.
+"""Relays: instances that pass messages for all on to the other instances of their data centre.
 
-Each data centre has *tellers*, one for some instances, picked by hash among its live members. What
-is for all goes to the tellers, and from each to those that it tells. Who is which follows from the
-live members alone, so nothing has to be agreed; two views that differ for a moment have some told
-twice or not at all, and whoever relies on being told has to see to it that it was.
+Each data centre has one relay for some instances, picked by hash among its live members. A message
+for all goes to the relays, and from each to its group. The choice follows from the live members
+alone, so nothing has to be agreed. While two views differ, some instances receive a message twice
+or not at all, and the receiver has to detect missing messages.
 
-Where there are few instances nobody tells for others: everyone speaks to everyone.
+In small deployments there are no relays: each instance sends to every other one.
 """
 
 from __future__ import annotations
@@ -21,56 +21,56 @@
     from turmericweir_core.state.state import State
 
 _DUTY: Final = "tell"
-# Up to so many instances each speaks to each.
-_DIRECT_MAX: Final = 24
-# Instances of a data centre for each teller there.
-_TOLD_EACH: Final = 16
+# Largest number of instances that send to each other directly.
+_DIRECT_INSTANCES_MAX: Final = 24
+# Instances of a data centre for each relay there.
+_INSTANCES_PER_RELAY: Final = 16
 
 
 def is_direct(state: State, now: float) -> bool:
-    """Tell whether there are so few instances that each speaks to each."""
-    return len(membership.region_instances(state, now)) <= _DIRECT_MAX
+    """Return whether there are so few instances that each sends to every other one."""
+    return len(membership.region_instances(state, now)) <= _DIRECT_INSTANCES_MAX
 
 
 def tellers(members: list[Member]) -> list[Member]:
-    """Pick those of one data centre's live members that tell the others there."""
-    staying = [each for each in members if not each.leaving]
-    return first_by_hash(staying, _DUTY, -(-len(staying) // _TOLD_EACH))
+    """Return the relays among one data centre's live members."""
+    staying = [member for member in members if not member.leaving]
+    return first_by_hash(staying, _DUTY, -(-len(staying) // _INSTANCES_PER_RELAY))
 
 
 def first_by_hash(members: list[Member], duty: str, count: int) -> list[Member]:
-    """Pick the members that a duty falls to, the same ones on all instances.
+    """Return the members picked for a duty, the same ones on all instances.
 
-    Those on the strongest machines come first. Failure without: what is for hundreds goes through
-    the link of a small machine, where the requests of its callers wait behind it.
+    Instances on the strongest machines come first. Prevents relayed messages from delaying requests
+    on the link of a small machine.
     """
     ranked = sorted(
         members,
-        key=lambda each: (each.strength, rendezvous_weight(duty, each.name)),
+        key=lambda member: (member.strength, rendezvous_weight(duty, member.name)),
         reverse=True,
     )
     return ranked[:count]
 
 
-def teller_of(found: list[Member], name: InstanceName) -> InstanceName | None:
-    """Name the one of a data centre's tellers that tells an instance; a teller tells itself."""
-    if not found:
+def teller_of(relay_members: list[Member], name: InstanceName) -> InstanceName | None:
+    """Return the name of the relay that sends to an instance; a relay is its own."""
+    if not relay_members:
         return None
-    if any(each.name == name for each in found):
+    if any(member.name == name for member in relay_members):
         return name
-    return max(found, key=lambda each: rendezvous_weight(each.name, name)).name
+    return max(relay_members, key=lambda member: rendezvous_weight(member.name, name)).name
 
 
-def part_of(members: list[Member], name: InstanceName) -> list[Member]:
-    """List the members of a data centre that have the same teller as the one that is named."""
-    found = tellers(members)
-    teller = teller_of(found, name)
-    return [each for each in members if teller_of(found, each.name) == teller]
+def relay_group(members: list[Member], name: InstanceName) -> list[Member]:
+    """Return the members of a data centre that have the same relay as the named one."""
+    relay_members = tellers(members)
+    relay = teller_of(relay_members, name)
+    return [member for member in members if teller_of(relay_members, member.name) == relay]
 
 
 def all_tellers(state: State, now: float) -> list[Member]:
-    """List the tellers of all data centres of the region, this instance maybe among them."""
+    """Return the relays of all data centres of the region; this instance may be among them."""
     by_centre: dict[str, list[Member]] = {}
-    for each in membership.region_instances(state, now):
-        by_centre.setdefault(each.data_centre, []).append(each)
-    return [each for members in by_centre.values() for each in tellers(members)]
+    for member in membership.region_instances(state, now):
+        by_centre.setdefault(member.data_centre, []).append(member)
+    return [member for members in by_centre.values() for member in tellers(members)]
--- a/packages/turmericweir-core/turmericweir_core/store/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/store/__init__.py
@@ -1,1 +1,1 @@
-"""Follow the platform's store: the settings document, the registry of servers, what they forbid."""
+"""Follow the platform's store: the settings document and the registry of backend servers."""
--- a/packages/turmericweir-core/turmericweir_core/store/document.py
+++ b/packages/turmericweir-core/turmericweir_core/store/document.py
@@ -1,14 +1,13 @@
-"""Settings that come as one whole document, in versions that only rise.
+"""Settings as one whole document, in versions that only increase.
 
-The platform's store keeps the newest document. An instance reads it there, or has it from a peer
-where the store does not answer; either way an older version never replaces a newer one in the life
-of a process, whatever a late answer or a peer says.
+The platform's store has the newest document. An instance reads it there, or receives it from a
+peer. An older version never replaces a newer one during the life of a process.
 
-A key may be taken away from a customer by a new version, and has to stop within a bound on every
-instance, cut off or not. So the part also holds a *proof*: the time at which the request was sent
-of the newest read that was answered, by this instance or by a peer. Until then no newer version was
-in force than the one held here. A read that hangs proves nothing. A peer's proof counts from the
-moment at which it was asked, so that a delayed answer makes it older, never younger.
+A new version may revoke a customer's key, which must take effect within a bound on every instance,
+also during a partition. This module therefore tracks a *proof*: the send time of the newest
+answered read, by this instance or by a peer. The version here was the newest one up to that time. A
+read without an answer proves nothing. A peer's proof counts from the moment this instance requested
+it, so a delayed answer makes the proof older.
 """
 
 from __future__ import annotations
@@ -36,47 +35,44 @@
     from turmericweir_core.state.state import State
 
 _NEVER: Final = float("-inf")
-# Whoever reads or tells lets the others know of each proof, and they ask for it then. A proof that
-# is older than two reads lie apart, by this much, has them ask without that: a datagram was lost.
-_UNTOLD_S: Final = 0.4
-# With a proof as old as this anyone is asked: this instance cannot reach the store, nor those who
-# usually read it.
-_ASK_PEERS_S: Final = 3.0
-# Whoever told of the servers lately has it from the store. Its word counts for so much longer than
-# the time between two reads.
-_TOLD_EXTRA_S: Final = 0.6
-# One asking in so many goes to those picked to read or to tell, the others to whoever told last.
-_OTHERS_TURN: Final = 3
-# Before the first document, peers are asked after so long: the store usually answers sooner.
-_FIRST_ASK_S: Final = 0.5
-# Between two askings, each of another peer.
-_ASK_GAP_S: Final = 0.3
-# The number of no asking.
-_UNASKED: Final = 0
-# Askings whose answers are still awaited; older ones are void.
-_ASKED_MAX: Final = 16
+# Peers announce each proof. A proof older than the read interval by this much is requested without
+# an announcement, as that may have been lost.
+_UNANNOUNCED_S: Final = 0.4
+# Age of the proof from which on any peer is asked: neither the store nor its readers are reachable.
+_ASK_ANY_PEER_S: Final = 3.0
+# A peer that announced servers is asked for this much longer than the read interval.
+_ANNOUNCER_EXTRA_S: Final = 0.6
+# One request in this many goes to the picked readers or relays, the others to the last announcer.
+_OTHER_PEER_EVERY: Final = 3
+# Delay before peers are asked for the first document; the store usually answers sooner.
+_FIRST_REQUEST_DELAY_S: Final = 0.5
+# Interval between two requests, each to another peer.
+_REQUEST_INTERVAL_S: Final = 0.3
+# Number of a proof that answers no request.
+_NO_REQUEST: Final = 0
+# Requests that await an answer; older ones are dropped.
+_PENDING_REQUESTS_MAX: Final = 16
 
 
 def proof_age(state: State, now: float) -> float:
-    """Give the age of the proof that the settings here are the newest, seconds."""
+    """Return the age in seconds of the proof that the settings here are the newest."""
     return 0.0 if state.document is None else now - state.document.proof_at
 
 
 def may_deny(state: State, now: float) -> bool:
-    """Tell whether the settings are known to be new enough to turn a caller away by them.
+    """Return whether the settings are fresh enough to reject a caller because of them.
 
-    Failure: an instance is cut off while a route or a key is added, and tells callers that there is
-    no such thing; they do not try again. While that is in doubt they are told to come back.
+    Prevents a partitioned instance from rejecting requests for a new route or key, which callers
+    would not retry.
     """
     return proof_age(state, now) <= state.options.store.deny_proof_s
 
 
 def may_serve_key(state: State, now: float, req: Request) -> bool:
-    """Tell whether a request may still be sent, as far as its key goes.
+    """Return whether the proof is fresh enough to send a request with a key.
 
-    Failure: an instance is cut off from the store while a key is taken away, and goes on serving
-    it for as long as the cut lasts. The bound is below the one that operators were promised by what
-    a request takes from here to its server.
+    Prevents a partitioned instance from serving a revoked key. The bound is shorter than the one
+    promised to operators by the time that a request takes to reach its server.
     """
     return not req.keyed or proof_age(state, now) <= state.options.key_proof_s
 
@@ -85,33 +81,33 @@
 
 
 def on_read(state: State, now: float, event: DocumentRead) -> list[Effect]:
-    """Put a newer document in force; an older one is dropped."""
-    held = _held(state)
+    """Apply a newer document; ignore an older one."""
+    document = _document(state)
     effects: list[Effect] = []
-    if event.version > held.version:
-        effects.append(_put_in_force(state, held, event))
-    elif event.version < held.version:
-        return [Log("settings_older", {"version": event.version, "in_force": held.version})]
+    if event.version > document.version:
+        effects.append(_apply_document(state, document, event))
+    elif event.version < document.version:
+        return [Log("settings_older", {"version": event.version, "in_force": document.version})]
     if event.asked_at is not None:
-        effects += _prove(state, now, event.asked_at)
+        effects += _record_proof(state, now, event.asked_at)
     elif effects:
-        effects += _hint(state, store_duty.told_by_me(state, now))
+        effects += _announce_proof(state, store_duty.relay_receivers(state, now))
     return effects
 
 
-def _put_in_force(state: State, held: DocumentState, event: DocumentRead) -> Log:
+def _apply_document(state: State, document: DocumentState, event: DocumentRead) -> Log:
     log = Log(
         "settings_in_force",
         {
             "version": event.version,
-            "before": held.version,
+            "before": document.version,
             "from": event.peer or "store",
             "routes": len(event.config.routes.by_place),
             "customers": len(event.config.customers),
         },
     )
-    held.version = event.version
-    held.raw = event.raw
+    document.version = event.version
+    document.raw = event.raw
     state.config = event.config
     state.has_settings = True
     server_table.rebuild(state.servers, state.config)
@@ -119,32 +115,32 @@
 
 
 def on_confirmed(state: State, now: float, event: DocumentConfirmed) -> list[Effect]:
-    """Take it that a read was answered and showed nothing newer."""
-    return _prove(state, now, event.asked_at)
+    """Record a read that was answered without a newer version."""
+    return _record_proof(state, now, event.asked_at)
 
 
-def _prove(state: State, now: float, asked_at: float) -> list[Effect]:
-    held = _held(state)
-    is_first = held.own_proof_at == _NEVER
-    held.own_proof_at = max(held.own_proof_at, asked_at)
-    held.proof_at = max(held.proof_at, asked_at)
-    # At a start all read, and need not tell each other.
-    return [] if is_first else _hint(state, store_duty.audience(state, now))
+def _record_proof(state: State, now: float, asked_at: float) -> list[Effect]:
+    document = _document(state)
+    is_first = document.own_proof_at == _NEVER
+    document.own_proof_at = max(document.own_proof_at, asked_at)
+    document.proof_at = max(document.proof_at, asked_at)
+    # All instances read at the start, so the first proof is not announced.
+    return [] if is_first else _announce_proof(state, store_duty.read_receivers(state, now))
 
 
-def _hint(state: State, peers: list[Member]) -> list[Effect]:
-    """Let peers know that there is a new proof here, or a newer version.
+def _announce_proof(state: State, peers: list[Member]) -> list[Effect]:
+    """Announce a new proof or a newer version to peers.
 
-    It proves nothing by itself, as it may have been on its way for long: they ask.
+    The datagram may be delayed and proves nothing by itself; the peers request the proof.
     """
-    hint = DocumentProof(_held(state).version, _UNASKED, 0.0)
-    return [SendDatagram(each.name, each.peer_address, hint) for each in peers]
+    announcement = DocumentProof(_document(state).version, _NO_REQUEST, 0.0)
+    return [SendDatagram(peer.name, peer.peer_address, announcement) for peer in peers]
 
 
 def on_unreadable(event: DocumentUnreadable) -> list[Effect]:
-    """Keep the settings in force where a newer document cannot be used.
+    """Keep the current settings if a newer document cannot be decoded.
 
-    It proves nothing either: what it meant to take away is not known.
+    The document proves nothing, as it may have revoked a key.
     """
     fields = {"step": "decode document", "peer": event.source, "error": event.error}
     return [Count("settings.unreadable"), Log("settings_unreadable", fields)]
@@ -154,112 +150,119 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Ask a peer where the store does not answer, or where a peer is ahead."""
-    held = _held(state)
-    if held.started_at is None:
-        held.started_at = now
-    if now < held.ask_due:
+    """Ask a peer if the proof is stale or a peer has a newer version."""
+    document = _document(state)
+    if document.started_at is None:
+        document.started_at = now
+    if now < document.ask_due:
         return []
-    peer = _whom_to_ask(state, now)
+    peer = _peer_to_ask(state, now)
     if peer is None:
         return []
-    held.ask_due = now + _ASK_GAP_S
-    return _ask(state, now, peer)
+    document.ask_due = now + _REQUEST_INTERVAL_S
+    return _request_proof(state, now, peer)
 
 
-def _whom_to_ask(state: State, now: float) -> Member | None:
-    """Pick a peer: one that is ahead, a reader of the store, or else anyone."""
-    held = _held(state)
-    if held.version == 0 and held.started_at is not None:
-        peers = _peers(state, now) if now - held.started_at > _FIRST_ASK_S else []
+def _peer_to_ask(state: State, now: float) -> Member | None:
+    """Return a peer to ask: one with a newer version, a reader of the store, or any peer."""
+    document = _document(state)
+    if document.version == 0 and document.started_at is not None:
+        peers = (
+            _live_peers(state, now) if now - document.started_at > _FIRST_REQUEST_DELAY_S else []
+        )
         return state.rng.choice(peers) if peers else None
-    if any(each.settings_offset > held.version for each in state.members.by_name.values()):
-        ahead = [each for each in _peers(state, now) if each.settings_offset > held.version]
+    if any(member.settings_offset > document.version for member in state.members.by_name.values()):
+        ahead = [
+            member
+            for member in _live_peers(state, now)
+            if member.settings_offset > document.version
+        ]
         if ahead:
             return state.rng.choice(ahead)
-    if now - held.proof_at > _ASK_PEERS_S:
-        peers = _peers(state, now)
+    if now - document.proof_at > _ASK_ANY_PEER_S:
+        peers = _live_peers(state, now)
         return state.rng.choice(peers) if peers else None
-    if now - held.proof_at <= state.options.store.settings_read_s + _UNTOLD_S:
+    if now - document.proof_at <= state.options.store.settings_read_s + _UNANNOUNCED_S:
         return None
-    teller = _teller(state, now)
-    if teller is not None and held.asked % _OTHERS_TURN:
-        # The others are asked now and then, as its word may have been the last.
-        return teller
-    others = store_duty.whom_to_ask(state, now)
+    announcer = _last_announcer(state, now)
+    if announcer is not None and document.asked % _OTHER_PEER_EVERY:
+        # Other peers are asked from time to time, as the announcer may have failed.
+        return announcer
+    others = store_duty.settings_sources(state, now)
     return state.rng.choice(others) if others else None
 
 
-def _peers(state: State, now: float) -> list[Member]:
-    return [each for each in membership.live_instances(state, now) if each.name != state.me.name]
+def _live_peers(state: State, now: float) -> list[Member]:
+    return [
+        member for member in membership.live_instances(state, now) if member.name != state.me.name
+    ]
 
 
-def _teller(state: State, now: float) -> Member | None:
-    """Give whoever has just told of the servers: it can read the store, picked as a reader or not.
+def _last_announcer(state: State, now: float) -> Member | None:
+    """Return the peer that most recently announced servers: it can reach the store.
 
-    Failure without: the readers cannot reach the store, each instance asks them for a proof in vain
-    and then reads for itself, for as long as that lasts.
+    Prevents each instance from reading for itself while the picked readers cannot reach the store.
     """
     registry = state.registry
     if (
         registry.told_by is None
-        or now - registry.told_at > state.options.store.servers_read_s + _TOLD_EXTRA_S
+        or now - registry.told_at > state.options.store.servers_read_s + _ANNOUNCER_EXTRA_S
     ):
         return None
     return membership.member(state, registry.told_by)
 
 
-def _ask(state: State, now: float, peer: Member) -> list[Effect]:
-    held = _held(state)
-    held.asked += 1
-    held.asked_at[held.asked] = now
-    held.asked_at.pop(held.asked - _ASKED_MAX, None)
-    ask = DocumentAsk(held.version, held.asked)
-    return [SendDatagram(peer.name, peer.peer_address, ask)]
+def _request_proof(state: State, now: float, peer: Member) -> list[Effect]:
+    document = _document(state)
+    document.asked += 1
+    document.asked_at[document.asked] = now
+    document.asked_at.pop(document.asked - _PENDING_REQUESTS_MAX, None)
+    request = DocumentAsk(document.version, document.asked)
+    return [SendDatagram(peer.name, peer.peer_address, request)]
 
 
-def on_ask(state: State, now: float, sender: InstanceName, ask: DocumentAsk) -> list[Effect]:
-    """Tell a peer the version and the proof here; send it the document where its own is older."""
-    held = _held(state)
+def on_ask(state: State, now: float, sender: InstanceName, request: DocumentAsk) -> list[Effect]:
+    """Send the version and proof to a peer; send the document too if the peer's is older."""
+    document = _document(state)
     peer = membership.member(state, sender)
-    if peer is None or held.version == 0:
+    if peer is None or document.version == 0:
         return []
     effects: list[Effect] = []
-    if held.version > ask.version:
-        send = DocumentSend(held.version, held.raw)
+    if document.version > request.version:
+        send = DocumentSend(document.version, document.raw)
         effects.append(SendPeer(sender, peer.peer_address, send))
-    age_s = now - held.proof_at
+    age_s = now - document.proof_at
     if age_s <= state.options.key_proof_s:
-        proof = DocumentProof(held.version, ask.number, age_s)
+        proof = DocumentProof(document.version, request.number, age_s)
         effects.append(SendDatagram(sender, peer.peer_address, proof))
     return effects
 
 
 def on_send(sender: InstanceName, message: DocumentSend) -> list[Effect]:
-    """Have a peer's document decoded; it comes back as one that was read."""
+    """Decode a peer's document; the result is processed like one that was read."""
     return [DecodeDocument(message.raw, sender)]
 
 
 def on_proof(
     state: State, now: float, sender: InstanceName, message: DocumentProof
 ) -> list[Effect]:
-    """Take a peer's proof for the version that is in force here as well."""
-    held = _held(state)
-    if message.number == _UNASKED:
+    """Record a peer's proof of the version in force here."""
+    document = _document(state)
+    if message.number == _NO_REQUEST:
         peer = membership.member(state, sender)
-        return _ask(state, now, peer) if peer is not None else []
-    asked_at = held.asked_at.pop(message.number, None)
-    if asked_at is None or message.version > held.version:
-        # The document itself is on its way; the next asking brings a proof for it.
+        return _request_proof(state, now, peer) if peer is not None else []
+    asked_at = document.asked_at.pop(message.number, None)
+    if asked_at is None or message.version > document.version:
+        # The document is on its way; a later request returns a proof for it.
         return []
     proof_at = asked_at - max(0.0, message.age_s)
-    if proof_at <= held.proof_at:
+    if proof_at <= document.proof_at:
         return []
-    held.proof_at = proof_at
-    return _hint(state, store_duty.told_by_me(state, now))
+    document.proof_at = proof_at
+    return _announce_proof(state, store_duty.relay_receivers(state, now))
 
 
-def _held(state: State) -> DocumentState:
+def _document(state: State) -> DocumentState:
     if state.document is None:
         state.document = DocumentState()
     return state.document
--- a/packages/turmericweir-core/turmericweir_core/store/instance_refusal.py
+++ b/packages/turmericweir-core/turmericweir_core/store/instance_refusal.py
@@ -1,9 +1,9 @@
-"""Refuse what this instance cannot serve though others may, and say when to come back.
+"""Refuse requests that this instance cannot serve, and return when the caller should retry.
 
-`lifecycle` asks here before anything else is looked at. These refusals say nothing of the load or
-of the request: the instance has no settings yet, has no proof that keys are still good, or stops.
-Whoever is refused comes back over a new connection, which the balancer gives to another instance.
-So the pause is for the others to be able to serve it, and where they can now there is none.
+`lifecycle` calls this before any other check. These refusals do not depend on the load or on the
+request: the instance has no settings yet, has no fresh proof of its keys, or is stopping. A refused
+caller retries over a new connection, which the balancer opens to another instance. The retry delay
+lets the other instances become able to serve the caller; it is zero if they already are.
 """
 
 from __future__ import annotations
@@ -18,19 +18,19 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Another instance can serve the caller now. With a pause of a second the caller of a quick answer
-# is late wherever it goes then, and one with a second to its deadline is not served at all.
-_AT_ONCE_S: Final = 0.0
-# A process has the settings some 50 ms after its start; all may have started together.
-_STARTING_S: Final = 0.2
-# The whole data centre is without a proof; whoever mends that takes seconds rather than less.
-_CUT_OFF_S: Final = 1.0
-# An answer has to have ended so long before a stopping process ends: ticks and the last write.
+# Another instance can serve the caller now. Prevents callers with short deadlines from missing
+# them.
+_RETRY_AT_ONCE_S: Final = 0.0
+# All instances may have started together; the settings arrive shortly after the start.
+_RETRY_STARTING_S: Final = 0.2
+# The whole data centre has no fresh proof, which takes longer to recover.
+_RETRY_CUT_OFF_S: Final = 1.0
+# Time between the latest end of an answer and the end of the process, for ticks and the last write.
 _STOP_MARGIN_S: Final = 0.3
 
 
 def reason_to_refuse(state: State, now: float, req: Request) -> Reason | None:
-    """Tell why this instance cannot serve a request, or None where it can."""
+    """Return why this instance cannot serve a request, or None if it can."""
     if not state.has_settings:
         return Reason.NO_SETTINGS
     if not document.may_serve_key(state, now, req):
@@ -41,38 +41,37 @@
 
 
 def _stops_too_soon(state: State, now: float, req: Request) -> bool:
-    """Tell whether an answer might not end before this process does.
+    """Return whether an answer might not end before this process does.
 
-    Callers use a connection that was idle when the stop began for as long as nobody tells them to
-    close it. What certainly ends in time is served, and its answer tells them: refused, each of
-    them would come back late or not at all.
+    Connections that were idle when the stop began are used until an answer closes them. Requests
+    that certainly end in time are served; refusing them would delay their callers.
     """
-    stopping, options = state.stopping_since, state.options
-    if stopping is None or now - stopping <= options.stop_grace_s:
+    stopping_since, options = state.stopping_since, state.options
+    if stopping_since is None or now - stopping_since <= options.stop_grace_s:
         return False
     if req.end_by is None or options.stop_limit_s == float("inf"):
-        # It may run for any time, and so would the stop.
+        # The answer may take any time, and the stop with it.
         return True
-    return req.end_by > stopping + options.stop_limit_s - _STOP_MARGIN_S
+    return req.end_by > stopping_since + options.stop_limit_s - _STOP_MARGIN_S
 
 
 def come_back_s(state: State, now: float, reason: Reason) -> float:
-    """Give after what time a caller that was refused should come back, seconds."""
+    """Return the retry delay of a refused caller, in seconds."""
     match reason:
         case Reason.STOPPING:
-            return _AT_ONCE_S
+            return _RETRY_AT_ONCE_S
         case Reason.KEY_UNPROVEN if _is_alone(state, now):
-            return _AT_ONCE_S
+            return _RETRY_AT_ONCE_S
         case Reason.KEY_UNPROVEN:
-            return _CUT_OFF_S
+            return _RETRY_CUT_OFF_S
         case _:
-            return _STARTING_S
+            return _RETRY_STARTING_S
 
 
 def _is_alone(state: State, now: float) -> bool:
-    """Tell whether no other instance of this data centre is in reach.
+    """Return whether no other instance of this data centre is reachable.
 
-    One that is would have told of its own proof. So where there is one the whole data centre is
-    cut off from the store, and where there is none this instance is.
+    A reachable instance with a proof would have announced it. If one is reachable, the whole data
+    centre is cut off from the store; otherwise only this instance is.
     """
     return len(membership.live_instances(state, now, state.me.data_centre)) == 1
--- a/packages/turmericweir-core/turmericweir_core/store/registry.py
+++ b/packages/turmericweir-core/turmericweir_core/store/registry.py
@@ -1,12 +1,13 @@
-"""What servers have registered of themselves at the platform's store.
+"""The entries that backend servers register at the platform's store.
 
-Each server renews its own entry there; it is the only word of its coming and going. The entries
-come as a whole (at the start, and after records were lost), and then as single changes. Each has
-the offset of its record, so a change that comes late undoes nothing that is newer.
+Each server renews its own entry, which is the only source of its coming and going. Entries are read
+as a whole (at the start, and after records were lost), and then as single changes. Each has the
+offset of its record, so a delayed change does not replace a newer one.
 
-While the store is away entries lapse unseen, also those of servers that are well. They are written
-again soon after its return. So what is missing then is used on for a moment, and is gone only if it
-is still missing after that. Whatever is missing at any other time is gone at once.
+While the store is unreachable, entries expire, also those of healthy servers. Servers write them
+again soon after its return. Entries that are missing after an outage are therefore used for a short
+time, and are removed if they are still missing then. At any other time a missing entry is removed
+at once.
 """
 
 from __future__ import annotations
@@ -29,20 +30,20 @@
     from turmericweir_core.state.state import State
 
 _NEVER: Final = float("-inf")
-# The store was away if no read was answered for so long; reads lie closer together.
-_AWAY_S: Final = 3.0
-# Servers write their entries again within two seconds of the store's return.
-_RETURN_S: Final = 2.5
-# Changes in one datagram at the most; whoever lacks the others sees so by the hash.
+# Time without an answered read after which the store counts as unreachable.
+_STORE_AWAY_S: Final = 3.0
+# Time that servers have to write their entries again after the store's return.
+_RENEWAL_WAIT_S: Final = 2.5
+# Largest number of changes in one datagram; receivers detect missing ones by the hash.
 _ROWS_MAX: Final = 24
-# Between two askings for the whole list.
-_ASK_S: Final = 0.3
+# Interval between two requests for the whole list.
+_LIST_REQUEST_INTERVAL_S: Final = 0.3
 
 
 def on_read(state: State, now: float, event: RegistryRead) -> list[Effect]:
-    """Bring the servers in line with what was read."""
+    """Update the servers to the entries that were read."""
     registry = state.registry
-    was_away = now - registry.read_at > _AWAY_S
+    was_away = now - registry.read_at > _STORE_AWAY_S
     store_duty.note_read(state, now)
     registry.read_at = now
     listed = dict(state.servers.listed)
@@ -50,7 +51,7 @@
     rows: list[RegistryRow] = []
     for entry, offset in event.entries:
         if _is_newer(registry, entry.name, offset):
-            # Most records only say that the server lives.
+            # Most records are renewals without changes.
             if listed.get(entry.name) != entry:
                 rows.append(RegistryRow(offset, entry.name, entry))
             effects += _take_entry(listed, entry)
@@ -61,39 +62,41 @@
             effects.append(_log("server_removed", name, offset=offset))
     if event.whole:
         present = {entry.name for entry, _ in event.entries}
-        for name in [each for each in listed if each not in present]:
-            effects += _note_missing(state, now, name, listed, was_away)
+        for name in [listed_name for listed_name in listed if listed_name not in present]:
+            effects += _check_missing(state, now, name, listed, was_away)
     _adopt(state, now, listed)
-    return effects + _tell(state, now, rows)
+    return effects + _send_changes(state, now, rows)
 
 
-def _tell(state: State, now: float, rows: list[RegistryRow]) -> list[Effect]:
-    """Tell those who do not read the store themselves."""
+def _send_changes(state: State, now: float, rows: list[RegistryRow]) -> list[Effect]:
+    """Send changes to the instances that do not read the store."""
     if not store_duty.is_reader(state, now):
         return []
-    exact = server_list.exact_hash(state.servers.listed.values())
-    # Whoever lacks a part of it sees so by the hash, and asks for the whole list.
-    news = RegistryNews(exact, rows[:_ROWS_MAX])
-    peers = store_duty.audience(state, now)
-    return [SendDatagram(each.name, each.peer_address, news) for each in peers]
+    servers_hash = server_list.hash_full_entries(state.servers.listed.values())
+    # Receivers that lack an entry detect it by the hash and request the whole list.
+    update = RegistryNews(servers_hash, rows[:_ROWS_MAX])
+    peers = store_duty.read_receivers(state, now)
+    return [SendDatagram(peer.name, peer.peer_address, update) for peer in peers]
 
 
-def _pass_on(state: State, now: float, sender: InstanceName, news: RegistryNews) -> list[Effect]:
-    """Tell what a reader told to those who hear of it from here; once, never what was passed on."""
-    if news.reader:
+def _relay_update(
+    state: State, now: float, sender: InstanceName, update: RegistryNews
+) -> list[Effect]:
+    """Relay a reader's update to the relay group; updates that were relayed before are not."""
+    if update.reader:
         return []
-    passed = replace(news, reader=sender)
-    peers = [each for each in store_duty.told_by_me(state, now) if each.name != sender]
-    return [SendDatagram(each.name, each.peer_address, passed) for each in peers]
+    relayed = replace(update, reader=sender)
+    peers = [peer for peer in store_duty.relay_receivers(state, now) if peer.name != sender]
+    return [SendDatagram(peer.name, peer.peer_address, relayed) for peer in peers]
 
 
-def on_news(state: State, now: float, sender: InstanceName, news: RegistryNews) -> list[Effect]:
-    """Take what a reader tells, or ask it for the whole list where that does not fit."""
+def on_news(state: State, now: float, sender: InstanceName, update: RegistryNews) -> list[Effect]:
+    """Apply a reader's update, or request the whole list if the hash does not match."""
     state.registry.told_by, state.registry.told_at = sender, now
-    store_duty.note_told(state, now, InstanceName(news.reader or sender))
-    effects = _pass_on(state, now, sender, news)
+    store_duty.note_told(state, now, InstanceName(update.reader or sender))
+    effects = _relay_update(state, now, sender, update)
     listed = dict(state.servers.listed)
-    for row in news.rows:
+    for row in update.rows:
         name = ServerName(row.name)
         if not _is_newer(state.registry, name, row.offset):
             continue
@@ -102,14 +105,14 @@
         elif listed.pop(name, None) is not None:
             effects.append(_log("server_removed", name, offset=row.offset, by=sender))
     _adopt(state, now, listed)
-    if server_list.exact_hash(listed.values()) == news.servers_hash:
+    if server_list.hash_full_entries(listed.values()) == update.servers_hash:
         state.registry.read_at = now
         state.registry.missing.clear()
         return effects
     peer = membership.member(state, sender)
     if peer is None or now < state.members.servers_ask_due:
         return effects
-    state.members.servers_ask_due = now + _ASK_S
+    state.members.servers_ask_due = now + _LIST_REQUEST_INTERVAL_S
     return [*effects, SendPeer(sender, peer.peer_address, ServersAsk())]
 
 
@@ -120,7 +123,7 @@
     return True
 
 
-def _note_missing(
+def _check_missing(
     state: State,
     now: float,
     name: ServerName,
@@ -129,7 +132,7 @@
 ) -> list[Effect]:
     missing = state.registry.missing
     if was_away and name not in missing:
-        missing[name] = now + _RETURN_S
+        missing[name] = now + _RENEWAL_WAIT_S
     if now < missing.get(name, _NEVER):
         return []
     missing.pop(name, None)
@@ -138,14 +141,14 @@
 
 
 def _take_entry(listed: dict[ServerName, ServerEntry], entry: ServerEntry) -> list[Effect]:
-    known = listed.get(entry.name)
+    previous = listed.get(entry.name)
     listed[entry.name] = entry
-    if known is not None and _told(known) == _told(entry):
+    if previous is not None and _logged_fields(previous) == _logged_fields(entry):
         return []
-    return [_log("server_listed", entry.name, **_told(entry))]
+    return [_log("server_listed", entry.name, **_logged_fields(entry))]
 
 
-def _told(entry: ServerEntry) -> dict[str, object]:
+def _logged_fields(entry: ServerEntry) -> dict[str, object]:
     return {
         "leaving": entry.leaving,
         "address": entry.address,
@@ -154,15 +157,15 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Let go of what is still missing some time after the store's return."""
+    """Remove entries that are still missing some time after the store's return."""
     missing = state.registry.missing
-    due = [name for name, until in missing.items() if now >= until]
-    if not due or now - state.registry.read_at > _AWAY_S:
-        # While the store is away again nothing can be said of what is missing.
+    expired = [name for name, missing_until in missing.items() if now >= missing_until]
+    if not expired or now - state.registry.read_at > _STORE_AWAY_S:
+        # Missing entries are kept while the store is unreachable again.
         return []
     listed = dict(state.servers.listed)
     effects: list[Effect] = []
-    for name in due:
+    for name in expired:
         del missing[name]
         if listed.pop(name, None) is not None:
             effects.append(_log("server_removed", name, offset=-1))
@@ -171,7 +174,7 @@
 
 
 def on_unreadable(event: EntryUnreadable) -> list[Effect]:
-    """Name no server by an entry that cannot be used; the others hold."""
+    """Ignore an entry that cannot be decoded; the other entries stay in force."""
     fields = {"step": "decode entry", "peer": event.key, "error": event.error}
     return [Count("registry.unreadable"), Log("entry_unreadable", fields)]
 
--- a/tests/core/member_network.py
+++ b/tests/core/member_network.py
@@ -1,8 +1,8 @@
-"""A tiny in-memory network of instances, stepped by the reducer alone, for tests of membership.
+"""A small in-memory network of instances for tests of membership, driven by the reducer alone.
 
-Time is simulated: a heap of deliveries and ticks. Everything that an instance sends to a peer is
-delivered after a short latency, unless the sender or receiver is down, the way is cut, or chance
-loses a datagram. A paused instance finds what came meanwhile when it goes on, as in its sockets.
+Time is simulated with a heap of deliveries and ticks. Messages to a peer are delivered after a
+short latency, unless the sender or receiver is down, the link is cut, or a datagram is lost at
+random. A paused instance processes what it received meanwhile when it resumes.
 """
 
 from __future__ import annotations
@@ -32,7 +32,7 @@
 from turmericweir_core.state.state import Identity, State
 
 LATENCY_S = 0.002
-# What a socket holds; older datagrams of a paused instance are kept, newer ones lost.
+# Capacity of a socket; later datagrams to a paused instance are lost.
 SOCKET_HOLDS = 500
 
 
@@ -42,17 +42,17 @@
 
     state: State
     address: str
-    # Killed: it neither ticks nor receives.
+    # Killed: neither ticks nor receives.
     down: bool = False
     paused: bool = False
-    # What came in while it was paused.
-    held: list[Event] = field(default_factory=list)
-    # Everything that it was told to do, for tests that look for it.
+    # Events received during a pause.
+    pending_events: list[Event] = field(default_factory=list)
+    # All effects of the instance, for assertions.
     effects: list[Effect] = field(default_factory=list)
 
 
 class Network:
-    """Instances and the ways between them."""
+    """Instances and the links between them."""
 
     def __init__(
         self,
@@ -67,13 +67,13 @@
         self.nodes: dict[str, Node] = {}
         self.options = options or Options()
         self.rng = Random(seed)
-        # Shares of the datagrams that are lost, and that come twice.
+        # Shares of datagrams that are lost or duplicated.
         self.loss = loss
         self.twice = twice
-        # Up to so much later a datagram may come, and so out of order.
+        # Largest extra delay of a datagram, which may reorder datagrams.
         self.jitter_s = jitter_s
-        # Given the names of sender and receiver, tells whether messages pass.
-        # Messages of these types never arrive.
+        # Messages of these types are never delivered. `passes` returns whether messages pass from a
+        # sender to a receiver.
         self.lost: tuple[type[PeerMessage], ...] = ()
         self.passes: Callable[[str, str], bool] = lambda sender, receiver: True
         self._heap: list[tuple[float, int, str, Event | None]] = []
@@ -93,11 +93,11 @@
         cluster: str = "turmericweir",
         other_regions: tuple[str, ...] = (),
     ) -> Node:
-        """Start an instance, or start it anew under another incarnation."""
+        """Start an instance, or restart it with another incarnation."""
         address = f"10.0.0.1:{20000 + len(self._by_address)}"
-        known = self.nodes.get(name)
-        if known is not None:
-            address = known.address
+        previous = self.nodes.get(name)
+        if previous is not None:
+            address = previous.address
         identity = Identity(
             InstanceName(name), data_centre, region, address, incarnation, cluster, other_regions
         )
@@ -105,13 +105,13 @@
         self.nodes[name] = node
         self._by_address[address] = name
         self.seed(name, seeds)
-        if known is None:
+        if previous is None:
             self._push(self.now + self.rng.random() * self.options.tick_s, name, None)
         return node
 
     def seed(self, name: str, seeds: Iterable[str]) -> None:
-        """Give an instance the addresses of seeds."""
-        self.give(name, SeedsGiven(tuple(self.nodes[it].address for it in seeds)))
+        """Return an instance the addresses of seeds."""
+        self.give(name, SeedsGiven(tuple(self.nodes[seed].address for seed in seeds)))
 
     def kill(self, name: str) -> None:
         self.nodes[name].down = True
@@ -122,8 +122,8 @@
     def resume(self, name: str) -> None:
         node = self.nodes[name]
         node.paused = False
-        held, node.held = node.held, []
-        for event in held[:SOCKET_HOLDS]:
+        pending, node.pending_events = node.pending_events, []
+        for event in pending[:SOCKET_HOLDS]:
             self.give(name, event)
 
     def stop(self, name: str) -> None:
@@ -147,51 +147,51 @@
     # --- time ---
 
     def give(self, name: str, event: Event) -> None:
-        """Let an event happen to an instance now."""
+        """Apply an event to an instance now."""
         node = self.nodes[name]
         if node.down:
             return
         if node.paused:
-            node.held.append(event)
+            node.pending_events.append(event)
             return
         self._perform(name, self.reduce(node.state, self.now, event))
 
     def make_state(self, identity: Identity) -> State:
-        """Make the state of an instance that starts."""
+        """Return the state of a new instance."""
         return new_state(identity, self.options, self.rng.randrange(1 << 30))
 
     def reduce(self, state: State, now: float, event: Event) -> list[Effect]:
-        """Reduce an event as the instances of this network do."""
+        """Reduce an event with the reducer of this network."""
         return reduce(state, now, event)
 
     def run(self, seconds: float) -> None:
-        """Let time pass."""
-        end = self.now + seconds
-        while self._heap and self._heap[0][0] <= end:
+        """Advance the time."""
+        end_at = self.now + seconds
+        while self._heap and self._heap[0][0] <= end_at:
             self.now, _, name, event = heapq.heappop(self._heap)
             if event is not None:
                 self.give(name, event)
             else:
                 self._tick(name)
-        self.now = end
+        self.now = end_at
 
-    def run_until(self, done: Callable[[], bool], within: float) -> float:
-        """Let time pass until something is so; return how long it took."""
-        begun = self.now
-        while not done():
-            assert self.now - begun < within, f"not so within {within} s"
+    def run_until(self, is_done: Callable[[], bool], within: float) -> float:
+        """Advance the time until a condition holds; return how long it took."""
+        started_at = self.now
+        while not is_done():
+            assert self.now - started_at < within, f"condition not met within {within} s"
             self.run(0.05)
-        return self.now - begun
+        return self.now - started_at
 
     def _tick(self, name: str) -> None:
         node = self.nodes[name]
         if not node.paused:
             self.give(name, Tick())
-        late = 1 + 0.05 * self.rng.random()
-        self._push(self.now + self.options.tick_s * late, name, None)
+        jitter = 1 + 0.05 * self.rng.random()
+        self._push(self.now + self.options.tick_s * jitter, name, None)
 
-    def _push(self, at: float, name: str, event: Event | None) -> None:
-        heapq.heappush(self._heap, (at, next(self._order), name, event))
+    def _push(self, due_at: float, name: str, event: Event | None) -> None:
+        heapq.heappush(self._heap, (due_at, next(self._order), name, event))
 
     def _perform(self, name: str, effects: list[Effect]) -> None:
         node = self.nodes[name]
@@ -207,25 +207,25 @@
             return
         copies = 2 if self.rng.random() < self.twice else 1
         for _ in range(copies):
-            self._send(name, effect, late_s=self.jitter_s * self.rng.random())
+            self._send(name, effect, delay_s=self.jitter_s * self.rng.random())
 
-    def _send(self, name: str, effect: SendDatagram | SendPeer, late_s: float = 0.0) -> None:
+    def _send(self, name: str, effect: SendDatagram | SendPeer, delay_s: float = 0.0) -> None:
         receiver = self._by_address.get(effect.address)
         if isinstance(effect.message, self.lost):
             return
         if receiver is not None and self.passes(name, receiver):
             event = PeerReceived(InstanceName(name), effect.message)
             latency = LATENCY_S * (0.5 + self.rng.random())
-            self._push(self.now + latency + late_s, receiver, event)
+            self._push(self.now + latency + delay_s, receiver, event)
 
-    # --- what instances believe ---
+    # --- views of instances ---
 
     def live(self, name: str, data_centre: str | None = None) -> list[str]:
-        """Name the instances that one takes for live, in a short form to compare."""
+        """Return the names of the instances that one instance considers live."""
         state = self.nodes[name].state
-        return [each.name for each in live_instances(state, self.now, data_centre)]
+        return [member.name for member in live_instances(state, self.now, data_centre)]
 
     def agree(self, names: Iterable[str], expected: Iterable[str]) -> bool:
-        """Tell whether all of these take exactly those for live."""
-        wanted = sorted(expected)
-        return all(self.live(name) == wanted for name in names)
+        """Return whether all named instances consider exactly the expected ones live."""
+        expected_names = sorted(expected)
+        return all(self.live(name) == expected_names for name in names)
--- a/tests/core/membership/test_membership.py
+++ b/tests/core/membership/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: who is taken for live, when the network, the processes and the list misbehave."""
+"""Which members are considered live when the network, the processes and the list misbehave."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 from turmericweir_core.membership.membership import (
     data_centres,
     member,
-    paused_since_last_tick,
+    pause_since_last_tick_s,
     region_tag,
 )
 from turmericweir_core.messages.effects import SendDatagram
@@ -27,27 +27,28 @@
 from turmericweir_core.messages.peer_messages import Heartbeat, Mark, MarksAsk, SettingsSend, Word
 from turmericweir_core.state.server_table import is_open, note_leaving
 
-# Left out at the latest after so long, also at 64 instances: the time without progress, plus the
-# time that the last news may still be under way.
-DETECTED_S = 4.5
-# By one seed, 64 at once, with a tenth of the datagrams lost.
-MET_S = 15.0
+# Longest time until a dead member is removed, with 64 instances as well: the time without progress
+# and the delay of gossip.
+DETECTION_MAX_S = 4.5
+# Longest time until 64 instances with one seed know each other while a tenth of the datagrams is
+# lost.
+DISCOVERY_MAX_S = 15.0
 
 
 def start(network: Network, count: int, data_centre: str = "north") -> list[str]:
-    """Start instances that know the first one by its address only."""
+    """Start instances that know only the address of the first one."""
     names = [f"{data_centre}-{number:02}" for number in range(count)]
     for name in names:
         network.add(name, data_centre, seeds=names[:1] if name != names[0] else ())
     return names
 
 
-def met(count: int, *, loss: float = 0.0) -> tuple[Network, list[str]]:
-    """Start instances and wait until they have all met."""
+def connected_network(count: int, *, loss: float = 0.0) -> tuple[Network, list[str]]:
+    """Start instances and wait until all know each other."""
     network = Network(loss=loss)
     names = start(network, count)
-    network.run_until(lambda: network.agree(names, names), MET_S)
-    # The news of the last ones settles.
+    network.run_until(lambda: network.agree(names, names), DISCOVERY_MAX_S)
+    # Lets the records of the last members spread.
     network.run(3.0)
     return network, names
 
@@ -56,15 +57,15 @@
 
 
 @pytest.mark.parametrize("count", [2, 8, 64])
-def test_instances_meet_by_one_seed(count: int) -> None:
-    network, names = met(count)
+def test_instances_discover_each_other_from_one_seed(count: int) -> None:
+    network, names = connected_network(count)
 
     assert network.agree(names, names)
 
 
 @pytest.mark.parametrize("count", [2, 8, 64])
-def test_nobody_is_left_out_while_a_tenth_of_the_datagrams_is_lost(count: int) -> None:
-    network, names = met(count, loss=0.1)
+def test_all_stay_live_while_a_tenth_of_the_datagrams_is_lost(count: int) -> None:
+    network, names = connected_network(count, loss=0.1)
     for _ in range(50):
         network.run(0.2)
 
@@ -72,21 +73,21 @@
 
 
 @pytest.mark.parametrize("count", [2, 8, 64])
-def test_killed_instance_is_left_out(count: int) -> None:
-    network, names = met(count)
+def test_killed_instance_is_no_longer_live(count: int) -> None:
+    network, names = connected_network(count)
     gone, rest = names[-1], names[:-1]
     network.kill(gone)
 
-    took = network.run_until(lambda: network.agree(rest, rest), DETECTED_S)
+    took = network.run_until(lambda: network.agree(rest, rest), DETECTION_MAX_S)
 
     assert took >= network.options.suspect_s - 1.5
 
 
-def test_frozen_instance_is_left_out_and_comes_back() -> None:
-    network, names = met(8)
+def test_paused_instance_is_not_live_until_it_resumes() -> None:
+    network, names = connected_network(8)
     rest = names[:-1]
     network.pause(names[-1])
-    network.run_until(lambda: network.agree(rest, rest), DETECTED_S)
+    network.run_until(lambda: network.agree(rest, rest), DETECTION_MAX_S)
     network.run(20.0)
 
     network.resume(names[-1])
@@ -94,18 +95,17 @@
     network.run_until(lambda: network.agree(names, names), 4.0)
 
 
-def test_resumed_instance_doubts_what_its_sockets_held() -> None:
-    # A caller's request would go by way of an instance that is long dead. While one instance is
-    # paused, another goes on for a little and is killed. The first goes on and reads the other's
-    # last datagrams; these are real progress since the pause began, and prove nothing now.
-    network, names = met(8)
+def test_resumed_instance_ignores_progress_from_its_sockets() -> None:
+    # Prevents requests from being sent to a dead instance: datagrams that were received during a
+    # pause are no proof that their sender is still alive.
+    network, names = connected_network(8)
     paused, killed, rest = names[0], names[1], names[2:]
     network.pause(paused)
     network.run(2.0)
     network.kill(killed)
     network.run(5.0)
 
-    assert paused_since_last_tick(network.nodes[paused].state, network.now) > 5.0
+    assert pause_since_last_tick_s(network.nodes[paused].state, network.now) > 5.0
     network.resume(paused)
 
     for _ in range(60):
@@ -114,29 +114,29 @@
     assert network.agree([paused, *rest], [paused, *rest])
 
 
-def test_instance_that_nobody_hears_is_left_out_by_all() -> None:
-    network, names = met(8)
+def test_instance_whose_datagrams_are_lost_is_not_live() -> None:
+    network, names = connected_network(8)
     mute, rest = names[3], names[:3] + names[4:]
     network.passes = lambda sender, receiver: sender != mute
 
-    network.run_until(lambda: network.agree(rest, rest), DETECTED_S)
+    network.run_until(lambda: network.agree(rest, rest), DETECTION_MAX_S)
 
-    # It hears the others progress, and has no way of knowing that they do not hear it.
+    # It receives the others' heartbeats and cannot detect that its own are lost.
     assert network.live(mute) == names
 
 
-def test_instance_that_hears_nobody_takes_nobody_for_live() -> None:
-    network, names = met(8)
+def test_instance_that_receives_nothing_considers_no_member_live() -> None:
+    network, names = connected_network(8)
     deaf = names[3]
     network.passes = lambda sender, receiver: receiver != deaf
 
-    network.run_until(lambda: network.live(deaf) == [deaf], DETECTED_S)
+    network.run_until(lambda: network.live(deaf) == [deaf], DETECTION_MAX_S)
 
     assert network.agree([name for name in names if name != deaf], names)
 
 
-def test_cut_between_two_instances_leaves_nobody_out() -> None:
-    network, names = met(8)
+def test_cut_between_two_instances_keeps_all_live() -> None:
+    network, names = connected_network(8)
     pair = {names[2], names[3]}
     network.passes = lambda sender, receiver: {sender, receiver} != pair
     for _ in range(100):
@@ -145,14 +145,14 @@
         assert network.agree(names, names)
 
 
-def test_halves_of_a_data_centre_part_and_meet_again() -> None:
-    network, names = met(16)
+def test_halves_of_a_data_centre_rejoin_after_a_partition() -> None:
+    network, names = connected_network(16)
     left, right = names[:8], names[8:]
     network.passes = lambda sender, receiver: (sender in left) == (receiver in left)
-    # Longer than for one: half of what is sent is lost until the ring has closed again.
-    network.run_until(lambda: network.agree(left, left), 2 * DETECTED_S)
-    network.run_until(lambda: network.agree(right, right), 2 * DETECTED_S)
-    # Long enough for either side to have taken the other out of its roster.
+    # Longer than for one member: half of the datagrams are lost until the ring has closed again.
+    network.run_until(lambda: network.agree(left, left), 2 * DETECTION_MAX_S)
+    network.run_until(lambda: network.agree(right, right), 2 * DETECTION_MAX_S)
+    # Long enough for each side to remove the other one from its roster.
     network.run(30.0)
 
     network.passes = lambda sender, receiver: True
@@ -160,26 +160,28 @@
     network.run_until(lambda: network.agree(names, names), 6.0)
 
 
-def test_instance_that_was_forgotten_does_not_come_back_by_hearsay() -> None:
-    network, names = met(8)
+def test_dropped_instance_is_not_restored_by_gossip() -> None:
+    network, names = connected_network(8)
     gone, rest = names[-1], names[:-1]
     network.kill(gone)
-    network.run_until(lambda: network.agree(rest, rest), DETECTED_S)
+    network.run_until(lambda: network.agree(rest, rest), DETECTION_MAX_S)
     for _ in range(100):
         for name in rest:
-            network.read_list(name, [network.list_entry(it) for it in rest])
+            network.read_list(name, [network.list_entry(peer_name) for peer_name in rest])
         network.run(1.0)
 
         assert network.agree(rest, rest)
-    assert all(member(network.nodes[it].state, InstanceName(gone)) is None for it in rest)
+    assert all(
+        member(network.nodes[peer_name].state, InstanceName(gone)) is None for peer_name in rest
+    )
 
 
-def test_newcomer_does_not_take_the_dead_for_live() -> None:
-    # Its peers still hold the last counter of one that has just died. That they tell it proves
-    # nothing: only a counter that moves does.
-    network, names = met(8)
+def test_new_instance_does_not_consider_a_dead_one_live() -> None:
+    # Prevents a new instance from considering a dead one live because peers still send its last
+    # counter.
+    network, names = connected_network(8)
     network.kill(names[-1])
-    network.run_until(lambda: network.agree(names[:-1], names[:-1]), DETECTED_S)
+    network.run_until(lambda: network.agree(names[:-1], names[:-1]), DETECTION_MAX_S)
     network.add("late", seeds=names[:1])
 
     for _ in range(60):
@@ -188,68 +190,72 @@
     assert set(network.live("late")) == {*names[:-1], "late"}
 
 
-def test_former_incarnation_that_comes_up_again_still_leaves() -> None:
-    # Both incarnations are silent, so a late datagram of the former one is believed again.
-    network, names = met(2)
+def test_restored_former_incarnation_is_still_leaving() -> None:
+    # Both incarnations are unresponsive, so a delayed datagram of the former one is accepted.
+    network, names = connected_network(2)
     network.stop(names[0])
     network.run(1.0)
-    old = [it for it in beats(network, names[0]) if it.address][-1]
+    former_beat = [beat for beat in sent_heartbeats(network, names[0]) if beat.address][-1]
     network.add(names[0], incarnation="b", seeds=names[1:2])
     network.run(3.0)
-    assert not leaving_by(network, names[1], names[0])
+    assert not is_seen_leaving(network, names[1], names[0])
     network.kill(names[0])
     network.run(5.0)
 
-    late = replace(old, seq=10_000, leaving=False, entries=[])
-    network.give(names[1], PeerReceived(InstanceName(names[0]), late))
+    delayed_beat = replace(former_beat, seq=10_000, leaving=False, entries=[])
+    network.give(names[1], PeerReceived(InstanceName(names[0]), delayed_beat))
 
-    found = member(network.nodes[names[1]].state, InstanceName(names[0]))
-    assert found is not None
-    assert found.incarnation == "a"
-    assert found.leaving
+    restored = member(network.nodes[names[1]].state, InstanceName(names[0]))
+    assert restored is not None
+    assert restored.incarnation == "a"
+    assert restored.leaving
 
 
-def beats(network: Network, name: str) -> list[Heartbeat]:
-    """List the heartbeats that an instance has sent."""
-    sent = [it.message for it in network.nodes[name].effects if isinstance(it, SendDatagram)]
+def sent_heartbeats(network: Network, name: str) -> list[Heartbeat]:
+    """Return the heartbeats that an instance has sent."""
+    sent = [
+        effect.message for effect in network.nodes[name].effects if isinstance(effect, SendDatagram)
+    ]
     return [message for message in sent if isinstance(message, Heartbeat)]
 
 
-def test_restarted_instance_replaces_its_former_self() -> None:
-    network, names = met(8)
+def test_restarted_instance_replaces_its_former_incarnation() -> None:
+    network, names = connected_network(8)
     network.kill(names[0])
     network.run(0.3)
     network.add(names[0], incarnation="b", seeds=names[1:2])
 
-    def known() -> bool:
-        found = [member(network.nodes[it].state, InstanceName(names[0])) for it in names]
-        return all(each is not None and each.incarnation == "b" for each in found)
+    def is_replaced() -> bool:
+        records = [
+            member(network.nodes[peer_name].state, InstanceName(names[0])) for peer_name in names
+        ]
+        return all(record is not None and record.incarnation == "b" for record in records)
 
-    network.run_until(known, 3.0)
+    network.run_until(is_replaced, 3.0)
     network.run(4.0)
 
-    assert known()
+    assert is_replaced()
     assert network.agree(names, names)
 
 
-def test_late_datagram_of_a_former_incarnation_is_noise() -> None:
-    network, names = met(2)
-    old = beats(network, names[0])
-    spelled = replace(next(beat for beat in old if beat.address), seq=10_000)
+def test_delayed_datagram_of_a_former_incarnation_is_dropped() -> None:
+    network, names = connected_network(2)
+    former_beats = sent_heartbeats(network, names[0])
+    delayed_beat = replace(next(beat for beat in former_beats if beat.address), seq=10_000)
     network.add(names[0], incarnation="b", seeds=names[1:2])
     network.run(3.0)
     state = network.nodes[names[1]].state
 
-    network.give(names[1], PeerReceived(InstanceName(names[0]), spelled))
+    network.give(names[1], PeerReceived(InstanceName(names[0]), delayed_beat))
 
-    found = member(state, InstanceName(names[0]))
-    assert found is not None
-    assert found.incarnation == "b"
+    record = member(state, InstanceName(names[0]))
+    assert record is not None
+    assert record.incarnation == "b"
     assert state.members.noise["retired"] == 1
 
 
 def test_datagrams_stay_small() -> None:
-    network, names = met(64)
+    network, names = connected_network(64)
     for name in names:
         for effect in network.nodes[name].effects:
             if isinstance(effect, SendDatagram) and isinstance(effect.message, Heartbeat):
@@ -258,9 +264,9 @@
     for node in network.nodes.values():
         node.effects.clear()
     network.run(10.0)
-    sent = beats(network, names[0])
+    sent = sent_heartbeats(network, names[0])
 
-    # While nothing changes no counter is sent with its key.
+    # Counters have no keys while the roster does not change.
     assert len(sent) > 40
     assert not any(beat.entries for beat in sent)
 
@@ -268,8 +274,8 @@
 # --- the platform's list ---------------------------------------------------------------------
 
 
-def test_listed_instance_is_not_live_until_it_is_heard() -> None:
-    network, names = met(2)
+def test_listed_instance_is_not_live_until_it_progresses() -> None:
+    network, names = connected_network(2)
     ghost = ListedInstance(InstanceName("ghost"), "north", "10.0.0.1:9", "x", False)
 
     network.read_list(names[0], [ghost])
@@ -278,17 +284,17 @@
     assert network.agree(names, names)
 
 
-def test_instances_meet_by_the_list_alone() -> None:
+def test_instances_discover_each_other_from_the_list_alone() -> None:
     network = Network()
     names = [network.add(f"north-{number}").state.me.name for number in range(4)]
     for name in names:
-        network.read_list(name, [network.list_entry(it) for it in names])
+        network.read_list(name, [network.list_entry(peer_name) for peer_name in names])
 
-    network.run_until(lambda: network.agree(names, names), MET_S)
+    network.run_until(lambda: network.agree(names, names), DISCOVERY_MAX_S)
 
 
 def test_instance_missing_from_the_list_stays_live() -> None:
-    network, names = met(4)
+    network, names = connected_network(4)
     for name in names:
         network.read_list(name, [])
     network.run(90.0)
@@ -299,27 +305,29 @@
 # --- leaving instances -----------------------------------------------------------------------
 
 
-def leaving_by(network: Network, name: str, gone: str) -> bool:
-    found = member(network.nodes[name].state, InstanceName(gone))
-    return found is not None and found.leaving
+def is_seen_leaving(network: Network, name: str, leaving_name: str) -> bool:
+    record = member(network.nodes[name].state, InstanceName(leaving_name))
+    return record is not None and record.leaving
 
 
-def test_stopping_instance_is_known_to_leave_though_the_list_lags() -> None:
-    network, names = met(64)
+def test_stopping_instance_is_seen_leaving_while_the_list_is_stale() -> None:
+    network, names = connected_network(64)
     gone, rest = names[5], names[:5] + names[6:]
     network.stop(gone)
 
-    took = network.run_until(lambda: all(leaving_by(network, it, gone) for it in rest), 3.0)
+    took = network.run_until(
+        lambda: all(is_seen_leaving(network, peer_name, gone) for peer_name in rest), 3.0
+    )
     for name in rest:
-        network.read_list(name, [network.list_entry(it) for it in names])
+        network.read_list(name, [network.list_entry(peer_name) for peer_name in names])
     network.run(5.0)
 
     assert took < 3.0
-    assert all(leaving_by(network, it, gone) for it in rest)
+    assert all(is_seen_leaving(network, peer_name, gone) for peer_name in rest)
 
 
-def test_restarted_instance_no_longer_leaves() -> None:
-    network, names = met(4)
+def test_restarted_instance_is_no_longer_leaving() -> None:
+    network, names = connected_network(4)
     network.stop(names[0])
     network.run(1.0)
     network.kill(names[0])
@@ -328,40 +336,40 @@
     network.run_until(lambda: network.agree(names, names), 5.0)
     network.run(3.0)
 
-    assert not any(leaving_by(network, it, names[0]) for it in names)
+    assert not any(is_seen_leaving(network, peer_name, names[0]) for peer_name in names)
 
 
 # --- data centres ----------------------------------------------------------------------------
 
 
-def five_centres(count: int = 6) -> tuple[Network, list[str]]:
-    """Start data centres that know each other by the list."""
+def network_of_five_centres(count: int = 6) -> tuple[Network, list[str]]:
+    """Start data centres that know each other from the list."""
     network = Network()
     names: list[str] = []
     for data_centre in ("north", "south", "mid", "coast", "hill"):
         names += start(network, count, data_centre)
     for name in names:
-        network.read_list(name, [network.list_entry(it) for it in names])
+        network.read_list(name, [network.list_entry(peer_name) for peer_name in names])
     network.run_until(lambda: network.agree(names, names), 20.0)
     return network, names
 
 
-def reachable(network: Network, name: str) -> list[str]:
+def reachable_centres(network: Network, name: str) -> list[str]:
     views = data_centres(network.nodes[name].state, network.now)
     return [view.name for view in views if view.reachable]
 
 
 def test_all_data_centres_know_each_other() -> None:
-    network, names = five_centres()
+    network, names = network_of_five_centres()
 
     assert network.agree(names, names)
-    assert reachable(network, names[0]) == ["coast", "hill", "mid", "north", "south"]
+    assert reachable_centres(network, names[0]) == ["coast", "hill", "mid", "north", "south"]
 
 
-def test_instances_meet_whose_only_seeds_are_in_another_data_centre() -> None:
-    # Four instances start in each of three data centres, and each knows the address of one in the
-    # first. Callers of the second rely on what all instances there know together: the retry budget,
-    # engines' loads, servers that leave. All have to meet, though nobody there was a seed.
+def test_instances_with_seeds_only_in_another_data_centre_discover_each_other() -> None:
+    # Each instance of three data centres knows one address in the first one. Prevents partial views
+    # in a data centre without a seed, which would split its retry budget, load updates and leaving
+    # notices.
     network = Network()
     north = start(network, 4)
     names = [*north]
@@ -374,31 +382,31 @@
     network.run_until(lambda: network.agree(names, names), 20.0)
 
 
-def test_kill_shows_in_the_other_data_centres() -> None:
-    network, names = five_centres()
+def test_killed_instance_is_removed_in_other_data_centres() -> None:
+    network, names = network_of_five_centres()
     gone, rest = names[3], names[:3] + names[4:]
     network.kill(gone)
 
     network.run_until(lambda: network.agree(rest, rest), 15.0)
 
 
-def test_data_centre_that_is_cut_off_is_out_of_reach_until_it_heals() -> None:
-    network, names = five_centres()
+def test_data_centre_is_unreachable_until_the_partition_heals() -> None:
+    network, names = network_of_five_centres()
     north = [name for name in names if name.startswith("north")]
     others = [name for name in names if name not in north]
     network.passes = lambda sender, receiver: (sender in north) == (receiver in north)
 
     network.run_until(lambda: network.agree(north, north), 20.0)
     network.run_until(lambda: network.agree(others, others), 20.0)
-    assert reachable(network, north[0]) == ["north"]
+    assert reachable_centres(network, north[0]) == ["north"]
     network.run(100.0)
     network.passes = lambda sender, receiver: True
 
     network.run_until(lambda: network.agree(names, names), 20.0)
 
 
-def test_word_goes_round_a_cut_between_two_data_centres() -> None:
-    network, names = five_centres()
+def test_status_passes_through_a_third_data_centre() -> None:
+    network, names = network_of_five_centres()
 
     def passes(sender: str, receiver: str) -> bool:
         ends = {sender.partition("-")[0], receiver.partition("-")[0]}
@@ -407,13 +415,13 @@
     network.passes = passes
     network.run(30.0)
 
-    assert "south" in reachable(network, names[0])
+    assert "south" in reachable_centres(network, names[0])
     assert network.agree(names, names)
 
 
-def test_data_centre_tells_its_lowest_offset() -> None:
-    network, names = five_centres(3)
-    # The one that lags cannot catch up by its peers.
+def test_data_centre_announces_its_lowest_offset() -> None:
+    network, names = network_of_five_centres(3)
+    # Prevents the instance with the lower version from catching up through its peers.
     network.lost = (SettingsSend,)
     for name in names:
         node = network.nodes[name]
@@ -421,16 +429,20 @@
         node.state.settings.ready = True
 
     def offsets(name: str) -> list[int]:
-        return [it.settings_offset for it in data_centres(network.nodes[name].state, network.now)]
+        return [
+            view.settings_offset for view in data_centres(network.nodes[name].state, network.now)
+        ]
 
-    # By name: coast, hill, mid, north, south.
-    network.run_until(lambda: all(offsets(it) == [9, 9, 9, 9, 7] for it in names), 15.0)
+    # In the order of names: coast, hill, mid, north, south.
+    network.run_until(
+        lambda: all(offsets(peer_name) == [9, 9, 9, 9, 7] for peer_name in names), 15.0
+    )
 
 
 # --- noise -----------------------------------------------------------------------------------
 
 
-def test_other_clusters_and_unknown_regions_are_not_listened_to() -> None:
+def test_other_clusters_and_unknown_regions_are_ignored() -> None:
     network = Network()
     network.add("a", region="east", other_regions=("west",))
     network.add("b", "far", region="west", seeds=["a"], other_regions=("east",))
@@ -443,28 +455,30 @@
     assert network.nodes["a"].state.members.noise["tag"] > 0
 
 
-def test_message_of_a_stranger_is_dropped_and_counted() -> None:
-    network, names = met(2)
+def test_message_of_an_unknown_sender_is_dropped_and_counted() -> None:
+    network, names = connected_network(2)
     state = network.nodes[names[0]].state
 
     network.give(names[0], PeerReceived(InstanceName("stranger"), MarksAsk()))
-    network.give(names[0], PeerReceived(InstanceName(names[0]), beats(network, names[0])[0]))
+    network.give(
+        names[0], PeerReceived(InstanceName(names[0]), sent_heartbeats(network, names[0])[0])
+    )
 
     assert state.members.noise == {"stranger": 1, "own_name": 1}
 
 
-def test_older_word_changes_nothing() -> None:
-    network, names = five_centres(2)
+def test_older_status_is_ignored() -> None:
+    network, names = network_of_five_centres(2)
     state = network.nodes[names[0]].state
     centre = state.members.centres["south"]
     assert centre.word is not None
-    newest = centre.word
-    old = Word("south", newest.relay, newest.seq - 1, 1, 99, 99)
+    newest_status = centre.word
+    old_status = Word("south", newest_status.relay, newest_status.seq - 1, 1, 99, 99)
 
-    beat = replace(beats(network, names[1])[0], words=[old], seq=100_000)
+    beat = replace(sent_heartbeats(network, names[1])[0], words=[old_status], seq=100_000)
     network.give(names[0], PeerReceived(InstanceName(names[1]), beat))
 
-    assert centre.word == newest
+    assert centre.word == newest_status
 
 
 # --- backend servers -------------------------------------------------------------------------
@@ -474,8 +488,8 @@
 CONFIG = Config(services={"lm": LM})
 
 
-def with_engine(network: Network) -> None:
-    """Let every instance know one engine by the list."""
+def add_engine(network: Network) -> None:
+    """Announce one engine to every instance with the list."""
     for name, node in network.nodes.items():
         node.state.config = CONFIG
         node.state.settings.config = CONFIG
@@ -486,104 +500,103 @@
     return ServerReport(ENGINE.name, incarnation, seq, 0, 0, 8, leaving=leaving)
 
 
-def engine_open(network: Network, name: str) -> bool:
+def is_engine_open(network: Network, name: str) -> bool:
     state = network.nodes[name].state
     server = state.servers.by_name.get(ENGINE.name)
     return server is not None and is_open(server, network.now)
 
 
-def none_open(network: Network, names: list[str]) -> bool:
-    return not any(engine_open(network, name) for name in names)
+def is_closed_everywhere(network: Network, names: list[str]) -> bool:
+    return not any(is_engine_open(network, name) for name in names)
 
 
-def refused(network: Network, name: str) -> None:
-    """Let the engine refuse a request of an instance as leaving."""
+def refuse_as_leaving(network: Network, name: str) -> None:
+    """Let the engine refuse a request of an instance because it is leaving."""
     note_leaving(network.nodes[name].state.servers, ENGINE.name)
 
 
 @pytest.mark.parametrize("source", ["list", "report", "refusal", "drain"])
 def test_leaving_server_gets_no_new_work_on_any_instance(source: str) -> None:
-    # Callers would see requests refused by a server that is on its way out, for as long as the list
-    # lags. One instance learns that the server leaves; the list and the reports that the others
-    # have say that it lives.
-    network, names = met(64)
-    with_engine(network)
+    # Prevents requests to a leaving server while the list is stale: one instance learns that it
+    # leaves, and the list and the reports of the others show it as live.
+    network, names = connected_network(64)
+    add_engine(network)
     for name in names:
         network.give(name, report(1))
-    assert all(engine_open(network, name) for name in names)
+    assert all(is_engine_open(network, name) for name in names)
 
-    first = names[7]
+    first_name = names[7]
     match source:
         case "list":
-            network.read_list(first, servers=[replace(ENGINE, leaving=True)])
+            network.read_list(first_name, servers=[replace(ENGINE, leaving=True)])
         case "report":
-            network.give(first, report(2, leaving=True))
+            network.give(first_name, report(2, leaving=True))
         case "refusal":
-            refused(network, first)
+            refuse_as_leaving(network, first_name)
         case _:
-            network.give(first, DrainRequested(ENGINE.name, "operator"))
+            network.give(first_name, DrainRequested(ENGINE.name, "operator"))
 
-    network.run_until(lambda: none_open(network, names), 3.0)
-    # An older list and an older report come in late, at every instance.
+    network.run_until(lambda: is_closed_everywhere(network, names), 3.0)
+    # Every instance receives an older list and an older report afterwards.
     for name in names:
         network.read_list(name, servers=[])
         network.read_list(name, servers=[ENGINE])
         network.give(name, report(1))
     network.run(5.0)
 
-    assert none_open(network, names)
+    assert is_closed_everywhere(network, names)
 
 
-def test_older_list_does_not_bring_a_former_incarnation_back() -> None:
-    # A list from before the restart follows one from after it, as they come from two copies of the
-    # platform. The entry of the former incarnation looks like one that has just come.
-    network, names = met(4)
-    with_engine(network)
+def test_older_list_does_not_restore_a_former_incarnation() -> None:
+    # Two copies of the platform may return a list from before a restart after one from after it.
+    # Prevents the former entry from being treated as a new server.
+    network, names = connected_network(4)
+    add_engine(network)
     network.read_list(names[0], servers=[replace(ENGINE, leaving=True)])
-    network.run_until(lambda: none_open(network, names), 3.0)
+    network.run_until(lambda: is_closed_everywhere(network, names), 3.0)
     network.read_list(names[1], servers=[replace(ENGINE, incarnation="2")])
     network.give(names[1], report(1, "i2"))
-    assert engine_open(network, names[1])
+    assert is_engine_open(network, names[1])
 
     network.read_list(names[1], servers=[ENGINE])
 
-    assert not engine_open(network, names[1])
+    assert not is_engine_open(network, names[1])
 
 
-def test_new_incarnation_gets_work_again() -> None:
-    network, names = met(4)
-    with_engine(network)
+def test_new_incarnation_of_a_server_gets_work() -> None:
+    network, names = connected_network(4)
+    add_engine(network)
     for name in names:
         network.give(name, report(1, leaving=True))
     network.run(2.0)
-    assert none_open(network, names)
+    assert is_closed_everywhere(network, names)
     for name in names:
         network.give(name, report(1, "i2"))
     network.run(30.0)
 
-    assert all(engine_open(network, name) for name in names)
+    assert all(is_engine_open(network, name) for name in names)
 
 
-def test_mark_that_was_made_behind_a_cut_reaches_all() -> None:
-    # Its news is over when the way is open again, and all but one have the same marks: none.
-    network, names = met(4)
-    with_engine(network)
+def test_leaving_notice_from_a_partition_reaches_all() -> None:
+    # The notice is no longer sent with heartbeats when the cut ends; the digests differ.
+    network, names = connected_network(4)
+    add_engine(network)
     for name in names:
         network.give(name, report(1))
     network.passes = lambda sender, receiver: sender != names[0]
     network.give(names[0], report(2, leaving=True))
     network.run(20.0)
-    assert engine_open(network, names[1])
+    assert is_engine_open(network, names[1])
 
     network.passes = lambda sender, receiver: True
 
-    network.run_until(lambda: none_open(network, names), 8.0)
+    network.run_until(lambda: is_closed_everywhere(network, names), 8.0)
 
 
-def test_mark_reaches_an_instance_that_comes_later() -> None:
-    # It starts long after the news has gone round, with a list that lags and no report yet.
-    network, names = met(4)
-    with_engine(network)
+def test_leaving_notice_reaches_a_later_instance() -> None:
+    # The instance starts after the notice has spread, with a stale list and no report.
+    network, names = connected_network(4)
+    add_engine(network)
     for name in names:
         network.give(name, report(1))
     network.give(names[0], DrainRequested(ENGINE.name, "operator"))
@@ -592,25 +605,25 @@
     network.nodes["late"].state.config = CONFIG
     network.read_list("late", servers=[ENGINE])
 
-    network.run_until(lambda: none_open(network, ["late"]), 8.0)
+    network.run_until(lambda: is_closed_everywhere(network, ["late"]), 8.0)
 
 
-def test_marks_are_bounded_and_expire() -> None:
+def test_leaving_notices_are_bounded_and_expire() -> None:
     network = Network(options=Options(mark_keep=10, mark_keep_s=30.0))
     network.add("a")
     state = network.nodes["a"].state
     beat = replace(Heartbeat("north", "10.9.9.9:1", "x", 1, False, 0, ""), tag=tag_of(network))
-    marks = [Mark(f"server-{number}", "1", False, 0) for number in range(100)]
-    network.give("a", PeerReceived(InstanceName("b"), replace(beat, marks=marks)))
+    notices = [Mark(f"server-{number}", "1", False, 0) for number in range(100)]
+    network.give("a", PeerReceived(InstanceName("b"), replace(beat, marks=notices)))
 
     assert len(state.servers.marks.by_key) == 10
     network.run(40.0)
     assert not state.servers.marks.by_key
     assert state.servers.marks.digest == 0
 
-    # Older than any is kept: whoever still has it is about to drop it, and must not bring it back.
-    old = replace(beat, seq=2, marks=[Mark("old", "1", False, 31)])
-    network.give("a", PeerReceived(InstanceName("b"), old))
+    # Notices older than the limit are ignored. Prevents a peer from restoring an expired notice.
+    old_beat = replace(beat, seq=2, marks=[Mark("old", "1", False, 31)])
+    network.give("a", PeerReceived(InstanceName("b"), old_beat))
     assert ServerName("old") not in state.servers.marks.incarnations
 
 
@@ -619,24 +632,24 @@
     return region_tag(me.cluster, me.region)
 
 
-def test_newcomer_in_an_outage_has_the_servers_from_a_peer() -> None:
-    # Without it the newcomer refuses all callers until the platform is back.
-    network, names = met(4)
-    with_engine(network)
+def test_new_instance_receives_the_servers_from_a_peer_in_an_outage() -> None:
+    # Prevents a new instance from refusing all requests until the platform is back.
+    network, names = connected_network(4)
+    add_engine(network)
     network.run(60.0)
     network.add("late", seeds=names[:1])
     state = network.nodes["late"].state
     state.config = CONFIG
     state.settings.config = CONFIG
 
-    network.run_until(lambda: engine_open(network, "late"), 8.0)
+    network.run_until(lambda: is_engine_open(network, "late"), 8.0)
 
-    # What it has is as old as the peer's reading, so a newer one replaces it.
+    # The list has the age of the peer's read, so a newer one replaces it.
     assert state.servers.listed_at is not None
     assert network.now - state.servers.listed_at > 50.0
 
 
-# --- anything in any order -------------------------------------------------------------------
+# --- random sequences of events ---------------------------------------------------------------
 
 ACTIONS = st.sampled_from(
     [
@@ -656,8 +669,8 @@
 SCRIPTS = st.lists(st.tuples(ACTIONS, st.integers(0, 3), st.floats(0.1, 3.0)), max_size=12)
 
 
-class Believed:
-    """What instances have believed; leaving may not be taken back."""
+class LeavingCheck:
+    """Checks that no instance takes leaving back for an incarnation."""
 
     def __init__(self, network: Network) -> None:
         self.network = network
@@ -665,45 +678,49 @@
 
     def check(self) -> None:
         for name, node in self.network.nodes.items():
-            own = node.state.me.incarnation
-            for each in node.state.members.by_name.values():
-                key = (name, own, str(each.name), each.incarnation)
-                if each.leaving:
+            own_incarnation = node.state.me.incarnation
+            for record in node.state.members.by_name.values():
+                key = (name, own_incarnation, str(record.name), record.incarnation)
+                if record.leaving:
                     self.left.add(key)
-                assert each.leaving or key not in self.left
+                assert record.leaving or key not in self.left
             server = node.state.servers.by_name.get(ENGINE.name)
             if server is not None:
-                said = server.report.incarnation if server.report else server.entry.incarnation
-                about = (name, own, str(server.entry.name), said)
+                server_incarnation = (
+                    server.report.incarnation if server.report else server.entry.incarnation
+                )
+                server_key = (name, own_incarnation, str(server.entry.name), server_incarnation)
                 if server.leaving:
-                    self.left.add(about)
-                assert server.leaving or about not in self.left
+                    self.left.add(server_key)
+                assert server.leaving or server_key not in self.left
 
 
 class Script:
-    """Does what hypothesis thinks of to four instances."""
+    """Applies the actions that hypothesis generates to four instances."""
 
     def __init__(self, seed: int) -> None:
         self.network = Network(seed, loss=0.2, twice=0.2, jitter_s=0.4)
         self.names = [f"north-{number}" for number in range(4)]
         for name in self.names:
             self.network.add(name)
-        self.believed = Believed(self.network)
+        self.leaving_check = LeavingCheck(self.network)
         self.starts = 0
         self.cuts: set[tuple[str, str]] = set()
         self.network.passes = lambda sender, receiver: (sender, receiver) not in self.cuts
-        with_engine(self.network)
+        add_engine(self.network)
         for name in self.names:
-            self.network.read_list(name, [self.network.list_entry(it) for it in self.names])
+            self.network.read_list(
+                name, [self.network.list_entry(peer_name) for peer_name in self.names]
+            )
 
     def run(self, seconds: float) -> None:
         for _ in range(int(seconds * 10)):
             self.network.run(0.1)
-            self.believed.check()
+            self.leaving_check.check()
 
-    def act(self, action: str, which: int, seconds: float) -> None:
-        name = self.names[which]
-        others = [it for it in self.names if it != name]
+    def act(self, action: str, index: int, seconds: float) -> None:
+        name = self.names[index]
+        others = [peer_name for peer_name in self.names if peer_name != name]
         match action:
             case "kill":
                 self.network.kill(name)
@@ -712,9 +729,9 @@
             case "stop":
                 self.network.stop(name)
             case "cut_out":
-                self.cuts |= {(name, it) for it in others}
+                self.cuts |= {(name, peer_name) for peer_name in others}
             case "cut_in":
-                self.cuts |= {(it, name) for it in others}
+                self.cuts |= {(peer_name, name) for peer_name in others}
             case "cut":
                 self.cuts |= {(name, others[0]), (others[0], name)}
             case "heal":
@@ -724,12 +741,12 @@
                 self.run(seconds)
                 self.network.resume(name)
             case "engine":
-                self.network.give(name, report(1 + int(seconds * 10), leaving=which > 1))
+                self.network.give(name, report(1 + int(seconds * 10), leaving=index > 1))
             case "list":
                 self.network.read_list(
                     name,
-                    [self.network.list_entry(it) for it in others],
-                    [replace(ENGINE, leaving=which == 0)],
+                    [self.network.list_entry(peer_name) for peer_name in others],
+                    [replace(ENGINE, leaving=index == 0)],
                 )
             case _:
                 assert action == "run"
@@ -737,7 +754,7 @@
 
     def start(self, name: str) -> None:
         self.starts += 1
-        seeds = [it for it in self.names if it != name]
+        seeds = [peer_name for peer_name in self.names if peer_name != name]
         node = self.network.add(name, incarnation=f"r{self.starts}", seeds=seeds)
         node.state.config = CONFIG
         node.state.settings.config = CONFIG
@@ -745,9 +762,10 @@
 
 @settings(max_examples=40, deadline=None)
 @given(script=SCRIPTS, seed=st.integers(0, 1000))
-# north-1 hears the restarted north-2 and then a late datagram of the incarnation before.
+# north-1 receives a delayed datagram of the previous incarnation after one of the restarted
+# north-2.
 @example(script=[("run", 0, 0.25), ("restart", 2, 1.0)], seed=1)
-def test_leaving_never_reverts_and_all_who_hear_each_other_agree(
+def test_leaving_never_reverts_and_connected_instances_agree(
     script: list[tuple[str, int, float]], seed: int
 ) -> None:
     world = Script(seed)
@@ -760,5 +778,5 @@
     world.run(12.0)
 
     assert world.network.agree(alive, alive)
-    marks = {world.network.nodes[it].state.servers.marks.digest for it in alive}
-    assert len(marks) <= 1
+    digests = {world.network.nodes[peer_name].state.servers.marks.digest for peer_name in alive}
+    assert len(digests) <= 1
--- a/tests/core/store/test_document.py
+++ b/tests/core/store/test_document.py
@@ -1,4 +1,4 @@
-"""Settings as one document, and the proof that its keys are still good."""
+"""The settings document, and the proof that its keys are still valid."""
 
 from __future__ import annotations
 
@@ -18,15 +18,15 @@
 from turmericweir_core.store import document
 
 
-def with_peer(world: StoreWorld, offset: int = 1) -> InstanceName:
-    """Have one live peer."""
+def add_peer(world: StoreWorld, offset: int = 1) -> InstanceName:
+    """Add one live peer; return its name."""
     name = world.know("b-1")
     world.state.members.by_name[name].settings_offset = offset
     return name
 
 
-def test_a_key_is_refused_once_its_proof_is_too_old() -> None:
-    """Reads of the store hang. The callers with keys are told that nothing was run."""
+def test_key_is_refused_with_a_stale_proof() -> None:
+    """While reads of the store hang, requests with keys are refused as not run."""
     world = StoreWorld()
     assert start_of(world.arrive("1", target=PLAIN, keyed=True)).server
     world.now += 4.5
@@ -35,8 +35,8 @@
     assert start_of(world.arrive("3", target=PLAIN, keyed=False)).server
 
 
-def test_a_key_whose_proof_ends_while_its_request_waits_is_refused() -> None:
-    """No server is there yet; when one comes, the key may have been taken away long since."""
+def test_waiting_request_is_refused_when_its_proof_expires() -> None:
+    """A waiting request with a key is refused once the proof is too old."""
     world = StoreWorld(plain=0)
     world.arrive("1", target=PLAIN, keyed=True, deadline=world.now + 20.0)
     effects = world.wait(5.0)
@@ -44,8 +44,8 @@
     assert finish.account.reason is Reason.KEY_UNPROVEN
 
 
-def test_waking_from_a_suspension_finds_the_proof_old() -> None:
-    """The machine slept for a minute; the first event after it is a caller's request."""
+def test_proof_is_stale_after_a_suspension() -> None:
+    """After a suspension of the machine, the first request finds the proof too old."""
     world = StoreWorld()
     world.now += 60.0
     assert (
@@ -53,8 +53,8 @@
     )
 
 
-def test_a_read_proves_as_of_when_it_was_asked() -> None:
-    """An answer that took three seconds says nothing of the last three."""
+def test_proof_of_a_read_counts_from_its_send_time() -> None:
+    """The proof of a slow read counts from the time the read was sent."""
     world = StoreWorld()
     world.now += 4.0
     world.give(DocumentConfirmed(world.now - 3.0))
@@ -71,8 +71,8 @@
     assert world.state.settings_offset() == 7
 
 
-def test_an_older_version_proves_nothing() -> None:
-    """A late read of an old record must not pass for a look at the newest."""
+def test_older_version_is_no_proof() -> None:
+    """A delayed read of an old record is no proof."""
     world = StoreWorld()
     world.give_document(7)
     world.now += 4.0
@@ -80,43 +80,47 @@
     assert document.proof_age(world.state, world.now) == 4.0
 
 
-def test_a_peers_proof_counts_from_when_it_was_asked() -> None:
-    """The store refuses this instance; a peer that it serves answers half a second late."""
+def test_proof_of_a_peer_counts_from_the_request() -> None:
+    """A delayed answer of a peer makes its proof older."""
     world = StoreWorld()
-    peer = with_peer(world)
+    peer = add_peer(world)
     world.now += 3.5
     world.state.members.by_name[peer].heard_at = world.now
-    asks = [each for each in world.wait(0.1) if isinstance(each, SendDatagram)]
-    (ask,) = [each.message for each in asks if isinstance(each.message, DocumentAsk)]
+    asks = [effect for effect in world.wait(0.1) if isinstance(effect, SendDatagram)]
+    (ask,) = [effect.message for effect in asks if isinstance(effect.message, DocumentAsk)]
     asked_at = world.now
     world.now += 0.5
     world.peer(peer, DocumentProof(1, ask.number, 0.2))
-    age = document.proof_age(world.state, world.now)
-    assert 0.7 <= age <= 0.7 + (world.now - asked_at)
+    age_s = document.proof_age(world.state, world.now)
+    assert 0.7 <= age_s <= 0.7 + (world.now - asked_at)
 
 
-def test_whoever_tells_of_the_servers_is_asked_for_its_proof() -> None:
-    # The instances that are to read cannot reach the store. One that was not told in time reads in
-    # their place, and tells. Every other time the others ask it, not those who have nothing to say.
+def test_last_announcer_of_servers_is_asked_for_its_proof() -> None:
+    # The picked readers cannot reach the store and a fallback reader announces servers. Most
+    # requests for a proof go to it.
     world = StoreWorld()
     for number in range(1, 9):
         world.know(f"b-{number}")
-    stands_in = store_duty.readers(world.state, world.now)
-    teller = next(f"b-{n}" for n in range(1, 9) if f"b-{n}" not in {e.name for e in stands_in})
+    picked = store_duty.readers(world.state, world.now)
+    announcer = next(
+        f"b-{number_}"
+        for number_ in range(1, 9)
+        if f"b-{number_}" not in {member.name for member in picked}
+    )
     world.now += world.state.options.store.settings_read_s + 0.5
-    world.peer(teller, RegistryNews(0))
-    asks = [each for each in world.wait(0.5) if isinstance(each, SendDatagram)]
-    asked = [each.peer for each in asks if isinstance(each.message, DocumentAsk)]
+    world.peer(announcer, RegistryNews(0))
+    asks = [effect for effect in world.wait(0.5) if isinstance(effect, SendDatagram)]
+    asked = [effect.peer for effect in asks if isinstance(effect.message, DocumentAsk)]
     assert len(asked) == 2
-    assert teller in asked
+    assert announcer in asked
 
 
-def test_a_proof_for_a_version_that_is_not_here_counts_for_nothing() -> None:
-    """The peer's newer version may be the one that takes the key away."""
+def test_proof_of_another_version_is_ignored() -> None:
+    """A proof of a newer version is no proof here: that version may revoke the key."""
     world = StoreWorld()
-    peer = with_peer(world, offset=5)
-    asks = [each for each in world.wait(0.2) if isinstance(each, SendDatagram)]
-    (ask,) = [each.message for each in asks if isinstance(each.message, DocumentAsk)]
+    peer = add_peer(world, offset=5)
+    asks = [effect for effect in world.wait(0.2) if isinstance(effect, SendDatagram)]
+    (ask,) = [effect.message for effect in asks if isinstance(effect.message, DocumentAsk)]
     world.now += 4.5
     world.peer(peer, DocumentProof(5, ask.number, 0.0))
     assert (
@@ -124,10 +128,10 @@
     )
 
 
-def test_a_proof_that_nobody_asked_for_counts_for_nothing() -> None:
-    """A datagram was held up on its way for a minute, or comes a second time."""
+def test_unrequested_proof_is_ignored() -> None:
+    """A delayed or duplicated proof datagram is ignored."""
     world = StoreWorld()
-    peer = with_peer(world)
+    peer = add_peer(world)
     world.now += 4.5
     world.peer(peer, DocumentProof(1, 99, 0.0))
     assert (
@@ -135,10 +139,10 @@
     )
 
 
-def test_a_peer_that_is_behind_is_sent_the_document() -> None:
+def test_document_is_sent_to_a_peer_with_an_older_version() -> None:
     world = StoreWorld()
-    peer = with_peer(world)
+    peer = add_peer(world)
     world.give_document(4)
     sent = only(world.peer(peer, DocumentAsk(2, 1)), SendPeer)
-    assert [each.message for each in sent] == [DocumentSend(4, b"raw")]
+    assert [effect.message for effect in sent] == [DocumentSend(4, b"raw")]
     assert only(world.peer(peer, DocumentSend(9, b"new")), DecodeDocument)
--- a/tests/core/store/test_instance_refusal.py
+++ b/tests/core/store/test_instance_refusal.py
@@ -1,4 +1,4 @@
-"""What an instance refuses for its own sake, and when its callers come back."""
+"""Refusals that depend only on the instance, and their retry delays."""
 
 from __future__ import annotations
 
@@ -9,16 +9,15 @@
 from turmericweir_core.messages.events import StopRequested
 
 
-def test_a_stopping_instance_serves_what_certainly_ends_in_time() -> None:
-    """An instance is told to stop; the balancer has looked away, but one connection was idle.
+def test_stopping_instance_serves_requests_that_end_in_time() -> None:
+    """A stopping instance serves requests that certainly end in time and refuses the others.
 
-    Its caller sends a call that ends within a second, and 4.5 s are left: it is served, and told to
-    close the connection. A long answer might be cut; its caller is sent to another instance at
-    once. Near the end the short call is sent on as well.
+    Prevents callers on idle connections from being refused without need, and long answers from
+    being cut off.
     """
     world = StoreWorld()
     world.give(StopRequested())
-    # Something is in flight all the time, so that the process does not end.
+    # A request in flight keeps the process from ending.
     world.arrive("running", deadline=world.now + 7.0, prompt_tokens=100)
     world.wait(3.0)
     assert only(world.arrive("short", target=PLAIN), StartAttempt)
@@ -29,12 +28,10 @@
     assert account_of(world.arrive("late", target=PLAIN)).account.reason is Reason.STOPPING
 
 
-def test_a_caller_of_an_instance_without_proof_comes_back_where_it_can_be_served() -> None:
-    """An instance has lost the store, and with it the proof that keys are still good.
+def test_retry_delay_without_proof_depends_on_reachable_peers() -> None:
+    """A caller retries at once only if another instance may have a proof.
 
-    Alone it may be cut off from all others, and another instance can serve the caller at once. With
-    others of its data centre in reach, which would have told of a proof, all are cut off, and the
-    caller is told to come back later.
+    With reachable peers in the data centre none of them has one, so the delay is longer.
     """
     alone = StoreWorld()
     alone.wait(5.0)
@@ -50,7 +47,8 @@
     assert refused.retry_after_s >= 1.0
 
 
-def test_a_process_that_has_just_started_is_asked_again_soon() -> None:
+def test_new_process_returns_a_short_retry_delay() -> None:
+    """A new process without settings returns a short retry delay."""
     world = StoreWorld()
     world.state.has_settings = False
     (refused,) = only(world.arrive("1", target=PLAIN), FinishRequest)
--- a/tests/core/store/test_registry.py
+++ b/tests/core/store/test_registry.py
@@ -1,4 +1,4 @@
-"""Servers' entries: what is used while they lapse, come late, or are told by others."""
+"""The servers' entries: expired ones, delayed ones, and updates from readers."""
 
 from __future__ import annotations
 
@@ -18,11 +18,10 @@
 from turmericweir_core.state.membership_state import Member
 
 
-def test_an_entry_that_lapsed_while_the_store_was_away_is_used_for_a_moment() -> None:
-    """The store was away for longer than entries last, and comes back without them.
+def test_entry_that_expired_in_an_outage_is_used_for_a_short_time() -> None:
+    """Entries that expired while the store was unreachable are used until servers renew them.
 
-    The servers are well and write their entries again within two seconds. Callers would be told
-    that no server is there, and all at once.
+    Prevents refusals of all requests after an outage of the store.
     """
     world = StoreWorld(plain=1)
     world.wait(6.0)
@@ -33,8 +32,8 @@
     assert only(world.arrive("2", target=PLAIN), StartAttempt)
 
 
-def test_an_entry_that_is_still_missing_after_that_is_gone() -> None:
-    """One of the servers died during the outage; its address may be another's by now."""
+def test_entry_that_is_not_renewed_after_an_outage_is_removed() -> None:
+    """An entry that is not renewed after an outage is removed; its address may be reused."""
     world = StoreWorld(plain=1)
     world.wait(6.0)
     world.give(RegistryRead((), whole=True))
@@ -44,57 +43,59 @@
     assert not only(world.arrive("1", target=PLAIN), StartAttempt)
 
 
-def test_a_record_that_comes_late_undoes_nothing() -> None:
-    """A page that was read before a removal comes behind the record of it."""
+def test_delayed_record_is_ignored() -> None:
+    """A page that was read before a removal is applied after it and is ignored."""
     world = StoreWorld(plain=1)
-    (entry,) = [each for each in world.entries if each.service == "shop"]
+    (entry,) = [candidate for candidate in world.entries if candidate.service == "shop"]
     world.give(RegistryRead((), ((entry.name, 7),)))
     world.give(RegistryRead(((entry, 3),)))
     assert not only(world.arrive("1", target=PLAIN), StartAttempt)
 
 
-def test_a_server_that_starts_again_under_its_name_begins_afresh() -> None:
-    """It holds nothing any more, and what is counted of its former life is no load on it."""
+def test_restarted_server_has_no_load() -> None:
+    """The load of a server's former incarnation is not counted against the new one."""
     world = StoreWorld(engines=1, plain=0)
     entry = world.entry("lm-1", "lm", incarnation="1")
     world.give(RegistryRead(((entry, 2),)))
     start = start_of(world.arrive("1", prompt_tokens=1_000, parts=(("a", 900),)))
     world.begin(start)
-    again = world.entry("lm-1", "lm", incarnation="2")
-    world.give(RegistryRead(((again, 3),)))
+    new_entry = world.entry("lm-1", "lm", incarnation="2")
+    world.give(RegistryRead(((new_entry, 3),)))
     assert world.state.servers.by_name[ServerName("lm-1")].in_flight == {}
 
 
-def test_a_change_that_a_reader_tells_is_taken_and_counts_as_a_read() -> None:
+def test_update_from_a_reader_is_applied_and_counts_as_a_read() -> None:
     world = StoreWorld()
-    leaver, *_ = world.entries
-    gone = world.entry(leaver.name, leaver.service, leaving=True)
-    listed = {**world.state.servers.listed, gone.name: gone}
-    exact = server_list.exact_hash(listed.values())
+    leaving_server, *_ = world.entries
+    leaving_entry = world.entry(leaving_server.name, leaving_server.service, leaving=True)
+    listed = {**world.state.servers.listed, leaving_entry.name: leaving_entry}
+    servers_hash = server_list.hash_full_entries(listed.values())
     world.now += 5.0
-    world.peer("b-1", RegistryNews(exact, [RegistryRow(9, gone.name, gone)]))
-    assert world.state.servers.by_name[leaver.name].leaving
+    world.peer(
+        "b-1", RegistryNews(servers_hash, [RegistryRow(9, leaving_entry.name, leaving_entry)])
+    )
+    assert world.state.servers.by_name[leaving_server.name].leaving
     assert world.state.registry.read_at == world.now
 
 
-def test_a_change_whose_datagram_was_lost_is_found_by_the_next_one() -> None:
-    """The news that a server leaves is lost; nothing has changed since when the next one comes."""
+def test_lost_update_is_detected_by_the_next_one() -> None:
+    """A lost update is detected by the hash of the next one."""
     world = StoreWorld()
     world.state.members.by_name[InstanceName("b-1")] = Member(
         InstanceName("b-1"), "dc-a", "127.0.0.1:2", region="home"
     )
-    before = world.state.registry.read_at
+    read_before = world.state.registry.read_at
     world.now += 1.0
     effects = world.peer("b-1", RegistryNews(12345))
-    assert [each.message for each in only(effects, SendPeer)] == [ServersAsk()]
-    assert world.state.registry.read_at == before
+    assert [effect.message for effect in only(effects, SendPeer)] == [ServersAsk()]
+    assert world.state.registry.read_at == read_before
 
 
-def test_an_instance_reads_for_itself_when_it_is_not_told() -> None:
+def test_instance_reads_for_itself_without_updates() -> None:
     world = StoreWorld()
     for number in range(2, 8):
         world.know(f"a-{number}")
-    readers = {each.name for each in store_duty.readers(world.state, world.now)}
+    readers = {member.name for member in store_duty.readers(world.state, world.now)}
     assert len(readers) == 1
     world.state.registry.read_at = world.now
     reads = store_duty.reads_registry(world.state, world.now + 0.5)
@@ -103,7 +104,7 @@
 
 
 class Readers:
-    """Instances before one store, which tell each other what they read."""
+    """Instances before one store that send each other what they read."""
 
     def __init__(self, count: int, started_at: float) -> None:
         self.worlds = {f"a-{number}": StoreWorld(name=f"a-{number}") for number in range(1, count)}
@@ -113,7 +114,7 @@
         self.last_read: dict[str, float] = {}
 
     def run(self, seconds: float, *, acquainted: bool = True, away: str = "") -> Counter[str]:
-        """Let time pass; count the reads of each. One may be away: it neither reads nor tells."""
+        """Advance the time and count the reads of each instance; `away` neither reads nor sends."""
         reads: Counter[str] = Counter()
         for _ in range(round(10 * seconds)):
             self.now += 0.1
@@ -134,38 +135,36 @@
     def _read(self, name: str, world: StoreWorld, away: str) -> None:
         self.last_read[name] = self.now
         effects = datagrams(world.give(RegistryRead(())))
-        told = [each.message for each in effects if isinstance(each.message, RegistryNews)]
-        assert told
+        updates = [effect.message for effect in effects if isinstance(effect.message, RegistryNews)]
+        assert updates
         for other in self.worlds:
             if other not in (name, away):
                 self.worlds[other].now = self.now
-                self.worlds[other].peer(name, told[0])
+                self.worlds[other].peer(name, updates[0])
 
-    def oldest_word(self, *, but: str = "") -> float:
-        """Give the age of the oldest word on the servers, seconds."""
+    def oldest_read_age_s(self, *, but: str = "") -> float:
+        """Return the age in seconds of the oldest read of the servers' entries."""
         states = [world.state for name, world in self.worlds.items() if name != but]
         return max(self.now - state.registry.read_at for state in states)
 
 
-def test_of_many_that_start_at_once_few_read() -> None:
-    # All instances start together and know none of the others yet, so each would read for all. Each
-    # has read once. The one whose delay ends first reads again and tells the others, and these
-    # leave it at that, now and as long as it goes on.
+def test_few_of_many_starting_instances_read() -> None:
+    # All instances start together and know no other ones. The first whose delay ends becomes the
+    # reader, and the others receive its updates.
     readers = Readers(9, started_at=100.0)
     reads = readers.run(6.0, acquainted=False)
     assert sum(reads.values()) <= 8
     assert len(reads) <= 2
 
 
-def test_one_stands_in_for_a_reader_that_falls_silent() -> None:
-    # The one instance that reads for all dies or loses the store. A server that leaves now must get
-    # no more requests after two seconds, so no word may grow that old. One reads in its place, and
-    # leaves it to the reader again as soon as that tells.
+def test_one_fallback_reader_replaces_an_unresponsive_reader() -> None:
+    # The reader fails or loses the store. One instance reads in its place, before the entries are
+    # too old to follow leaving servers, and stops when the reader returns.
     readers = Readers(9, started_at=0.0)
     (reader,) = readers.run(4.0)
-    silent = readers.run(2.0, away=reader)
-    assert readers.oldest_word(but=reader) < 1.6
-    assert len(silent) == 1
+    reads_without_reader = readers.run(2.0, away=reader)
+    assert readers.oldest_read_age_s(but=reader) < 1.6
+    assert len(reads_without_reader) == 1
     assert len(readers.run(4.0, away=reader)) == 1
     readers.run(1.5)
     assert set(readers.run(4.0)) == {reader}
@@ -173,9 +172,9 @@
 
 @given(st.permutations(range(6)), st.lists(st.booleans(), min_size=6, max_size=6))
 def test_any_order_of_records_ends_with_the_newest(order: list[int], there: list[bool]) -> None:
-    """Pages, late reads and peers bring records in any order; the highest offset decides."""
+    """Pages, delayed reads and updates come in any order; the highest offset applies."""
     world = StoreWorld(plain=1)
-    (entry,) = [each for each in world.entries if each.service == "shop"]
+    (entry,) = [candidate for candidate in world.entries if candidate.service == "shop"]
     for number in order:
         offset = 10 + number
         if there[number]:
@@ -185,7 +184,7 @@
     assert (entry.name in world.state.servers.listed) == there[5]
 
 
-def test_only_readers_tell_the_others() -> None:
+def test_only_readers_send_updates() -> None:
     world = StoreWorld()
     world.give(
         ListRead((), (ListedInstance(InstanceName("a-2"), "dc-a", "127.0.0.1:2", "x", False),))
@@ -194,35 +193,35 @@
     world.state.members.by_name[InstanceName("a-2")].region = "home"
     entry: ServerEntry = world.entries[0]
     effects = world.give(RegistryRead(((entry, 20),)))
-    told = [each for each in datagrams(effects) if isinstance(each.message, RegistryNews)]
-    assert [each.peer for each in told] == ["a-2"]
+    updates = [effect for effect in datagrams(effects) if isinstance(effect.message, RegistryNews)]
+    assert [effect.peer for effect in updates] == ["a-2"]
 
 
-def test_a_server_that_left_and_came_back_in_another_life_is_used_again() -> None:
-    """All shops are replaced in turn, and each comes back under its old name.
+def test_server_that_returns_with_a_new_incarnation_is_used() -> None:
+    """A server that left and returned with a new incarnation receives requests.
 
-    Their first entries name no life, the later ones do. What was said of the one that left is not
-    about the one that came: else callers are refused although three servers are free.
+    Its first entry has no incarnation. Prevents the former leaving notice from applying to the new
+    one.
     """
     world = StoreWorld(plain=1)
     world.give(RegistryRead(((world.entry("shop-1", "shop", leaving=True), 2),)))
     world.wait(1.0)
-    back = world.entry("shop-1", "shop", incarnation="1700000000000")
-    world.give(RegistryRead(((back, 3),)))
+    new_entry = world.entry("shop-1", "shop", incarnation="1700000000000")
+    world.give(RegistryRead(((new_entry, 3),)))
     world.wait(1.0)
     assert start_of(world.arrive("1", target=PLAIN)).server == "shop-1"
 
 
-def test_a_peers_word_on_a_life_that_ended_is_not_about_the_next() -> None:
+def test_leaving_notice_does_not_apply_to_a_new_incarnation() -> None:
     world = StoreWorld(plain=1)
-    back = world.entry("shop-1", "shop", incarnation="1700000000000")
-    world.give(RegistryRead(((back, 3),)))
-    leaving.take_marks(world.state, world.now, [Mark("shop-1", "", drained=False, age_s=0)])
+    new_entry = world.entry("shop-1", "shop", incarnation="1700000000000")
+    world.give(RegistryRead(((new_entry, 3),)))
+    leaving.take_notices(world.state, world.now, [Mark("shop-1", "", drained=False, age_s=0)])
     assert start_of(world.arrive("1", target=PLAIN)).server == "shop-1"
 
 
-def test_a_server_whose_entry_lapsed_under_a_running_request_is_used_again() -> None:
-    """A server is cut off from the store, not from callers; its entry lapses and comes back."""
+def test_server_whose_entry_expired_during_a_request_is_used_again() -> None:
+    """A server whose entry expired during a request is used again once the entry returns."""
     world = StoreWorld(plain=1)
     running = start_of(world.arrive("1", target=PLAIN))
     world.sent(running)
@@ -236,17 +235,17 @@
     assert start_of(world.arrive("3", target=PLAIN)).server == "shop-1"
 
 
-def test_a_server_in_another_life_holds_nothing() -> None:
-    """It crashed and is back under its name: what it had read of prompts is gone."""
+def test_new_incarnation_of_a_server_has_an_empty_cache() -> None:
+    """The prefix cache of a crashed server's former incarnation is not counted."""
     world = StoreWorld(engines=1)
-    sheet = ("sheet", 13_300)
-    first = start_of(world.arrive("1", prompt_tokens=17_000, parts=(sheet, ("own", 3_700))))
+    shared_part = ("sheet", 13_300)
+    first = start_of(world.arrive("1", prompt_tokens=17_000, parts=(shared_part, ("own", 3_700))))
     world.begin(first)
     world.end(first, EndComplete(200))
-    request = world.request("2", prompt_tokens=17_000, parts=(sheet, ("other", 3_700)))
-    book = engine_model.book_of(world.state, first.server)
-    assert engine_model.uncached_tokens(book, request) == 3_700
-    back = world.entry(first.server, "lm", incarnation="1700000000000")
-    world.give(RegistryRead(((back, 2),)))
-    book = engine_model.book_of(world.state, first.server)
-    assert engine_model.uncached_tokens(book, request) == 17_000
+    request = world.request("2", prompt_tokens=17_000, parts=(shared_part, ("other", 3_700)))
+    engine = engine_model.book_of(world.state, first.server)
+    assert engine_model.uncached_tokens(engine, request) == 3_700
+    new_entry = world.entry(first.server, "lm", incarnation="1700000000000")
+    world.give(RegistryRead(((new_entry, 2),)))
+    engine = engine_model.book_of(world.state, first.server)
+    assert engine_model.uncached_tokens(engine, request) == 17_000
--- a/tests/core/store/test_store_duty.py
+++ b/tests/core/store/test_store_duty.py
@@ -1,8 +1,4 @@
-"""Hundreds of instances before one store: how often they call it, and how soon they know.
-
-Over a hundred in six data centres, whose platform wants settings in force in four
-seconds and servers that leave spared in four.
-"""
+"""Over a hundred instances before one store: the rate of calls, and the delay of changes."""
 
 from __future__ import annotations
 
@@ -19,85 +15,80 @@
 
 @pytest.fixture(name="network")
 def fixture_network() -> StoreNetwork:
-    """A fleet that started 16 s ago, when its callers come."""
+    """A network of instances that started some time ago."""
     network = StoreNetwork(store_times(SETTINGS_BOUND_S, DRAIN_BOUND_S))
     network.start_all(COUNT, DATA_CENTRES)
     network.run(16.0)
     return network
 
 
-def oldest_word(network: StoreNetwork) -> float:
-    """Give the age of the oldest word on the servers, seconds."""
+def oldest_read_age_s(network: StoreNetwork) -> float:
+    """Return the age in seconds of the oldest read of the servers' entries."""
     states = [node.state for node in network.nodes.values() if not node.down]
-    return max(network.now - each.registry.read_at for each in states)
+    return max(network.now - state.registry.read_at for state in states)
 
 
-def test_a_fleet_calls_the_store_seldom(network: StoreNetwork) -> None:
-    """
-    All instances start at once. Each reads the settings and the servers once, as it can ask nobody;
-    from then on one reads for all. Were each to read for itself, the store would turn calls away,
-    and each call is paid for.
+def test_one_instance_reads_the_store_for_all(network: StoreNetwork) -> None:
+    """After the start one instance reads for all.
+
+    Prevents calls beyond the store's limit, and their cost.
     """
-    at_start = network.store.total
-    assert at_start < 2 * COUNT + 60
+    calls_at_start = network.store.total
+    assert calls_at_start < 2 * COUNT + 60
     network.datagrams.clear()
     network.run(10.0)
-    assert (network.store.total - at_start) / 10.0 < 3.0
-    assert oldest_word(network) < DRAIN_BOUND_S
-    # Of one instance in a second, to all others together: five are heartbeats.
+    assert (network.store.total - calls_at_start) / 10.0 < 3.0
+    assert oldest_read_age_s(network) < DRAIN_BOUND_S
+    # Datagrams of one instance per second to all others; most of them are heartbeats.
     assert max(network.datagrams.values()) / 10.0 < 120
 
 
 def test_a_change_is_in_force_on_all_in_time(network: StoreNetwork) -> None:
-    """An operator changes the settings; callers of any instance see it within the bound."""
+    """A change of the settings is in force on all instances within the bound."""
     network.store.version = 2
     network.run_until(lambda: network.versions() == {2}, within=SETTINGS_BOUND_S)
 
 
-def test_a_change_is_in_force_in_time_though_the_reader_dies(network: StoreNetwork) -> None:
-    """
-    The one instance that reads for all dies just as the settings change, before it has read them.
-    The others are told nothing. One of them reads for itself in time and tells the others, few do.
-    """
+def test_change_is_in_force_in_time_after_the_reader_dies(network: StoreNetwork) -> None:
+    """When the reader dies, a few others read in its place within the bound."""
     network.kill(network.reader())
     network.store.version = 2
-    before = network.store.total
+    calls_before = network.store.total
     network.run_until(lambda: network.versions() == {2}, within=SETTINGS_BOUND_S)
     network.run(6.0)
-    assert network.store.total - before < 60
-    assert oldest_word(network) < DRAIN_BOUND_S
+    assert network.store.total - calls_before < 60
+    assert oldest_read_age_s(network) < DRAIN_BOUND_S
 
 
-def test_a_data_centre_that_is_cut_off_from_the_others_reads_for_itself(
+def test_partitioned_data_centre_reads_for_itself(
     network: StoreNetwork,
 ) -> None:
-    """
-    A data centre loses the others and keeps the store. Its instances must know of changes and of
-    servers that leave in time; they must not all read.
-    """
-    here = {name for name, node in network.nodes.items() if node.state.me.data_centre == "dc1"}
-    network.passes = lambda sender, receiver: (sender in here) == (receiver in here)
-    before = network.store.total
+    """A partitioned data centre that reaches the store follows changes with few reads."""
+    local_names = {
+        name for name, node in network.nodes.items() if node.state.me.data_centre == "dc1"
+    }
+    network.passes = lambda sender, receiver: (sender in local_names) == (receiver in local_names)
+    calls_before = network.store.total
     network.run(1.0)
     network.store.version = 2
     network.run_until(lambda: network.versions() == {2}, within=SETTINGS_BOUND_S)
     network.run(5.0)
-    assert network.store.total - before < 120
-    assert oldest_word(network) < DRAIN_BOUND_S
+    assert network.store.total - calls_before < 120
+    assert oldest_read_age_s(network) < DRAIN_BOUND_S
 
 
-def test_instances_that_the_store_turns_away_are_told_by_the_others(network: StoreNetwork) -> None:
-    """The store refuses every third instance, the one that reads for all among them."""
+def test_instances_refused_by_the_store_receive_changes(network: StoreNetwork) -> None:
+    """The store refuses every third instance and the reader; the others send them the changes."""
     reader = network.reader()
     network.store.answers = lambda name: name != reader and int(name[1:]) % 3 != 0
     network.store.version = 2
     network.run_until(lambda: network.versions() == {2}, within=SETTINGS_BOUND_S)
     network.run(6.0)
-    assert oldest_word(network) < DRAIN_BOUND_S
+    assert oldest_read_age_s(network) < DRAIN_BOUND_S
 
 
-def test_all_are_killed_and_come_back_at_once(network: StoreNetwork) -> None:
-    """Every process is killed just after a change, and all start again: they have it at once."""
+def test_restart_of_all_instances_applies_a_change_at_once(network: StoreNetwork) -> None:
+    """All instances restart just after a change and have it at once."""
     network.store.version = 2
     names = sorted(network.nodes)
     for name in names:
--- a/tests/core/store_network.py
+++ b/tests/core/store_network.py
@@ -1,8 +1,8 @@
-"""Many instances before one store, stepped by the reducer alone: who reads it, and who is told.
+"""Many instances before one store, driven by the reducer alone.
 
-Each instance follows the settings and the servers' entries as its process does: it looks every
-tenth of a second whether it is to read, and one that reads for others pauses between its reads.
-Time is simulated. The store answers at once, or turns instances away.
+Each instance checks at a fixed interval whether it should read the settings and the servers'
+entries, as its process does; a reader pauses between its reads. Time is simulated. The store
+answers at once, or refuses instances.
 """
 
 from __future__ import annotations
@@ -26,29 +26,29 @@
 from turmericweir_core.state.document_state import DocumentState
 from turmericweir_core.state.state import Identity, State
 
-LOOK_S = 0.1
+CHECK_INTERVAL_S = 0.1
 SERVICE = Service("lm", Kind.MODEL, slots=12, kv_tokens=480_000, event_tokens=3)
 
 
 @dataclass
 class Store:
-    """What the platform keeps, and how often it was asked."""
+    """The content of the store, and its calls."""
 
     version: int = 1
     entries: dict[str, tuple[ServerEntry, int]] = field(default_factory=dict)
-    # Calls by instance.
+    # Number of calls by instance.
     calls: Counter[str] = field(default_factory=Counter)
-    # Tells whether it answers an instance.
+    # Returns whether the store answers an instance.
     answers: Callable[[str], bool] = lambda name: True
 
     @property
     def total(self) -> int:
-        """All calls."""
+        """The number of all calls."""
         return sum(self.calls.values())
 
 
 class StoreNetwork(Network):
-    """Instances, the ways between them, and the store."""
+    """Instances, the links between them, and the store."""
 
     def __init__(self, times: StoreTimes, seed: int = 1) -> None:
         super().__init__(seed, options=Options(tick_s=0.05, probe_servers=False, store=times))
@@ -56,10 +56,10 @@
         for number in range(1, 9):
             entry = ServerEntry(ServerName(f"lm-{number}"), "lm", "dc0", f"127.0.0.1:{number}")
             self.store.entries[entry.name] = (entry, 1)
-        # Datagrams that each instance has sent and received.
+        # Number of datagrams that each instance has sent.
         self.datagrams: Counter[str] = Counter()
-        self._looks: list[tuple[float, int, str, str]] = []
-        self._order_of_looks = itertools.count()
+        self._checks: list[tuple[float, int, str, str]] = []
+        self._check_order = itertools.count()
 
     def make_state(self, identity: Identity) -> State:
         return State(
@@ -74,7 +74,7 @@
         return reduce(state, now, event)
 
     def start_all(self, count: int, data_centres: int) -> list[str]:
-        """Start so many instances at once, each with the addresses of the same three."""
+        """Start a number of instances at once, each with the addresses of the same three."""
         names = [f"i{number:03d}" for number in range(count)]
         for number, name in enumerate(names):
             self.add(name, f"dc{number % data_centres}")
@@ -82,25 +82,25 @@
         return names
 
     def begin(self, names: list[str]) -> None:
-        """Give instances that have started their seeds, and have them follow the store."""
+        """Send seeds to started instances and start their checks of the store."""
         seeds = self.rng.sample(sorted(self.nodes), 3)
         for name in names:
             self.seed(name, seeds)
             for part in ("settings", "servers"):
-                self._look_at(self.now + 0.3 * self.rng.random(), name, part)
+                self._schedule_check(self.now + 0.3 * self.rng.random(), name, part)
 
     def run(self, seconds: float) -> None:
-        end = self.now + seconds
-        while self._looks and self._looks[0][0] <= end:
-            at, _, name, part = heapq.heappop(self._looks)
-            super().run(max(0.0, at - self.now))
-            self._follow(name, part)
-        super().run(end - self.now)
+        end_at = self.now + seconds
+        while self._checks and self._checks[0][0] <= end_at:
+            check_at, _, name, part = heapq.heappop(self._checks)
+            super().run(max(0.0, check_at - self.now))
+            self._check_store(name, part)
+        super().run(end_at - self.now)
 
-    def _look_at(self, at: float, name: str, part: str) -> None:
-        heapq.heappush(self._looks, (at, next(self._order_of_looks), name, part))
+    def _schedule_check(self, check_at: float, name: str, part: str) -> None:
+        heapq.heappush(self._checks, (check_at, next(self._check_order), name, part))
 
-    def _follow(self, name: str, part: str) -> None:
+    def _check_store(self, name: str, part: str) -> None:
         node = self.nodes[name]
         if node.down:
             return
@@ -108,26 +108,28 @@
         is_settings = part == "settings"
         is_due = store_duty.reads_document if is_settings else store_duty.reads_registry
         if not is_due(state, self.now):
-            self._look_at(self.now + LOOK_S, name, part)
+            self._schedule_check(self.now + CHECK_INTERVAL_S, name, part)
             return
         self.store.calls[name] += 1
         if self.store.answers(name):
             self._read_settings(name) if is_settings else self._read_servers(name)
         times = self.options.store
-        period = times.settings_read_s if is_settings else times.servers_read_s
-        reads = store_duty.is_reader(state, self.now)
-        self._look_at(self.now + (0.95 * period if reads else LOOK_S), name, part)
+        period_s = times.settings_read_s if is_settings else times.servers_read_s
+        is_reader = store_duty.is_reader(state, self.now)
+        self._schedule_check(
+            self.now + (0.95 * period_s if is_reader else CHECK_INTERVAL_S), name, part
+        )
 
     def _read_settings(self, name: str) -> None:
         if self.nodes[name].state.settings_offset() == self.store.version:
             self.give(name, DocumentConfirmed(self.now))
         else:
-            self._decoded(name, self.store.version, self.now, "")
+            self._give_document(name, self.store.version, self.now, "")
 
     def _read_servers(self, name: str) -> None:
         self.give(name, RegistryRead(tuple(self.store.entries.values()), whole=True))
 
-    def _decoded(self, name: str, version: int, asked_at: float | None, peer: str) -> None:
+    def _give_document(self, name: str, version: int, asked_at: float | None, peer: str) -> None:
         config = Config(
             services={"lm": SERVICE},
             service_by_target={Target("lm"): SERVICE},
@@ -143,14 +145,14 @@
             if isinstance(effect, SendDatagram):
                 self.datagrams[name] += 1
             if isinstance(effect, DecodeDocument):
-                self._decoded(name, int(effect.raw), None, effect.peer)
+                self._give_document(name, int(effect.raw), None, effect.peer)
 
     def versions(self) -> set[int]:
-        """List the versions in force on the instances that run."""
+        """Return the versions in force on the running instances."""
         return {node.state.settings_offset() for node in self.nodes.values() if not node.down}
 
     def reader(self) -> str:
-        """Name the one instance that reads for all."""
+        """Return the name of the one instance that reads for all."""
         live = (node.state for node in self.nodes.values() if not node.down)
-        (found,) = {each.name for each in store_duty.readers(next(live), self.now)}
-        return found
+        (reader_name,) = {member.name for member in store_duty.readers(next(live), self.now)}
+        return reader_name
--- a/tests/core/store_world.py
+++ b/tests/core/store_world.py
@@ -1,4 +1,4 @@
-"""An instance on a platform whose store keeps settings and servers, driven by events alone."""
+"""One instance on a platform whose store has settings and servers, driven by events."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def options(**changed: float) -> Options:
-    """Give the options that a process on such a platform has, with changes."""
+    """Return the options of a process on such a platform, with changes."""
     base: dict[str, float] = {
         "deadline_grace_s": 0.0,
         "retry_share": 0.2,
@@ -54,12 +54,12 @@
         "trial_s": 0.25,
         "subset_size": 64,
     }
-    # Any: names of options with values of their types.
+    # The names of options with values of their types.
     return Options(probe_servers=False, retry_pay_all=True, **{**base, **changed})  # type: ignore[arg-type]
 
 
 class StoreWorld:
-    """One instance and what it was told to do."""
+    """One instance and its effects."""
 
     def __init__(
         self, engines: int = 2, plain: int = 2, *, name: str = "a-1", **changed: float
@@ -73,7 +73,7 @@
             document=DocumentState(),
         )
         self.now = 100.0
-        # Long enough ago that it knows all others.
+        # Started long enough ago to know all others.
         self.state.members.started_at = 0.0
         self.effects: list[Effect] = []
         self.give_document(1)
@@ -81,20 +81,20 @@
             *(self.entry(f"lm-{number}", "lm") for number in range(1, engines + 1)),
             *(self.entry(f"shop-{number}", "shop") for number in range(1, plain + 1)),
         ]
-        self.give(RegistryRead(tuple((each, 1) for each in self.entries), whole=True))
+        self.give(RegistryRead(tuple((entry, 1) for entry in self.entries), whole=True))
 
     def entry(self, name: str, service: str, **fields: object) -> ServerEntry:
-        """Make a server's entry."""
+        """Return a server's entry."""
         slots = 64 if service == "lm" else 6
         number = len(name) + sum(map(ord, name))
         address = f"127.0.0.1:{number}"
-        named = {"incarnation": "", "leaving": False, **fields}
+        all_fields = {"incarnation": "", "leaving": False, **fields}
         return ServerEntry(
-            ServerName(name), service, "dc-a", address, slots=slots, **named  # type: ignore[arg-type]
+            ServerName(name), service, "dc-a", address, slots=slots, **all_fields  # type: ignore[arg-type]
         )
 
     def config(self) -> Config:
-        """Make the settings."""
+        """Return the settings."""
         services = {
             "lm": Service(
                 "lm",
@@ -107,53 +107,55 @@
             "shop": Service("shop", Kind.PLAIN, slots=6),
         }
         return Config(
-            classes={each.name: each for each in (QUICK, FIT, BULK, COUNTER)},
+            classes={service.name: service for service in (QUICK, FIT, BULK, COUNTER)},
             services=services,
-            service_by_target={Target(name): each for name, each in services.items()},
+            service_by_target={Target(name): service for name, service in services.items()},
             policy=Policy.PREDICTED,
         )
 
     def give(self, event: Event) -> list[Effect]:
-        """Have an event reduced; give and keep its effects."""
+        """Reduce an event; record and return its effects."""
         effects = reduce(self.state, self.now, event)
         self.effects += effects
         return effects
 
     def give_document(self, version: int, asked_at: float | None = None) -> list[Effect]:
-        """Have a version of the settings read from the store."""
-        asked = self.now if asked_at is None else asked_at
-        return self.give(DocumentRead(version, self.config(), b"raw", asked))
+        """Deliver a version of the settings read from the store."""
+        read_at = self.now if asked_at is None else asked_at
+        return self.give(DocumentRead(version, self.config(), b"raw", read_at))
 
     def know(self, name: str) -> InstanceName:
-        """Have a live peer of the same data centre."""
-        known = InstanceName(name)
-        member = Member(known, "dc-a", f"127.0.0.1:{sum(map(ord, name))}", region="home", seq=1)
+        """Add a live peer of the same data centre."""
+        member_name = InstanceName(name)
+        member = Member(
+            member_name, "dc-a", f"127.0.0.1:{sum(map(ord, name))}", region="home", seq=1
+        )
         member.heard_at = self.now
-        self.state.members.by_name[known] = member
-        return known
+        self.state.members.by_name[member_name] = member
+        return member_name
 
     def peer(self, name: str, message: PeerMessage) -> list[Effect]:
-        """Have a peer's message received."""
+        """Deliver a peer's message."""
         return self.give(PeerReceived(InstanceName(name), message))
 
     def wait(self, seconds: float, step: float = 0.05) -> list[Effect]:
-        """Let time pass, with ticks; give the effects of all of them."""
-        found: list[Effect] = []
-        end = self.now + seconds
-        while self.now < end - 1e-9:
-            self.now = min(end, self.now + step)
-            found += self.give(Tick())
-        return found
+        """Advance the time with ticks; return the effects."""
+        effects: list[Effect] = []
+        end_at = self.now + seconds
+        while self.now < end_at - 1e-9:
+            self.now = min(end_at, self.now + step)
+            effects += self.give(Tick())
+        return effects
 
     def arrive(self, name: str, **fields: object) -> list[Effect]:
-        """Have a request arrive."""
+        """Deliver a request."""
         return self.give(RequestArrived(self.request(name, **fields)))
 
     def request(self, name: str, **fields: object) -> Request:
-        """Make a request; a model request unless the target says otherwise."""
+        """Return a request, a model request by default."""
         target = fields.pop("target", MODEL)
         kind = Kind.MODEL if target == MODEL else Kind.PLAIN
-        named: dict[str, object] = {
+        all_fields: dict[str, object] = {
             "service_class": BULK if kind is Kind.MODEL else COUNTER,
             "deadline": self.now + (12.0 if kind is Kind.MODEL else 1.0),
             "repeatable": False,
@@ -161,8 +163,8 @@
             "prompt_tokens": 0,
             "max_tokens": 120,
         }
-        named |= fields
-        named.setdefault("end_by", named["deadline"])
+        all_fields |= fields
+        all_fields.setdefault("end_by", all_fields["deadline"])
         return Request(
             request_id=RequestId(name),
             kind=kind,
@@ -170,39 +172,39 @@
             customer="c",
             team="",
             arrived=self.now,
-            **named,  # type: ignore[arg-type]
+            **all_fields,  # type: ignore[arg-type]
         )
 
     def sent(self, start: StartAttempt) -> list[Effect]:
-        """Have the first byte of an attempt go out."""
+        """Report that the first byte of an attempt was sent."""
         return self.give(AttemptSent(start.request_id, start.attempt_id))
 
     def begin(self, start: StartAttempt, events: int = 1) -> list[Effect]:
-        """Have the first events of an attempt come."""
+        """Report the first events of an attempt."""
         return self.give(AttemptProgress(start.request_id, start.attempt_id, events))
 
     def end(self, start: StartAttempt, end: AttemptEnd) -> list[Effect]:
-        """Have an attempt end."""
+        """Report the end of an attempt."""
         return self.give(AttemptEnded(start.request_id, start.attempt_id, end))
 
 
 def only(effects: list[Effect], kind: type[E]) -> list[E]:
-    """Pick the effects of one type."""
-    return [each for each in effects if isinstance(each, kind)]
+    """Return the effects of one type."""
+    return [effect for effect in effects if isinstance(effect, kind)]
 
 
 def start_of(effects: list[Effect]) -> StartAttempt:
-    """Give the one attempt that was begun."""
+    """Return the only started attempt."""
     (start,) = only(effects, StartAttempt)
     return start
 
 
 def account_of(effects: list[Effect]) -> FinishRequest:
-    """Give the one account that was given."""
+    """Return the only finished request."""
     (finish,) = only(effects, FinishRequest)
     return finish
 
 
 def datagrams(effects: list[Effect]) -> list[SendDatagram]:
-    """Pick the datagrams."""
+    """Return the sent datagrams."""
     return only(effects, SendDatagram)
