--- a/packages/turmericweir-core/turmericweir_core/limits/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the rate limits of customers and teams over all instances."""
+"""Rate limits of customers and teams, divided over all instances."""
--- a/packages/turmericweir-core/turmericweir_core/limits/limit.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit.py
@@ -1,17 +1,18 @@
-"""Rate limits of customers and teams, over all instances: requests and tokens a second.
+"""Rate limits of customers and teams over all instances: requests and tokens per second.
 
-An instance holds a leased share of each limit that its callers draw on, as a token bucket, and
-sends no message for a request. It tells the subject's home (`limit_home`) when its callers' demand
-has changed by more than chance explains, and renews the lease now and then; the home answers with
-the share, and calls shares back when somebody else needs them.
+An instance holds a leased share of each limit that its callers use, as a token bucket, and sends no
+message for a request. It sends its demand to the subject's home (`limit_home`) when the demand
+changes by more than random variation, and renews the lease from time to time; the home answers with
+the share, and reclaims shares that other instances need.
 
-Where nobody answers: a share goes on until its lease ends, and shrinks then to no more than an even
-split of the limit over the instances. Behind a partition each side has its own homes, and each
-hands out only the part of the limit that its instances are of all that were last known.
+Without an answer, a share is valid until its lease ends, and then shrinks to an even split of the
+limit over the instances at most. In a partition each side has its own homes, and each grants only
+the part of the limit that corresponds to its part of all known instances.
 
-Tokens are charged at admission by the predicted length and settled by what was delivered. A bucket
-may go into debt by one request, so the overshoot is bounded by the depth of all buckets and what is
-admitted until a new division has reached everybody; docs/design/limits.md has the figures.
+Tokens are charged at admission by the predicted length and corrected by the delivered tokens. A
+bucket may go into debt by one request. The overshoot is therefore bounded by the depth of all
+buckets and by what is admitted until a new division has reached all instances; see
+docs/design/limits.md.
 """
 
 from __future__ import annotations
@@ -52,7 +53,7 @@
 
 
 class LimitRefusal(Struct, frozen=True):
-    """Why a request is over a limit, and when the bucket admits again."""
+    """Which limit a request exceeds, and when the bucket admits requests again."""
 
     reason: Reason
     retry_after_s: float
@@ -62,36 +63,36 @@
 
 
 def charge(state: State, now: float, req: Request) -> LimitRefusal | None:
-    """Charge an arriving request to its customer and team, or say why it is refused."""
+    """Charge a request to its customer and team; return the refusal if a limit is exceeded."""
     keys = _subjects(state, req)
     if not keys:
         return None
-    tokens = _predicted(state, req)
-    holdings = [_use(state, now, key, tokens) for key in keys]
+    tokens = _predicted_tokens(state, req)
+    holdings = [_record_use(state, now, key, tokens) for key in keys]
     for key, holding in zip(keys, holdings, strict=True):
-        wait_s = max((each.bucket.wait_s() for each in holding.quantities()), default=0.0)
-        if any(each.bucket.level <= 0 for each in holding.quantities()):
+        wait_s = max((quantity.bucket.wait_s() for quantity in holding.quantities()), default=0.0)
+        if any(quantity.bucket.level <= 0 for quantity in holding.quantities()):
             state.rate_limits.refused += 1
             reason = Reason.TEAM_LIMIT if is_team(key) else Reason.CUSTOMER_LIMIT
-            return LimitRefusal(reason, _retry_after(state, wait_s))
+            return LimitRefusal(reason, _retry_after_s(state, wait_s))
     for holding in holdings:
-        _take(holding, 1.0, tokens)
+        _draw_both(holding, 1.0, tokens)
     state.rate_limits.charges[req.request_id] = Charge(tuple(keys), tokens)
     return None
 
 
 def settle(state: State, now: float, req: Request, outcome: Outcome) -> None:
-    """Replace what was charged for an ended request by what it used."""
-    charged = state.rate_limits.charges.pop(req.request_id, None)
-    if charged is None:
+    """Replace the charge of a finished request by its actual use."""
+    charge_record = state.rate_limits.charges.pop(req.request_id, None)
+    if charge_record is None:
         return
     requests = -1.0 if outcome is Outcome.NOT_RUN else 0.0
-    for key in charged.keys:
+    for key in charge_record.keys:
         holding = state.rate_limits.held.get(key)
         if holding is not None:
             for quantity in holding.quantities():
                 quantity.bucket.refill(now)
-            _take(holding, requests, req.delivered - charged.tokens)
+            _draw_both(holding, requests, req.delivered - charge_record.tokens)
 
 
 def _subjects(state: State, req: Request) -> list[SubjectKey]:
@@ -104,28 +105,28 @@
     return keys
 
 
-def _predicted(state: State, req: Request) -> float:
+def _predicted_tokens(state: State, req: Request) -> float:
     if req.kind is Kind.PLAIN:
         return 0.0
     predicted = req.predicted_tokens or state.options.predict_default
     return predicted if req.max_tokens is None else min(predicted, float(req.max_tokens))
 
 
-def _use(state: State, now: float, key: SubjectKey, tokens: float) -> Holding:
-    """Count a request in the demand of a subject and bring its buckets up to date."""
+def _record_use(state: State, now: float, key: SubjectKey, tokens: float) -> Holding:
+    """Add a request to the demand of a subject and update its buckets."""
     limits = state.rate_limits
     holding = limits.held.get(key)
     if holding is None:
         holding = limits.held[key] = Holding()
-    _match_limit(state, now, key, holding)
+    _apply_limit(state, now, key, holding)
     holding.used_at = now
-    _count(state, now, holding.requests, 1.0)
-    _count(state, now, holding.tokens, tokens)
+    _add_demand(state, now, holding.requests, 1.0)
+    _add_demand(state, now, holding.tokens, tokens)
     limits.touched.add(key)
     return holding
 
 
-def _count(state: State, now: float, quantity: Quantity | None, size: float) -> None:
+def _add_demand(state: State, now: float, quantity: Quantity | None, size: float) -> None:
     if quantity is None:
         return
     options = state.options
@@ -137,16 +138,20 @@
         demand.add(size, options.rate_slow_s, options.rate_fast_s)
 
 
-def _match_limit(state: State, now: float, key: SubjectKey, holding: Holding) -> None:
-    """Bring a holding in line with the limit that is set now."""
-    limit = limit_home.limit_of(state, key)
+def _apply_limit(state: State, now: float, key: SubjectKey, holding: Holding) -> None:
+    """Update a holding to the limit in the settings."""
+    limit = limit_home.subject_limit(state, key)
     split = _reach(state, now).split
     first_size = state.options.predict_default
-    holding.requests = _matched(state, now, holding.requests, limit.requests_s, split, 1.0)
-    holding.tokens = _matched(state, now, holding.tokens, limit.tokens_s, split, first_size)
+    holding.requests = _quantity_for_limit(
+        state, now, holding.requests, limit.requests_s, split, 1.0
+    )
+    holding.tokens = _quantity_for_limit(
+        state, now, holding.tokens, limit.tokens_s, split, first_size
+    )
 
 
-def _matched(
+def _quantity_for_limit(
     state: State,
     now: float,
     quantity: Quantity | None,
@@ -157,17 +162,17 @@
     if limit is None:
         return None
     if quantity is None:
-        # One request gets through before the home has answered; the rest go by an even split.
-        even = limit / split
-        bucket = Bucket(even, _depth(state, even, unit), unit, now)
+        # One request is admitted before the home answers; the rest use an even split.
+        even_rate = limit / split
+        bucket = Bucket(even_rate, _depth(state, even_rate, unit), unit, now)
         return Quantity(bucket, Demand(now, unit=unit))
     if quantity.bucket.rate > limit:
-        # The limit was lowered; the home follows when it is asked next.
+        # The limit was lowered; the home applies it at the next request for a share.
         quantity.bucket.set_rate(now, limit, quantity.bucket.depth)
     return quantity
 
 
-def _take(holding: Holding, requests: float, tokens: float) -> None:
+def _draw_both(holding: Holding, requests: float, tokens: float) -> None:
     if holding.requests is not None:
         _draw(holding.requests.bucket, requests)
     if holding.tokens is not None:
@@ -178,7 +183,7 @@
     bucket.level = min(bucket.depth, bucket.level - amount)
 
 
-def _retry_after(state: State, wait_s: float) -> float:
+def _retry_after_s(state: State, wait_s: float) -> float:
     options = state.options
     return min(options.retry_after_max_s, max(options.retry_after_min_s, wait_s))
 
@@ -187,7 +192,7 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Ask for the shares that are due, and send those that this instance is home for."""
+    """Request the shares that are due, and send those that this instance grants as home."""
     limits = state.rate_limits
     if not limits.held and not limits.home:
         return []
@@ -199,12 +204,12 @@
         keys = list(limits.held)
     demands: dict[InstanceName, list[LimitDemand]] = {}
     for key in keys:
-        _review(state, now, key, demands)
-    effects = _ask_all(state, now, demands)
-    return effects + _send_shares(state, now, limit_home.due_shares(state, now))
+        _review_holding(state, now, key, demands)
+    effects = _request_shares(state, now, demands)
+    return effects + _send_shares(state, now, limit_home.rebalanced_shares(state, now))
 
 
-def _review(
+def _review_holding(
     state: State, now: float, key: SubjectKey, demands: dict[InstanceName, list[LimitDemand]]
 ) -> None:
     limits = state.rate_limits
@@ -213,26 +218,26 @@
         del limits.held[key]
         return
     if now >= holding.valid_until:
-        _shrink(state, now, key, holding)
+        _shrink_share(state, now, key, holding)
     home = _home(state, key)
-    if home != holding.home or _is_due(state, now, holding):
-        demands.setdefault(home, []).append(_demand(state, now, key, holding))
-        _note_asked(state, now, holding, home)
+    if home != holding.home or _is_request_due(state, now, holding):
+        demands.setdefault(home, []).append(_demand_message(state, now, key, holding))
+        _record_request(state, now, holding, home)
 
 
 def _is_idle(state: State, now: float, key: SubjectKey, holding: Holding) -> bool:
-    if limit_home.limit_of(state, key) == NO_LIMIT:
+    if limit_home.subject_limit(state, key) == NO_LIMIT:
         return True
     return now - holding.used_at > state.options.rate_lease_s
 
 
-def _is_due(state: State, now: float, holding: Holding) -> bool:
+def _is_request_due(state: State, now: float, holding: Holding) -> bool:
     options = state.options
     if holding.asked_at is not None:
         return now - holding.asked_at >= holding.answer_wait_s
     if now >= holding.ask_due:
         return now - holding.used_at <= options.rate_idle_s
-    return any(_has_changed(state, now, each) for each in holding.quantities())
+    return any(_has_changed(state, now, quantity) for quantity in holding.quantities())
 
 
 def _has_changed(state: State, now: float, quantity: Quantity) -> bool:
@@ -245,17 +250,17 @@
     return abs(rate - quantity.told) > options.rate_change_share * larger + noise
 
 
-def _demand(state: State, now: float, key: SubjectKey, holding: Holding) -> LimitDemand:
+def _demand_message(state: State, now: float, key: SubjectKey, holding: Holding) -> LimitDemand:
     return LimitDemand(
         key=key,
-        requests=_told(state, now, holding.requests),
-        tokens=_told(state, now, holding.tokens),
-        held_requests=_held(holding, holding.requests),
-        held_tokens=_held(holding, holding.tokens),
+        requests=_report_rate(state, now, holding.requests),
+        tokens=_report_rate(state, now, holding.tokens),
+        held_requests=_held_rate(holding, holding.requests),
+        held_tokens=_held_rate(holding, holding.tokens),
     )
 
 
-def _told(state: State, now: float, quantity: Quantity | None) -> float:
+def _report_rate(state: State, now: float, quantity: Quantity | None) -> float:
     if quantity is None:
         return 0.0
     options = state.options
@@ -265,45 +270,44 @@
     return round(rate, 4)
 
 
-def _held(holding: Holding, quantity: Quantity | None) -> float:
+def _held_rate(holding: Holding, quantity: Quantity | None) -> float:
     if quantity is None or not holding.home:
         return 0.0
     return round(quantity.bucket.rate, 4)
 
 
-def _note_asked(state: State, now: float, holding: Holding, home: InstanceName) -> None:
+def _record_request(state: State, now: float, holding: Holding, home: InstanceName) -> None:
     options = state.options
-    unanswered = holding.asked_at is not None and holding.home == home
-    wait_s = min(2 * holding.answer_wait_s, options.rate_answer_max_s) if unanswered else 0.0
+    is_unanswered = holding.asked_at is not None and holding.home == home
+    wait_s = min(2 * holding.answer_wait_s, options.rate_answer_max_s) if is_unanswered else 0.0
     holding.answer_wait_s = wait_s or options.rate_answer_s
     holding.asked_at = now
     holding.home = home
 
 
-def _shrink(state: State, now: float, key: SubjectKey, holding: Holding) -> None:
-    """Go on without a lease: the home may count this share as free again."""
-    limit = limit_home.limit_of(state, key)
+def _shrink_share(state: State, now: float, key: SubjectKey, holding: Holding) -> None:
+    """Reduce a share without a lease, which the home may have granted to others."""
+    limit = limit_home.subject_limit(state, key)
     split = _reach(state, now).split
-    for quantity, most in _with_limit(holding, limit):
-        rate = min(quantity.bucket.rate, most / split)
+    for quantity, max_rate in _with_limit(holding, limit):
+        rate = min(quantity.bucket.rate, max_rate / split)
         if rate < quantity.bucket.rate:
             quantity.bucket.set_rate(now, rate, _depth(state, rate, quantity.demand.unit))
 
 
 def _with_limit(holding: Holding, limit: Limit) -> list[tuple[Quantity, float]]:
-    found: list[tuple[Quantity, float]] = []
+    limited: list[tuple[Quantity, float]] = []
     if holding.requests is not None and limit.requests_s is not None:
-        found.append((holding.requests, limit.requests_s))
+        limited.append((holding.requests, limit.requests_s))
     if holding.tokens is not None and limit.tokens_s is not None:
-        found.append((holding.tokens, limit.tokens_s))
-    return found
+        limited.append((holding.tokens, limit.tokens_s))
+    return limited
 
 
 def _depth(state: State, rate: float, unit: float) -> float:
-    """Give the depth of a bucket: a burst of its rate, and never less than a few requests.
+    """Return the depth of a bucket: a burst at its rate, and at least a few requests.
 
-    Chance alone brings requests in twos and threes to an instance whose share is a request every
-    few seconds; a bucket that held but one would refuse them far below the limit.
+    Prevents refusals far below the limit when a small share receives a few requests at once.
     """
     options = state.options
     return max(rate * options.rate_burst_s, options.rate_depth_min * unit)
@@ -312,29 +316,29 @@
 # --- messages --------------------------------------------------------------------------------
 
 
-def on_ask(state: State, now: float, sender: InstanceName, ask: LimitAsk) -> list[Effect]:
-    """Answer an instance that takes this one for the home of its subjects."""
+def on_ask(state: State, now: float, sender: InstanceName, request: LimitAsk) -> list[Effect]:
+    """Answer an instance that considers this one the home of its subjects."""
     _reach(state, now)
-    shares = [limit_home.on_demand(state, now, sender, each) for each in ask.demands]
+    shares = [limit_home.on_demand(state, now, sender, each) for each in request.demands]
     return _send_shares(state, now, [(sender, each) for each in shares if each is not None])
 
 
 def on_grant(state: State, now: float, sender: InstanceName, grant: LimitGrant) -> list[Effect]:
-    """Take shares from a home."""
+    """Apply shares from a home."""
     for share in grant.shares:
         holding = state.rate_limits.held.get(SubjectKey(share.key))
-        # One from a home that is no longer asked is stale: both would be used otherwise.
+        # A share from a former home is stale. Prevents the use of two shares.
         if holding is not None and holding.home == sender:
-            _take_share(state, now, holding, share)
+            _apply_share(state, now, holding, share)
     return []
 
 
-def _take_share(state: State, now: float, holding: Holding, share: LimitShare) -> None:
+def _apply_share(state: State, now: float, holding: Holding, share: LimitShare) -> None:
     options = state.options
     holding.asked_at = None
     holding.answer_wait_s = 0.0
     holding.valid_until = now + options.rate_lease_s
-    # Spread out, so that the renewals after a restart of many do not come all at once for ever.
+    # Random, so that renewals do not stay synchronized after a restart of many instances.
     holding.ask_due = now + options.rate_renew_s * (0.8 + 0.4 * state.rng.random())
     _set_share(state, now, holding.requests, share.requests)
     _set_share(state, now, holding.tokens, share.tokens)
@@ -346,13 +350,13 @@
         quantity.bucket.set_rate(now, rate, depth)
 
 
-def _ask_all(
+def _request_shares(
     state: State, now: float, demands: dict[InstanceName, list[LimitDemand]]
 ) -> list[Effect]:
     effects: list[Effect] = []
-    for home, asked in demands.items():
+    for home, home_demands in demands.items():
         address = state.rate_limits.reach.addresses.get(home, "")
-        for batch in _batches(state, asked):
+        for batch in _batches(state, home_demands):
             if home == state.me.name:
                 effects += on_ask(state, now, home, LimitAsk(batch))
             else:
@@ -378,12 +382,12 @@
 
 
 def _batches(state: State, items: list[ItemT]) -> list[list[ItemT]]:
-    """Cut a list so that each part fits one datagram."""
+    """Split a list into parts that fit one datagram."""
     size = state.options.rate_batch
     return [items[start : start + size] for start in range(0, len(items), size)]
 
 
-# --- who takes part --------------------------------------------------------------------------
+# --- homes and live instances -----------------------------------------------------------------
 
 
 def _home(state: State, key: SubjectKey) -> InstanceName:
@@ -396,29 +400,29 @@
 
 
 def _reach(state: State, now: float) -> Reach:
-    """Look up who is live, once a second at the most: hashing over 320 names is not free."""
+    """Return the live instances, updated at a fixed interval to limit the cost of hashing."""
     limits: LimitState = state.rate_limits
     reach = limits.reach
     if now - reach.at < state.options.rate_reach_s:
         return reach
     live = membership.live_instances(state, now)
-    addresses = {each.name: each.peer_address for each in live}
-    away = _out_of_reach(state, now)
+    addresses = {member.name: member.peer_address for member in live}
+    unreachable = _unreachable_instances(state, now)
     if addresses.keys() != reach.addresses.keys():
         reach.homes = {}
-        limit_home.note_gone(state)
+        limit_home.mark_all_changed(state)
     reach.at = now
     reach.addresses = addresses
-    reach.part = len(live) / (len(live) + away)
-    reach.split = len(live) + away
+    reach.part = len(live) / (len(live) + unreachable)
+    reach.split = len(live) + unreachable
     return reach
 
 
-def _out_of_reach(state: State, now: float) -> int:
-    """Count the instances of data centres that are cut off, which go on with their own part."""
-    keep_s = state.options.rate_hold_s
+def _unreachable_instances(state: State, now: float) -> int:
+    """Return the number of instances in unreachable data centres, which use their own part."""
+    hold_s = state.options.rate_hold_s
     return sum(
         view.live
         for view in membership.data_centres(state, now)
-        if not view.reachable and now - view.heard_at <= keep_s
+        if not view.reachable and now - view.heard_at <= hold_s
     )
--- a/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
@@ -1,15 +1,15 @@
-"""The home of a limited customer or team: it divides the limit among the instances that asked.
-
-Every subject has one home, by rendezvous hashing over the live instances. It is soft: while
-instances disagree on who is live there may be two, and for a moment a limit is handed out twice; a
-home that is new therefore grants nobody more than it says to hold already, until all have asked.
-
-A limit is divided by demand. While there is demand to spare, each asker gets its demand and an even
-part of the rest, so that a sudden caller meets a share that is not empty. (A part in proportion to
-its demand would move everybody's share with each change of anybody's: ten times the messages.)
-Above the limit each gets its proportion. What is granted never exceeds the limit in all:
-who asks for more gets what is free at once, and the rest when shares were called back from those
-who hold more than theirs.
+"""The home of a limited customer or team: it divides the limit among the instances that request it.
+
+Every subject has one home, by rendezvous hashing over the live instances. While instances disagree
+on the live ones there may be two, and a limit may be granted twice for a short time. A new home
+therefore grants each instance no more than it reports to hold, or an even share, until all have
+sent a request.
+
+A limit is divided by demand. Below the limit, each asker gets its demand and an even part of the
+rest, so that new demand finds a share. (With proportional parts, each change of one demand would
+change every share and cost far more messages.) Above the limit each gets its proportion. The sum of
+all grants never exceeds the limit: an instance that requests more gets what is free at once, and
+the rest after shares were reclaimed from others.
 """
 
 from __future__ import annotations
@@ -34,30 +34,30 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Share of a limit that sums of floating point numbers may be off by.
-_ROUNDING: Final = 1e-6
-# Share of a limit that may stay with nobody.
+# Share of a limit that rounding errors of sums may reach.
+_ROUNDING_SHARE: Final = 1e-6
+# Share of a limit that may remain unassigned.
 _IDLE_SHARE: Final = 0.05
 
 
 class Division(Struct, frozen=True):
-    """How one quantity of a limit would be divided at the moment, had everybody just asked."""
+    """The division of one quantity of a limit by the current demands."""
 
-    # What there is to hand out.
+    # The total to divide.
     pool: float
     # Sum of all demands.
     demand: float
     askers: int
 
     def share(self, demand: float) -> float:
-        """Give the share of an asker."""
+        """Return the share of an asker."""
         if self.demand > self.pool:
             return self.pool * demand / self.demand
         return demand + (self.pool - self.demand) / self.askers
 
 
-def limit_of(state: State, key: SubjectKey) -> Limit:
-    """Look up the limit of a subject in the settings in force."""
+def subject_limit(state: State, key: SubjectKey) -> Limit:
+    """Return the limit of a subject in the settings."""
     name = subject_name(key)
     if is_team(key):
         return state.config.teams.get(name, NO_LIMIT)
@@ -68,59 +68,59 @@
 def on_demand(
     state: State, now: float, asker: InstanceName, demand: LimitDemand
 ) -> LimitShare | None:
-    """Take an instance's demand and answer with its share."""
+    """Record an instance's demand and return its share."""
     key = SubjectKey(demand.key)
-    limit = limit_of(state, key)
+    limit = subject_limit(state, key)
     if limit == NO_LIMIT:
         return None
     home = state.rate_limits.home.get(key)
     if home is None:
         home = state.rate_limits.home[key] = HomeSubject(since=now)
-    known = home.askers.get(asker)
-    if known is None:
-        known = home.askers[asker] = Asker()
-    known.heard_at = now
-    known.requests.demand = max(0.0, demand.requests)
-    known.tokens.demand = max(0.0, demand.tokens)
+    asker_state = home.askers.get(asker)
+    if asker_state is None:
+        asker_state = home.askers[asker] = Asker()
+    asker_state.heard_at = now
+    asker_state.requests.demand = max(0.0, demand.requests)
+    asker_state.tokens.demand = max(0.0, demand.tokens)
     home.changed = True
-    learning = now - home.since < state.options.rate_learn_s
-    for each, held, most, others in (
-        (known.requests, demand.held_requests, limit.requests_s, _requests(home)),
-        (known.tokens, demand.held_tokens, limit.tokens_s, _tokens(home)),
+    is_learning = now - home.since < state.options.rate_learn_s
+    for claim, held_rate, max_rate, claims in (
+        (asker_state.requests, demand.held_requests, limit.requests_s, _requests(home)),
+        (asker_state.tokens, demand.held_tokens, limit.tokens_s, _tokens(home)),
     ):
-        if most is not None:
-            _grant(state, each, most, others, max(0.0, held) if learning else None)
-    return _message(key, limit, known)
+        if max_rate is not None:
+            _grant(state, claim, max_rate, claims, max(0.0, held_rate) if is_learning else None)
+    return _share_message(key, limit, asker_state)
 
 
 def _requests(home: HomeSubject) -> list[Claim]:
-    return [each.requests for each in home.askers.values()]
+    return [asker.requests for asker in home.askers.values()]
 
 
 def _tokens(home: HomeSubject) -> list[Claim]:
-    return [each.tokens for each in home.askers.values()]
+    return [asker.tokens for asker in home.askers.values()]
 
 
 def _grant(
-    state: State, asker: Claim, limit: float, claims: list[Claim], held: float | None
+    state: State, asker: Claim, limit: float, claims: list[Claim], held_rate: float | None
 ) -> None:
-    """Grant what is wanted, as far as it is free; the next rebalancing frees the rest."""
+    """Grant the wanted share as far as it is free; the next rebalancing frees the rest."""
     division = _divide(state, limit, claims)
     wanted = division.share(asker.demand)
-    free = division.pool - sum(each.granted for each in claims if each is not asker)
-    if held is not None:
-        # Others may hold shares from the home before, which this one has not heard of yet.
-        even = division.pool / max(1, len(state.rate_limits.reach.addresses))
-        free = min(free, max(held, even))
+    free = division.pool - sum(claim.granted for claim in claims if claim is not asker)
+    if held_rate is not None:
+        # Others may hold shares from the previous home that are unknown here.
+        even_share = division.pool / max(1, len(state.rate_limits.reach.addresses))
+        free = min(free, max(held_rate, even_share))
     asker.granted = min(wanted, max(0.0, free))
 
 
 def _divide(state: State, limit: float, claims: list[Claim]) -> Division:
     pool = limit * state.rate_limits.reach.part
-    return Division(pool, sum(each.demand for each in claims), max(1, len(claims)))
+    return Division(pool, sum(claim.demand for claim in claims), max(1, len(claims)))
 
 
-def _message(key: SubjectKey, limit: Limit, asker: Asker) -> LimitShare:
+def _share_message(key: SubjectKey, limit: Limit, asker: Asker) -> LimitShare:
     requests = -1.0 if limit.requests_s is None else round(asker.requests.granted, 3)
     tokens = -1.0 if limit.tokens_s is None else round(asker.tokens.granted, 3)
     return LimitShare(key, requests, tokens)
@@ -129,84 +129,86 @@
 # --- rebalancing -----------------------------------------------------------------------------
 
 
-def due_shares(state: State, now: float) -> list[tuple[InstanceName, LimitShare]]:
-    """Move shares to those who lack them, and list the ones that are to be sent."""
-    found: list[tuple[InstanceName, LimitShare]] = []
+def rebalanced_shares(state: State, now: float) -> list[tuple[InstanceName, LimitShare]]:
+    """Rebalance the changed limits, and return the shares that have to be sent."""
+    shares: list[tuple[InstanceName, LimitShare]] = []
     for key, home in list(state.rate_limits.home.items()):
         if now < home.push_due or not home.changed:
             continue
         home.push_due = now + state.options.rate_push_s
-        _drop_gone(state, now, home)
+        _drop_inactive(state, now, home)
         if not home.askers:
             del state.rate_limits.home[key]
             continue
-        # A new home divides nothing anew before everyone has had time to ask.
+        # A new home rebalances only after all instances had time to send a request.
         home.changed = now - home.since < state.options.rate_learn_s
         if not home.changed:
-            found += _moved(state, key, home)
-    return found
+            shares += _changed_shares(state, key, home)
+    return shares
 
 
-def note_gone(state: State) -> None:
-    """Divide all limits anew at the next tick: somebody came or went."""
+def mark_all_changed(state: State) -> None:
+    """Divide all limits again at the next tick, as the live instances have changed."""
     for home in state.rate_limits.home.values():
         home.changed = True
 
 
-def _drop_gone(state: State, now: float, home: HomeSubject) -> None:
+def _drop_inactive(state: State, now: float, home: HomeSubject) -> None:
     live = state.rate_limits.reach.addresses
     for name, asker in list(home.askers.items()):
         if name not in live or now - asker.heard_at > state.options.rate_lease_s:
             del home.askers[name]
 
 
-def _moved(
+def _changed_shares(
     state: State, key: SubjectKey, home: HomeSubject
 ) -> list[tuple[InstanceName, LimitShare]]:
-    limit = limit_of(state, key)
-    before = [(each.requests.granted, each.tokens.granted) for each in home.askers.values()]
-    for most, claims in (
+    limit = subject_limit(state, key)
+    previous = [
+        (asker_state.requests.granted, asker_state.tokens.granted)
+        for asker_state in home.askers.values()
+    ]
+    for max_rate, claims in (
         (limit.requests_s, _requests(home)),
         (limit.tokens_s, _tokens(home)),
     ):
-        if most is not None:
-            rebalance(_divide(state, most, claims), claims, state.options.rate_push_factor)
+        if max_rate is not None:
+            rebalance(_divide(state, max_rate, claims), claims, state.options.rate_push_factor)
     return [
-        (name, _message(key, limit, asker))
-        for (name, asker), old in zip(home.askers.items(), before, strict=True)
-        if (asker.requests.granted, asker.tokens.granted) != old
+        (name, _share_message(key, limit, asker))
+        for (name, asker), previous_grant in zip(home.askers.items(), previous, strict=True)
+        if (asker.requests.granted, asker.tokens.granted) != previous_grant
     ]
 
 
 def rebalance(division: Division, claims: list[Claim], factor: float) -> None:
-    """Give those who hold much less than their share what they lack, at the cost of a few.
+    """Move shares to claims that hold much less than theirs, from as few others as possible.
 
-    Every share that moves is a message. Were everybody to give an even part, one instance whose
-    demand rose would cost a message to each of the others; so a few give more, down to a little
-    below their share, and nobody moves for a difference that chance alone makes.
+    Each changed share costs a message. A few claims therefore give up shares, down to slightly
+    below their own, and differences within random variation are ignored.
     """
-    wanted = {id(each): division.share(each.demand) for each in claims}
-    starved = [each for each in claims if each.granted * factor < wanted[id(each)]]
-    free = division.pool - sum(each.granted for each in claims)
-    lacking = sum(wanted[id(each)] - each.granted for each in starved) - free
-    floor = {id(each): wanted[id(each)] / sqrt(factor) for each in claims}
-    for each in sorted(claims, key=lambda each: floor[id(each)] - each.granted):
-        if lacking <= division.pool * _ROUNDING or each.granted <= floor[id(each)]:
+    wanted = {id(claim): division.share(claim.demand) for claim in claims}
+    starved = [claim for claim in claims if claim.granted * factor < wanted[id(claim)]]
+    free = division.pool - sum(claim.granted for claim in claims)
+    missing = sum(wanted[id(claim)] - claim.granted for claim in starved) - free
+    floor = {id(claim): wanted[id(claim)] / sqrt(factor) for claim in claims}
+    for claim in sorted(claims, key=lambda claim: floor[id(claim)] - claim.granted):
+        if missing <= division.pool * _ROUNDING_SHARE or claim.granted <= floor[id(claim)]:
             break
-        lacking -= each.granted - floor[id(each)]
-        each.granted = floor[id(each)]
-    # Where the others could not give it all, everyone who lacks gets the same part of it.
-    needed = sum(wanted[id(each)] - each.granted for each in starved)
-    part = 1.0 if needed <= 0 else min(1.0, max(0.0, needed - max(0.0, lacking)) / needed)
-    for each in starved:
-        each.granted += part * (wanted[id(each)] - each.granted)
-    free = division.pool - sum(each.granted for each in claims)
+        missing -= claim.granted - floor[id(claim)]
+        claim.granted = floor[id(claim)]
+    # If the other claims cannot free enough, all starved claims get the same fraction.
+    needed = sum(wanted[id(claim)] - claim.granted for claim in starved)
+    fraction = 1.0 if needed <= 0 else min(1.0, max(0.0, needed - max(0.0, missing)) / needed)
+    for claim in starved:
+        claim.granted += fraction * (wanted[id(claim)] - claim.granted)
+    free = division.pool - sum(claim.granted for claim in claims)
     if free <= _IDLE_SHARE * division.pool:
         return
-    # What demand left behind where it fell must not lie idle, though nobody lacks much.
-    for each in sorted(claims, key=lambda each: each.granted - wanted[id(each)]):
-        given = min(free, wanted[id(each)] - each.granted)
-        if given <= 0:
+    # Shares that fallen demand has freed must not remain unassigned.
+    for claim in sorted(claims, key=lambda claim: claim.granted - wanted[id(claim)]):
+        amount = min(free, wanted[id(claim)] - claim.granted)
+        if amount <= 0:
             break
-        each.granted += given
-        free -= given
+        claim.granted += amount
+        free -= amount
