--- a/packages/turmericweir-core/turmericweir_core/duties/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Duties of one instance at a time: reporting usage and ordering servers."""
+"""Work that one instance does for all: usage reports and orders of servers."""
--- a/packages/turmericweir-core/turmericweir_core/duties/capacity.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity.py
@@ -1,10 +1,10 @@
-"""Order servers as the demand asks for, as the holder of the lease of the duties.
+"""Order servers according to demand, as the holder of the lease of the duties.
 
-The demand is that which all instances tell each other for the split of engines (`engine_pools`):
-milliseconds of an engine's work a second, by service. From it follows how many engines are needed,
-with room for bursts; more are ordered at once, fewer only when they were not needed for some time.
-`capacity_plan` says of which kind and where. Orders name a number and not a step, so one that is
-carried out late is made up for by repeating the newest.
+The demand comes from the load updates of all instances (`engine_pools`): milliseconds of an
+engine's work per second, by service. It determines how many engines are needed, with room for
+bursts. Additional engines are ordered at once; fewer are ordered only after the need has been lower
+for some time. `capacity_plan` divides the number by kind and data centre. An order states a total,
+so repeating the newest order corrects any delayed one.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 from turmericweir_core.base.config import Capacity, Service
 from turmericweir_core.duties import capacity_plan, election
-from turmericweir_core.duties.capacity_plan import Present
+from turmericweir_core.duties.capacity_plan import PresentServers
 from turmericweir_core.engines import engine_pools
 from turmericweir_core.leases import lease_flow
 from turmericweir_core.messages.effects import Count, Effect, Log, OrderServers
@@ -24,160 +24,183 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Between two looks at what is needed.
-_LOOK_S: Final = 0.5
-# Part of their time that engines are planned to work; the rest is for bursts and lost engines.
-_BUSY_SHARE: Final = 0.35
-# A need is kept for so long after it was seen.
-_KEEP_S: Final = 15.0
-# A holder that has followed the demand for less than this orders nothing down.
-_WATCH_S: Final = 10.0
-# Before any demand was seen: spot servers to have for each server that was there at the start.
-# Their caches are empty, and nothing is known of what comes.
+# Interval between two evaluations.
+_EVALUATION_INTERVAL_S: Final = 0.5
+# Planned utilization of engines; the rest is for bursts and failed engines.
+_TARGET_UTILIZATION: Final = 0.35
+# Time for which the highest need is kept.
+_NEED_RETENTION_S: Final = 15.0
+# Time that a new holder observes the demand before it orders fewer servers.
+_OBSERVATION_S: Final = 10.0
+# Spot servers for each server at the start, before any demand is known; their caches are empty.
 _START_FACTOR: Final = 2.0
-# An order is repeated where it has not come true so long after the servers should be there.
-_REPEAT_S: Final = 5.0
-# Where none were to be had, none are asked for again for so long.
-_DRY_S: Final = 6.0
-# Orders that are under way at once.
-_CALLS_MAX: Final = 4
-_MS: Final = 1000.0
+# Time after the boot time after which an unfulfilled order is repeated.
+_ORDER_REPEAT_S: Final = 5.0
+# Pause of orders after the platform had no spot servers left.
+_UNAVAILABLE_S: Final = 6.0
+# Largest number of pending orders.
+_PENDING_ORDERS_MAX: Final = 4
+_MS_PER_S: Final = 1000.0
 
-Subject = tuple[str, str, bool]
+OrderSubject = tuple[str, str, bool]
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Compare what is there with what is wanted, and order the difference."""
-    book = _book(state)
+    """Compare the present servers with the wanted ones, and order the difference."""
+    capacity_state = _capacity(state)
     if not lease_flow.is_own(state, election.SCOPE):
-        book.since = None
+        capacity_state.since = None
         return []
-    if now < book.look_due or state.servers.listed_at is None:
+    if now < capacity_state.look_due or state.servers.listed_at is None:
         return []
-    book.look_due = now + _LOOK_S
-    if book.since is None:
-        book.since = now
+    capacity_state.look_due = now + _EVALUATION_INTERVAL_S
+    if capacity_state.since is None:
+        capacity_state.since = now
     effects: list[Effect] = []
     for service in state.config.services.values():
         if service.capacity is not None:
-            effects += _look_at(state, now, service, service.capacity)
+            effects += _evaluate_service(state, now, service, service.capacity)
     return effects
 
 
-def _look_at(state: State, now: float, service: Service, capacity: Capacity) -> list[Effect]:
-    present = _present(state, service, capacity)
-    needed = _needed(state, now, service, present)
-    dry = frozenset(name for name in present if _is_dry(state, now, (service.name, name, True)))
-    kept = _book(state).kept.setdefault(
-        service.name, {name: each.lasting + each.spot for name, each in present.items()}
+def _evaluate_service(
+    state: State, now: float, service: Service, capacity: Capacity
+) -> list[Effect]:
+    present = _present_servers(state, service, capacity)
+    needed = _needed_engines(state, now, service, present)
+    unavailable = frozenset(
+        name for name in present if _is_unavailable(state, now, (service.name, name, True))
+    )
+    initial_counts = _capacity(state).kept.setdefault(
+        service.name,
+        {name: servers.lasting + servers.spot for name, servers in present.items()},
+    )
+    wanted = capacity_plan.plan_servers(
+        capacity, present, needed, initial_counts=initial_counts, unavailable=unavailable
     )
-    wanted = capacity_plan.plan(capacity, present, needed, kept=kept, dry=dry)
     effects: list[Effect] = []
-    for name, each in wanted.items():
-        there = present[name]
-        for spot, count, has in (
-            (True, each.spot, there.spot),
-            (False, each.lasting, there.lasting),
+    for name, servers in wanted.items():
+        present_here = present[name]
+        for spot, wanted_count, present_count in (
+            (True, servers.spot, present_here.spot),
+            (False, servers.lasting, present_here.lasting),
         ):
-            effects += _order(state, now, capacity, (service.name, name, spot), count, has, needed)
+            effects += _order_servers(
+                state,
+                now,
+                capacity,
+                (service.name, name, spot),
+                wanted_count,
+                present_count,
+                needed,
+            )
     return effects
 
 
-def _present(state: State, service: Service, capacity: Capacity) -> dict[str, Present]:
-    names = {each.data_centre for each in state.servers.listed.values()} & set(capacity.prices)
+def _present_servers(
+    state: State, service: Service, capacity: Capacity
+) -> dict[str, PresentServers]:
+    names = {listed.data_centre for listed in state.servers.listed.values()} & set(capacity.prices)
     counts = {name: [0, 0] for name in (names or capacity.prices)}
     for entry in state.servers.listed.values():
         if entry.service == service.name and not entry.leaving and entry.data_centre in counts:
             counts[entry.data_centre][entry.spot] += 1
-    return {name: Present(lasting, spot) for name, (lasting, spot) in sorted(counts.items())}
+    return {name: PresentServers(lasting, spot) for name, (lasting, spot) in sorted(counts.items())}
 
 
 def count_servers(state: State, service: str, data_centre: str, *, spot: bool) -> tuple[int, int]:
-    """Count the servers of one kind that serve, and those that leave."""
-    found = [
+    """Return the numbers of serving and of leaving servers of one kind."""
+    leaving_flags = [
         entry.leaving
         for entry in state.servers.listed.values()
         if entry.service == service and entry.data_centre == data_centre and entry.spot is spot
     ]
-    return found.count(False), found.count(True)
+    return leaving_flags.count(False), leaving_flags.count(True)
 
 
-def _needed(state: State, now: float, service: Service, present: dict[str, Present]) -> int:
-    """Give the engines that are needed: the most of late, or those that are there."""
-    book = _book(state)
-    there = sum(each.lasting + each.spot for each in present.values())
+def _needed_engines(
+    state: State, now: float, service: Service, present: dict[str, PresentServers]
+) -> int:
+    """Return the number of needed engines: the recent maximum, or the present ones at first."""
+    capacity_state = _capacity(state)
+    present_count = sum(servers.lasting + servers.spot for servers in present.values())
     work_ms = engine_pools.total_work_ms(state, now, service.name)
-    seen = ceil(work_ms / (_MS * _BUSY_SHARE))
-    first = _first_need(service, there) if not seen else there
-    known, at = book.needed.get(service.name, (first, now))
-    if seen >= known or now - at >= _KEEP_S:
-        known, at = seen, now
-    if book.since is None or now - book.since < _WATCH_S:
-        known = max(known, book.needed.get(service.name, (known, now))[0])
-    book.needed[service.name] = (known, at)
-    return known
-
-
-def _first_need(service: Service, there: int) -> int:
+    current_need = ceil(work_ms / (_MS_PER_S * _TARGET_UTILIZATION))
+    initial_need = _first_need(service, present_count) if not current_need else present_count
+    recorded_need, recorded_at = capacity_state.needed.get(service.name, (initial_need, now))
+    if current_need >= recorded_need or now - recorded_at >= _NEED_RETENTION_S:
+        recorded_need, recorded_at = current_need, now
+    if capacity_state.since is None or now - capacity_state.since < _OBSERVATION_S:
+        recorded_need = max(
+            recorded_need, capacity_state.needed.get(service.name, (recorded_need, now))[0]
+        )
+    capacity_state.needed[service.name] = (recorded_need, recorded_at)
+    return recorded_need
+
+
+def _first_need(service: Service, present_count: int) -> int:
     has_spot = service.capacity is not None and service.capacity.spot_share is not None
-    return ceil(_START_FACTOR * there) if has_spot else there
+    return ceil(_START_FACTOR * present_count) if has_spot else present_count
 
 
-def _is_dry(state: State, now: float, subject: Subject) -> bool:
-    order = _book(state).orders.get(subject)
+def _is_unavailable(state: State, now: float, subject: OrderSubject) -> bool:
+    order = _capacity(state).orders.get(subject)
     return order is not None and now < order.dry_until
 
 
-def _order(
+def _order_servers(
     state: State,
     now: float,
     capacity: Capacity,
-    subject: Subject,
+    subject: OrderSubject,
     count: int,
-    has: int,
+    present_count: int,
     needed: int,
 ) -> list[Effect]:
-    book, duties = _book(state), _duties(state)
-    before = book.orders.get(subject)
-    if before is None and count == has:
+    capacity_state, duties = _capacity(state), _duties(state)
+    previous = capacity_state.orders.get(subject)
+    if previous is None and count == present_count:
         return []
-    if before is not None:
-        if subject in book.calls.values() or now < before.dry_until:
+    if previous is not None:
+        if subject in capacity_state.calls.values() or now < previous.dry_until:
             return []
-        waited = now - before.at
-        is_done = count == has or waited < capacity.boot_s + _REPEAT_S
-        if before.count == count and before.is_taken and is_done:
+        waited_s = now - previous.at
+        is_done = count == present_count or waited_s < capacity.boot_s + _ORDER_REPEAT_S
+        if previous.count == count and previous.is_taken and is_done:
             return []
-        if before.count == count and waited < _LOOK_S:
+        if previous.count == count and waited_s < _EVALUATION_INTERVAL_S:
             return []
-    lease = election.held(state, now)
+    lease = election.usable_lease(state, now)
     if lease is None:
         lease_flow.rest(state, election.SCOPE, resting=False)
         return []
-    if len(book.calls) >= _CALLS_MAX:
+    if len(capacity_state.calls) >= _PENDING_ORDERS_MAX:
         return []
     duties.number += 1
     token = f"order-{duties.number}"
-    book.calls[token] = subject
-    book.orders[subject] = Ordered(count, now)
+    capacity_state.calls[token] = subject
+    capacity_state.orders[subject] = Ordered(count, now)
     service, data_centre, spot = subject
     fields = {"service": service, "data_centre": data_centre, "spot": spot, "count": count}
     return [
-        Log("servers_ordered", {**fields, "present": has, "needed": needed, "fence": lease.fence}),
+        Log(
+            "servers_ordered",
+            {**fields, "present": present_count, "needed": needed, "fence": lease.fence},
+        ),
         OrderServers(token, service, data_centre, count, spot, lease.fence, lease.expires_at),
     ]
 
 
 def on_answered(state: State, now: float, event: DutyAnswered) -> list[Effect]:
-    """Take how an order ended."""
-    book = _book(state)
-    subject = book.calls.pop(event.token, None)
+    """Record the outcome of an order."""
+    capacity_state = _capacity(state)
+    subject = capacity_state.calls.pop(event.token, None)
     if subject is None:
         return []
-    order = book.orders[subject]
+    order = capacity_state.orders[subject]
     order.is_taken = event.outcome is DutyOutcome.DONE
     if event.outcome is DutyOutcome.NONE_LEFT:
-        order.dry_until = now + _DRY_S
+        order.dry_until = now + _UNAVAILABLE_S
     service, data_centre, spot = subject
     fields = {"service": service, "data_centre": data_centre, "spot": spot, "count": order.count}
     outcome = {"outcome": event.outcome.value, "error": event.error}
@@ -188,12 +211,14 @@
 
 
 def has_work(state: State) -> bool:
-    """Tell whether orders are under way or have to be made again."""
-    book = _book(state)
-    return bool(book.calls) or any(not each.is_taken for each in book.orders.values())
+    """Return whether orders are pending or have to be repeated."""
+    capacity_state = _capacity(state)
+    return bool(capacity_state.calls) or any(
+        not order.is_taken for order in capacity_state.orders.values()
+    )
 
 
-def _book(state: State) -> CapacityBook:
+def _capacity(state: State) -> CapacityBook:
     return _duties(state).capacity
 
 
--- a/packages/turmericweir-core/turmericweir_core/duties/duty_view.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/duty_view.py
@@ -1,7 +1,7 @@
-"""Show operators the duties, as far as this instance knows of them.
+"""The duties as this instance knows them, for operators.
 
-The holder knows all; the other candidates know who holds the lease and what it has settled, if they
-have read it; the rest know the candidates.
+The holder knows everything; the other candidates know the holder and what it has settled, if they
+have read its lease; all other instances know only the candidates.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Windows that are shown.
-_WINDOWS = 6
+# Number of windows in the view.
+_WINDOWS_MAX = 6
 
 
 class WindowState(StrEnum):
-    """How far the report of a window is."""
+    """The state of the report of a window."""
 
-    # Its counts stand fast, and the platform has not taken them yet.
+    # The counts are final, and the platform has not accepted them yet.
     SETTLED = "settled"
     REPORTED = "reported"
 
@@ -46,9 +46,9 @@
     spot: bool
     present: int
     leaving: int
-    # None where this instance has ordered none.
+    # None if this instance has ordered none.
     ordered: int | None
-    # Since the newest order.
+    # Time since the newest order.
     age_s: float | None
     is_taken: bool
 
@@ -57,10 +57,10 @@
     """The duties, as one instance sees them."""
 
     candidates: list[str]
-    # The newest lease that this instance has read; None where it has read none.
+    # The newest lease that this instance has read; None if it has read none.
     holder: str | None
     fence: int | None
-    # Whether this instance holds it, and since when.
+    # Whether this instance holds the lease, and for how long.
     is_here: bool
     held_s: float | None
     windows: list[WindowView]
@@ -68,17 +68,17 @@
 
 
 def duty_view(state: State, now: float) -> DutyView | None:
-    """Describe the duties; None where there are none."""
+    """Return the duties for operators, or None if there are none."""
     if state.duties is None:
         return None
     lease = state.leases.ledger.leases.get(election.SCOPE)
-    own = lease_flow.is_own(state, election.SCOPE)
+    is_held_here = lease_flow.is_own(state, election.SCOPE)
     return DutyView(
-        candidates=[each.name for each in election.candidates(state, now)],
+        candidates=[member.name for member in election.candidates(state, now)],
         holder=None if lease is None or lease.released else lease.instance,
         fence=None if lease is None else lease.fence,
-        is_here=own,
-        held_s=now - lease.read_at if lease is not None and own else None,
+        is_here=is_held_here,
+        held_s=now - lease.read_at if lease is not None and is_held_here else None,
         windows=_windows(state),
         servers=_servers(state, now),
     )
@@ -86,9 +86,9 @@
 
 def _windows(state: State) -> list[WindowView]:
     assert state.duties is not None
-    note = read_note(lease_flow.noted(state, election.SCOPE))
+    note = read_note(lease_flow.newest_note(state, election.SCOPE))
     reported = state.duties.usage.reported
-    found = [
+    views = [
         WindowView(
             window,
             WindowState.REPORTED if window in reported else WindowState.SETTLED,
@@ -96,13 +96,13 @@
         )
         for window, counts in sorted(note.counts.items())
     ]
-    return found[-_WINDOWS:]
+    return views[-_WINDOWS_MAX:]
 
 
 def _servers(state: State, now: float) -> list[ServersView]:
     assert state.duties is not None
     orders = state.duties.capacity.orders
-    found = []
+    views = []
     for service in state.config.services.values():
         if service.capacity is None:
             continue
@@ -110,7 +110,7 @@
             for spot in (False, True):
                 order = orders.get((service.name, name, spot))
                 present, leaving = capacity.count_servers(state, service.name, name, spot=spot)
-                found.append(
+                views.append(
                     ServersView(
                         service.name,
                         name,
@@ -122,4 +122,4 @@
                         order is not None and order.is_taken,
                     )
                 )
-    return found
+    return views
--- a/packages/turmericweir-core/turmericweir_core/duties/election.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/election.py
@@ -1,11 +1,11 @@
-"""Who tries for the lease of the duties, and when.
-
-Candidates are a few live instances, one of each data centre first, the same ones on all instances
-by hash. The first of them takes the lease. While a holder can do its work it says so to the other
-candidates, every second. Where they do not hear it, the next one tries, each later than the one
-before it; the lease sees to it that two do not act at once (`leases.lease_flow`). So a holder that
-dies, that is cut off from the store, or whose calls fail is followed by another one, and a steady
-state costs no call but the holder's own.
+"""Which instances try for the lease of the duties, and when.
+
+The candidates are a few live instances, first one of each data centre, picked by hash alike on all
+instances. The first candidate takes the lease. A holder that can do its work sends its status to
+the other candidates at a fixed interval. If they receive none, the next candidate tries, each one
+later than its predecessor; the lease prevents two from acting at once (`leases.lease_flow`). A
+holder that fails, is cut off from the store, or whose calls fail is therefore replaced, and in a
+steady state only the holder makes calls.
 """
 
 from __future__ import annotations
@@ -25,113 +25,113 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# All duties have one lease: their calls are few.
+# All duties share one lease, as their calls are few.
 SCOPE: Final = Scope("duties", "all")
 _DUTY: Final = "duties"
-_CANDIDATES: Final = 4
-# Between two looks at who the candidates are.
-_LOOK_S: Final = 0.25
-# An instance that has just started knows few of the others, and several may take themselves for the
-# first candidate; the store lets one of them have the lease.
-_YOUNG_S: Final = 3.0
-# Between two words of the holder.
-_STATUS_S: Final = 1.0
-# A holder that is not heard for so long is followed by the next candidate, and so much later by
-# each one after it.
-_UNHEARD_S: Final = 2.0
-_NEXT_S: Final = 2.5
-# A holder whose calls fail for so long leaves the duties to the next, and is barred for so long.
-_FAILING_S: Final = 3.0
-_BARRED_S: Final = 8.0
+_CANDIDATES_MAX: Final = 4
+# Interval between two picks of the candidates.
+_PICK_INTERVAL_S: Final = 0.25
+# Time after the start before an instance tries for the lease. Prevents several new instances with
+# partial views from trying at once.
+_START_PHASE_S: Final = 3.0
+# Interval between two status messages of the holder.
+_STATUS_INTERVAL_S: Final = 1.0
+# Time without a status after which the first candidate tries, and the further delay of each later
+# one.
+_HOLDER_TIMEOUT_S: Final = 2.0
+_NEXT_CANDIDATE_DELAY_S: Final = 2.5
+# Time of failing calls after which a holder gives up, and the time before it may try again.
+_FAILURE_TIMEOUT_S: Final = 3.0
+_RETRY_DELAY_S: Final = 8.0
 
 
 def candidates(state: State, now: float) -> list[Member]:
-    """List the instances that may hold the lease, in the order in which they try for it."""
+    """Return the instances that may hold the lease, in the order in which they try for it."""
     duties = _duties(state)
     if now >= duties.look_due:
-        duties.look_due = now + _LOOK_S
-        live = [each for each in membership.live_instances(state, now) if not each.leaving]
-        ranked = telling.first_by_hash(live, _DUTY, len(live))
-        duties.candidates = _spread(ranked)[:_CANDIDATES]
+        duties.look_due = now + _PICK_INTERVAL_S
+        live = [member for member in membership.live_instances(state, now) if not member.leaving]
+        ranked = telling.members_for_duty(live, _DUTY, len(live))
+        duties.candidates = _alternate_centres(ranked)[:_CANDIDATES_MAX]
     return duties.candidates
 
 
-def _spread(ranked: list[Member]) -> list[Member]:
-    """Order members so that the first are of different data centres."""
-    turns: dict[str, int] = {}
+def _alternate_centres(ranked: list[Member]) -> list[Member]:
+    """Order members with the first ones of all data centres first."""
+    counts: dict[str, int] = {}
     keyed: list[tuple[int, int, Member]] = []
-    for place, each in enumerate(ranked):
-        turn = turns.get(each.data_centre, 0)
-        turns[each.data_centre] = turn + 1
-        keyed.append((turn, place, each))
-    keyed.sort(key=lambda each: each[:2])
-    return [each for _, _, each in keyed]
+    for position, member in enumerate(ranked):
+        count = counts.get(member.data_centre, 0)
+        counts[member.data_centre] = count + 1
+        keyed.append((count, position, member))
+    keyed.sort(key=lambda entry: entry[:2])
+    return [member for _, _, member in keyed]
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Try for the lease, or leave it to another one."""
+    """Try for the lease, or leave it to another candidate."""
     duties = _duties(state)
-    holds = lease_flow.is_own(state, SCOPE) and now >= duties.barred_until
-    place = _place(state, now)
-    if holds and _has_failed(duties, now):
+    is_holder = lease_flow.is_own(state, SCOPE) and now >= duties.barred_until
+    position = _own_position(state, now)
+    if is_holder and _has_failed(duties, now):
         return _give_up(state, now)
-    tries = place is not None and _is_due(state, now, place)
-    if state.stopping_since is not None or not (tries or holds):
-        lease_flow.unwant(state, SCOPE)
+    is_trying = position is not None and _may_try(state, now, position)
+    if state.stopping_since is not None or not (is_trying or is_holder):
+        lease_flow.release_lease(state, SCOPE)
         return []
-    lease_flow.want(state, now, SCOPE)
-    # One whose calls fail is silent, so that the next one tries before it gives up.
-    return _say_status(state, now) if holds and duties.failing_since is None else []
+    lease_flow.request_lease(state, now, SCOPE)
+    # A holder with failing calls sends no status, which lets the next candidate try.
+    return _send_status(state, now) if is_holder and duties.failing_since is None else []
 
 
-def _place(state: State, now: float) -> int | None:
-    names = [each.name for each in candidates(state, now)]
+def _own_position(state: State, now: float) -> int | None:
+    names = [member.name for member in candidates(state, now)]
     return names.index(state.me.name) if state.me.name in names else None
 
 
-def _is_due(state: State, now: float, place: int) -> bool:
+def _may_try(state: State, now: float, position: int) -> bool:
     duties = _duties(state)
     started_at = state.members.started_at
-    if started_at is None or now < max(started_at + _YOUNG_S, duties.barred_until):
+    if started_at is None or now < max(started_at + _START_PHASE_S, duties.barred_until):
         return False
     if duties.heard_at is None:
-        # Nobody was heard since the start, when all try one after the other.
-        return now - started_at - _YOUNG_S >= _NEXT_S * place
-    return now - duties.heard_at >= _UNHEARD_S + _NEXT_S * place
+        # No status was received since the start; candidates try one after the other.
+        return now - started_at - _START_PHASE_S >= _NEXT_CANDIDATE_DELAY_S * position
+    return now - duties.heard_at >= _HOLDER_TIMEOUT_S + _NEXT_CANDIDATE_DELAY_S * position
 
 
 def _has_failed(duties: DutyState, now: float) -> bool:
-    return duties.failing_since is not None and now - duties.failing_since >= _FAILING_S
+    return duties.failing_since is not None and now - duties.failing_since >= _FAILURE_TIMEOUT_S
 
 
 def _give_up(state: State, now: float) -> list[Effect]:
     duties = _duties(state)
-    duties.barred_until = now + _BARRED_S
+    duties.barred_until = now + _RETRY_DELAY_S
     duties.failing_since = None
     duties.heard_at = now
-    lease_flow.unwant(state, SCOPE)
-    return [Log("duties_given_up", {"barred_s": _BARRED_S})]
+    lease_flow.release_lease(state, SCOPE)
+    return [Log("duties_given_up", {"barred_s": _RETRY_DELAY_S})]
 
 
-def _say_status(state: State, now: float) -> list[Effect]:
+def _send_status(state: State, now: float) -> list[Effect]:
     duties = _duties(state)
     if now < duties.status_due:
         return []
-    duties.status_due = now + _STATUS_S
+    duties.status_due = now + _STATUS_INTERVAL_S
     status = DutyStatus(lease_flow.known_fence(state, SCOPE))
-    others = [each for each in candidates(state, now) if each.name != state.me.name]
-    return [SendDatagram(each.name, each.peer_address, status) for each in others]
+    others = [member for member in candidates(state, now) if member.name != state.me.name]
+    return [SendDatagram(member.name, member.peer_address, status) for member in others]
 
 
 def on_status(state: State, now: float, sender: InstanceName, status: DutyStatus) -> None:
-    """Leave the duties to a holder that can do them."""
+    """Record the status of a holder that can do the duties."""
     duties = _duties(state)
     if status.fence >= lease_flow.known_fence(state, SCOPE):
         duties.heard_at = now
 
 
 def note_ledger(state: State, now: float) -> None:
-    """Leave the duties for now to another whose lease has just been read."""
+    """Leave the duties to another instance whose lease was just read."""
     lease = state.leases.ledger.leases.get(SCOPE)
     if lease is None or lease.released or lease_flow.is_own(state, SCOPE):
         return
@@ -142,7 +142,7 @@
 
 
 def note_result(state: State, now: float, *, works: bool) -> None:
-    """Note whether a call of the holder worked, at the store or at the platform."""
+    """Record whether a call of the holder to the store or the platform succeeded."""
     duties = _duties(state)
     if works:
         duties.failing_since = None
@@ -150,13 +150,13 @@
         duties.failing_since = now
 
 
-def held(state: State, now: float) -> Held | None:
-    """Give the lease if this instance may act under it now."""
+def usable_lease(state: State, now: float) -> Held | None:
+    """Return the lease if this instance may act under it now."""
     lease = lease_flow.held(state, now, SCOPE)
     if lease is None:
         return None
     if lease.taken_over and not _duties(state).settings.checks_fence:
-        # Calls of the holder before may still be carried out, and nobody refuses them.
+        # Calls of the previous holder may still be executed, and the platform does not refuse them.
         return lease if now - lease.since >= state.options.order_longest_s else None
     return lease
 
--- a/packages/turmericweir-core/turmericweir_core/leases/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/__init__.py
@@ -1,1 +1,1 @@
-"""Hold leases on duties and give servers their orders. Only the own interface uses it."""
+"""Leases of scopes, and the placement of models under them."""
--- a/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
@@ -1,19 +1,19 @@
-"""The way of an instance to the lease of a scope and through it.
-
-A scope is wanted only while there are orders to give: then the stream is read to its end, the lease
-of another is waited out, a grant is appended, and the lease is renewed until it is no longer
-wanted, which releases it. An instance that wants nothing neither reads nor appends, so a steady
-state costs the log nothing.
-
-What another reducer may do with a lease is to ask `held` at the moment of each order. That is all
-the safety there is on this side: `held` compares the clock with the time at which the newest own
-record was *sent*, so a process that was stopped for longer than its lease finds it lapsed before it
-can give another order. An append whose acknowledgement was lost is settled by reading on: the
-holder finds its own record, by its number, and knows when it was sent.
-
-Where the stream is keyed (`Options.lease_keyed`) appends are conditional, so a lease that lapsed is
-renewed without reading first: the append fails if anybody has written since. A holder that has
-nothing to do for a moment rests, which costs neither appends nor reads.
+"""Acquire, renew and release the leases of scopes for this instance.
+
+A scope is wanted only while there are orders to send. To acquire its lease, this instance reads the
+stream to its end, waits until the lease of another instance has expired, and appends a grant. It
+renews the lease until the scope is no longer wanted, and then releases it. An instance that wants
+no scope neither reads nor appends.
+
+Other reducers call `held` right before each order, and this check is the only guard on this side:
+`held` compares the clock with the time at which the newest own record was *sent*, so a process that
+was paused for longer than its lease finds it expired before it can send an order. An append without
+an acknowledgement is resolved by reading the stream: the holder finds its own record by its number,
+and knows when it was sent.
+
+If the stream is keyed (`Options.lease_keyed`), appends are conditional, and an expired lease is
+renewed without reading first: the append fails if another instance has written since. A holder
+without orders may rest, which stops its appends and reads.
 """
 
 from __future__ import annotations
@@ -40,22 +40,22 @@
 from turmericweir_core.state.lease_state import Held, LeaseState, SentBatch
 from turmericweir_core.state.state import State
 
-# --- what other reducers ask and want --------------------------------------------------------
+# --- interface for other reducers --------------------------------------------------------------
 
 
-def want(state: State, now: float, scope: Scope) -> None:
-    """Try to get the lease of a scope and to keep it."""
+def request_lease(state: State, now: float, scope: Scope) -> None:
+    """Start trying to acquire and keep the lease of a scope."""
     state.leases.wanted.setdefault(scope, now)
 
 
-def unwant(state: State, scope: Scope) -> None:
-    """Give the lease of a scope back."""
+def release_lease(state: State, scope: Scope) -> None:
+    """Stop wanting the lease of a scope, which releases it."""
     state.leases.wanted.pop(scope, None)
     state.leases.resting.discard(scope)
 
 
 def rest(state: State, scope: Scope, *, resting: bool) -> None:
-    """Let a lease lapse while there is nothing to do under it, or take it up again."""
+    """Let a lease expire while there are no orders under it, or resume its renewal."""
     if resting:
         state.leases.resting.add(scope)
     else:
@@ -63,52 +63,51 @@
 
 
 def set_note(state: State, now: float, scope: Scope, note: object) -> bool:
-    """Have something noted for successors; only the holder may, and False is given to others.
+    """Write a note for successors with the next renewal; return False unless this is the holder.
 
-    Where appends are conditional, a holder whose lease has lapsed may as well: the note is written
-    only if nobody has had the lease since.
+    With conditional appends the holder of an expired lease may write as well: the append fails if
+    another instance has held the lease since.
     """
-    lapsed = state.options.lease_keyed and is_own(state, scope)
-    if held(state, now, scope) is None and not lapsed:
+    can_append = state.options.lease_keyed and is_own(state, scope)
+    if held(state, now, scope) is None and not can_append:
         return False
     state.leases.notes[scope] = note
     return True
 
 
-def noted(state: State, scope: Scope) -> object:
-    """Give what the newest valid record of a scope notes, whoever wrote it; None for nothing."""
-    known = state.leases.ledger.leases.get(scope)
-    return None if known is None else known.note
+def newest_note(state: State, scope: Scope) -> object:
+    """Return the note of the newest valid record of a scope, by any instance, or None."""
+    lease = state.leases.ledger.leases.get(scope)
+    return None if lease is None else lease.note
 
 
 def held(state: State, now: float, scope: Scope) -> Held | None:
-    """Give the lease of a scope if this instance holds it at this moment.
+    """Return the lease of a scope if this instance holds it now.
 
-    Failure: a holder that was paused past its lease goes on where it stopped and gives an order
-    under it, while a successor gives others: servers that ignore fencing numbers flip between two
-    plans. Asking this right before each order is enough, since the time is the clock's own, which
-    goes on during a pause.
+    Prevents a holder that was paused past its lease from sending orders that conflict with its
+    successor's. Calling this right before each order is sufficient, as the clock advances during a
+    pause.
     """
     lease = state.leases.held.get(scope)
     return lease if lease is not None and now < lease.expires_at else None
 
 
 def is_own(state: State, scope: Scope) -> bool:
-    """Tell whether the newest lease of a scope is this instance's, though it may have lapsed."""
-    known = state.leases.ledger.leases.get(scope)
-    return known is not None and _is_own(state, scope, known)
+    """Return whether the newest lease of a scope is this instance's, expired or not."""
+    lease = state.leases.ledger.leases.get(scope)
+    return lease is not None and _can_renew(state, scope, lease)
 
 
 def known_fence(state: State, scope: Scope) -> int:
-    """Give the newest fencing number that this instance knows of a scope."""
-    return _known_fence(state.leases, scope)
+    """Return the newest fencing number that this instance knows for a scope."""
+    return _fence_for_record(state.leases, scope)
 
 
 def drop(state: State, now: float, scope: Scope) -> list[Effect]:
-    """Stop using a lease under which a server has refused an order as old."""
+    """Stop using a lease after a server refused an order under it as outdated."""
     lease = state.leases.held.pop(scope, None)
     state.leases.dropped.add(scope)
-    # There is a newer number somewhere; what there is to know is in the log.
+    # A newer fencing number exists; reading the log finds it.
     state.leases.ledger.caught_up_at = float("-inf")
     state.leases.read_due = now
     fields = {"scope": str(scope), "fence": lease.fence if lease else NO_OFFSET}
@@ -119,27 +118,27 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Let go of what has lapsed; read and append what is due."""
+    """Drop expired leases; read and append what is due."""
     leases = state.leases
     is_idle = not leases.wanted and not leases.held and not _to_release(state)
     if is_idle and leases.in_flight is None:
         return []
-    effects = _lapse(state, now)
-    effects += _give_up_append(state, now)
-    if any(_has_to_read(leases, state, scope) for scope in leases.wanted):
-        effects += _read_on(state, now) if now >= leases.read_due else []
-    return effects + _flush(state, now)
+    effects = _drop_expired(state, now)
+    effects += _time_out_append(state, now)
+    if any(_must_read(leases, state, scope) for scope in leases.wanted):
+        effects += _read_next(state, now) if now >= leases.read_due else []
+    return effects + _append_due(state, now)
 
 
-def _has_to_read(leases: LeaseState, state: State, scope: Scope) -> bool:
+def _must_read(leases: LeaseState, state: State, scope: Scope) -> bool:
     if scope in leases.held:
         return False
-    known = leases.ledger.leases.get(scope)
-    is_own = known is not None and _is_own(state, scope, known)
-    return not (state.options.lease_keyed and is_own)
+    lease = leases.ledger.leases.get(scope)
+    can_renew = lease is not None and _can_renew(state, scope, lease)
+    return not (state.options.lease_keyed and can_renew)
 
 
-def _lapse(state: State, now: float) -> list[Effect]:
+def _drop_expired(state: State, now: float) -> list[Effect]:
     effects: list[Effect] = []
     for scope, lease in list(state.leases.held.items()):
         if now >= lease.expires_at:
@@ -153,8 +152,8 @@
     return effects
 
 
-def _give_up_append(state: State, now: float) -> list[Effect]:
-    """Take an append for failed of which nothing was heard for far too long."""
+def _time_out_append(state: State, now: float) -> list[Effect]:
+    """Treat an append as failed if it was not answered in time."""
     batch = state.leases.in_flight
     if batch is None or now - batch.sent_at < state.options.lease_call_s:
         return []
@@ -166,16 +165,16 @@
 # --- appends ---------------------------------------------------------------------------------
 
 
-def _flush(state: State, now: float) -> list[Effect]:
-    """Append everything that is due, of all scopes, as one call."""
+def _append_due(state: State, now: float) -> list[Effect]:
+    """Append all due records, of all scopes, in one call."""
     leases = state.leases
     if leases.in_flight is not None or now < leases.retry_at:
         return []
-    records = _compose(state, now)
+    records = _due_records(state, now)
     if not records:
         return []
     token = str(records[0].number)
-    # The time that the lease is counted from: before anything of it leaves the process.
+    # The lease counts from this time, before any part of the record is sent.
     leases.in_flight = SentBatch(token, now, records)
     for record in records:
         leases.sent[record.number] = now
@@ -189,68 +188,68 @@
     return [append, Count("lease.appends")]
 
 
-def _compose(state: State, now: float) -> tuple[LeaseRecord, ...]:
+def _due_records(state: State, now: float) -> tuple[LeaseRecord, ...]:
     leases = state.leases
     records: list[LeaseRecord] = []
     for scope, lease in list(leases.held.items()):
         if scope not in leases.wanted:
-            # Not used from here on, whatever becomes of the record.
+            # The lease is not used from here on, even if the release is lost.
             del leases.held[scope]
             records.append(_record(state, Act.RELEASE, scope, lease.fence))
     for scope in _to_release(state):
-        if all(each.scope != scope for each in records):
-            records.append(_record(state, Act.RELEASE, scope, _known_fence(leases, scope)))
+        if all(record.scope != scope for record in records):
+            records.append(_record(state, Act.RELEASE, scope, _fence_for_record(leases, scope)))
     for scope in leases.wanted:
         act = _due_act(state, now, scope)
         if act is not None:
-            records.append(_record(state, act, scope, _known_fence(leases, scope)))
+            records.append(_record(state, act, scope, _fence_for_record(leases, scope)))
     return tuple(records)
 
 
 def _to_release(state: State) -> list[Scope]:
-    """List the scopes of lapsed leases that nobody has had since and that are wanted no more."""
+    """Return the scopes of own expired leases that are no longer wanted and not taken over."""
     leases = state.leases
     if not state.options.lease_keyed:
         return []
     return [
         scope
         for scope, lease in leases.ledger.leases.items()
-        if scope not in leases.wanted and _is_own(state, scope, lease)
+        if scope not in leases.wanted and _can_renew(state, scope, lease)
     ]
 
 
-def _known_fence(leases: LeaseState, scope: Scope) -> int:
-    """Give the number of the lease that a record is about; for a grant, of the one before."""
-    current = leases.held.get(scope)
-    if current is not None:
-        # The ledger may have begun anew since, where the log let go of records.
-        return current.fence
-    known = leases.ledger.leases.get(scope)
-    return NO_OFFSET if known is None else known.fence
+def _fence_for_record(leases: LeaseState, scope: Scope) -> int:
+    """Return the fencing number for a record; for a grant, that of the previous lease."""
+    held_lease = leases.held.get(scope)
+    if held_lease is not None:
+        # The ledger may have been reset since, after the log dropped records.
+        return held_lease.fence
+    ledger_lease = leases.ledger.leases.get(scope)
+    return NO_OFFSET if ledger_lease is None else ledger_lease.fence
 
 
 def _due_act(state: State, now: float, scope: Scope) -> Act | None:
-    """Say what has to be written of a scope now, if anything."""
+    """Return the record type that is due for a scope, if any."""
     leases = state.leases
     options = state.options
-    current = leases.held.get(scope)
-    known = leases.ledger.leases.get(scope)
+    held_lease = leases.held.get(scope)
+    ledger_lease = leases.ledger.leases.get(scope)
     is_noted = scope not in leases.notes or (
-        known is not None and known.note == leases.notes[scope]
+        ledger_lease is not None and ledger_lease.note == leases.notes[scope]
     )
     if is_noted and scope in leases.resting:
         return None
-    if current is not None:
-        due = current.expires_at - options.lease_s + options.lease_renew_s
-        return Act.RENEW if now >= due or not is_noted else None
+    if held_lease is not None:
+        renew_at = held_lease.expires_at - options.lease_s + options.lease_renew_s
+        return Act.RENEW if now >= renew_at or not is_noted else None
     if leases.ledger.start is None:
         return None
-    if options.lease_keyed and known is not None and _is_own(state, scope, known):
+    if options.lease_keyed and ledger_lease is not None and _can_renew(state, scope, ledger_lease):
         return Act.RENEW
     if now - leases.ledger.caught_up_at > 2 * options.lease_read_s:
-        # What has not been read could only make the record void.
+        # Unread records could make the new record void.
         return None
-    if known is not None and _is_own(state, scope, known):
+    if ledger_lease is not None and _can_renew(state, scope, ledger_lease):
         return Act.RENEW
     margin_s = options.lease_margin_s
     if now < free_at(leases.ledger, scope, options.lease_s, margin_s):
@@ -258,18 +257,18 @@
     return Act.GRANT
 
 
-def _is_own(state: State, scope: Scope, lease: Lease) -> bool:
-    """Tell whether a lease may be renewed although it has lapsed: nobody has had it since."""
+def _can_renew(state: State, scope: Scope, lease: Lease) -> bool:
+    """Return whether a lease is this instance's and may be renewed, expired or not."""
     if lease.released or scope in state.leases.dropped:
         return False
-    # An own record of which this reader is not sure may have come after a rival's.
+    # An own record at an uncertain position may follow another instance's grant.
     return lease.sure and lease.incarnation == state.me.incarnation
 
 
 def _record(state: State, act: Act, scope: Scope, fence: int) -> LeaseRecord:
     leases = state.leases
     leases.number += 1
-    note = leases.notes.get(scope, noted(state, scope))
+    note = leases.notes.get(scope, newest_note(state, scope))
     return LeaseRecord(
         act=act,
         scope=scope,
@@ -284,7 +283,7 @@
 
 
 def on_append(state: State, now: float, event: AppendDone | AppendFailed) -> list[Effect]:
-    """Take how an append to the stream ended."""
+    """Process the outcome of an append to the stream."""
     leases = state.leases
     batch = leases.in_flight
     if batch is None or event.token != batch.token:
@@ -294,42 +293,42 @@
         case AppendDone():
             leases.failures = 0
             if event.first != leases.ledger.offset:
-                # What the records mean depends on those of others that came before them.
-                return _read_on(state, now)
+                # The effect of the records depends on the unread ones before them.
+                return _read_next(state, now)
             effects: list[Effect] = []
             for offset, record in enumerate(batch.records, event.first):
-                effects += _take(state, now, LogRecord(offset, encode(record)))
+                effects += _apply_record(state, now, LogRecord(offset, encode(record)))
             leases.ledger.caught_up_at = now
             return effects
         case AppendFailed():
-            return _on_failed(state, now)
+            return _on_append_failed(state, now)
 
 
-def _on_failed(state: State, now: float) -> list[Effect]:
-    """Read on after a failed append: its acknowledgement may be all that was lost."""
+def _on_append_failed(state: State, now: float) -> list[Effect]:
+    """Schedule a retry and read on: the append may have succeeded without an acknowledgement."""
     leases = state.leases
     leases.failures += 1
     options = state.options
-    doubled = options.lease_retry_s * 2.0 ** min(leases.failures - 1, 10)
-    pause = min(options.lease_retry_max_s, doubled)
-    leases.retry_at = now + pause * (0.5 + state.rng.random() / 2)
+    backoff_s = options.lease_retry_s * 2.0 ** min(leases.failures - 1, 10)
+    pause_s = min(options.lease_retry_max_s, backoff_s)
+    leases.retry_at = now + pause_s * (0.5 + state.rng.random() / 2)
     leases.ledger.caught_up_at = float("-inf")
-    return [Count("lease.append_failed"), *_read_on(state, now)]
+    return [Count("lease.append_failed"), *_read_next(state, now)]
 
 
 # --- reads -----------------------------------------------------------------------------------
 
 
-def _read_on(state: State, now: float) -> list[Effect]:
-    """Read the stream from where the ledger stands, one read at a time."""
+def _read_next(state: State, now: float) -> list[Effect]:
+    """Read the stream from the ledger's offset, one read at a time."""
     leases = state.leases
     leases.read_due = now + state.options.lease_read_s
-    since = leases.reading_since
-    if since is not None and now - since < state.options.lease_call_s:
+    reading_since = leases.reading_since
+    if reading_since is not None and now - reading_since < state.options.lease_call_s:
         return []
     leases.reading_since = now
     if leases.ledger.start is None:
-        # Only where it ends is asked for: what was written before is waited out, not read.
+        # Only the end of the stream is needed: leases from before it expire unread.
         return [ReadLog(LEASES_STREAM, 0, limit=1, newest=state.options.lease_keyed)]
     return [ReadLog(LEASES_STREAM, leases.ledger.offset)]
 
@@ -337,7 +336,7 @@
 def on_log(
     state: State, now: float, event: LogRead | LogNewest | LogExpired | LogFailed
 ) -> list[Effect]:
-    """Take what a read of the stream gave."""
+    """Process the outcome of a read of the stream."""
     state.leases.reading_since = None
     match event:
         case LogRead():
@@ -358,15 +357,15 @@
     malformed = adopt(leases.ledger, now, event.records, event.end)
     leases.ledger.caught_up_at = now
     for scope in [*leases.held, *leases.notes]:
-        known = leases.ledger.leases.get(scope)
-        if known is None or known.incarnation != state.me.incarnation:
+        lease = leases.ledger.leases.get(scope)
+        if lease is None or lease.incarnation != state.me.incarnation:
             leases.held.pop(scope, None)
             leases.notes.pop(scope, None)
-    effects: list[Effect] = [_malformed(offset) for offset in malformed]
-    return effects + _flush(state, now)
+    effects: list[Effect] = [_malformed_log(offset) for offset in malformed]
+    return effects + _append_due(state, now)
 
 
-def _malformed(offset: int) -> Log:
+def _malformed_log(offset: int) -> Log:
     return Log("record_malformed", {"stream": LEASES_STREAM, "offset": offset})
 
 
@@ -376,31 +375,30 @@
     if ledger.start is None:
         begin(ledger, event.end if event.end > len(event.records) else 0, now)
     elif event.end < ledger.offset:
-        # The platform has lost records. Whatever was agreed before is waited out like anything
-        # else that this reader has not seen.
+        # The platform has lost records; leases from before are left to expire.
         fields = {"stream": LEASES_STREAM, "end": event.end, "offset": ledger.offset}
         effects.append(Log("log_shorter", fields))
         begin(ledger, event.end, now)
     for record in event.records:
         if record.offset == ledger.offset:
-            effects += _take(state, now, record)
+            effects += _apply_record(state, now, record)
     if ledger.offset < event.end:
-        return effects + _read_on(state, now)
+        return effects + _read_next(state, now)
     ledger.caught_up_at = now
-    return effects + _flush(state, now)
+    return effects + _append_due(state, now)
 
 
-def _take(state: State, now: float, record: LogRecord) -> list[Effect]:
+def _apply_record(state: State, now: float, record: LogRecord) -> list[Effect]:
     leases = state.leases
     taken_over = _is_taken_over(state, record)
     folded = fold(leases.ledger, now, record.offset, record.value)
     if folded.record is None:
-        return [Count("lease.malformed"), _malformed(record.offset)]
+        return [Count("lease.malformed"), _malformed_log(record.offset)]
     if folded.record.incarnation == state.me.incarnation:
-        return _take_own(state, now, folded, taken_over=taken_over)
+        return _apply_own_record(state, now, folded, taken_over=taken_over)
     if not folded.valid:
         return []
-    # Whoever it is now, a number that was refused as old is not this instance's any more.
+    # Another instance has the lease now, so the refused number no longer matters.
     leases.dropped.discard(folded.record.scope)
     leases.notes.pop(folded.record.scope, None)
     leases.resting.discard(folded.record.scope)
@@ -410,15 +408,15 @@
 
 
 def _is_taken_over(state: State, record: LogRecord) -> bool:
-    """Tell whether orders of the lease before this record may still be under way."""
+    """Return whether orders under the previous lease may still be pending."""
     ledger = state.leases.ledger
     scope = _scope_of(record)
-    known = ledger.leases.get(scope) if scope is not None else None
-    if known is None:
-        # Where every record was read there was no holder.
+    lease = ledger.leases.get(scope) if scope is not None else None
+    if lease is None:
+        # There was no holder if every record was read.
         return ledger.start != 0 and not ledger.whole
-    # A holder that releases has none, and this instance's own are not another's.
-    return not known.released and known.incarnation != state.me.incarnation
+    # After a release no orders are pending, and own orders are not from another holder.
+    return not lease.released and lease.incarnation != state.me.incarnation
 
 
 def _scope_of(record: LogRecord) -> Scope | None:
@@ -431,8 +429,10 @@
     return Scope(service, data_centre)
 
 
-def _take_own(state: State, now: float, folded: Folded, *, taken_over: bool) -> list[Effect]:
-    """Hold what an own record has brought, for what is left of its time."""
+def _apply_own_record(
+    state: State, now: float, folded: Folded, *, taken_over: bool
+) -> list[Effect]:
+    """Record the lease that an own record has established, for its remaining time."""
     leases = state.leases
     record = folded.record
     assert record is not None
@@ -450,10 +450,10 @@
     expires_at = sent_at + record.lease_s
     if expires_at <= now:
         return []
-    before = leases.held.get(scope)
-    if before is not None and before.fence == lease.fence:
+    previous = leases.held.get(scope)
+    if previous is not None and previous.fence == lease.fence:
         leases.held[scope] = Held(
-            lease.fence, max(expires_at, before.expires_at), before.since, before.taken_over
+            lease.fence, max(expires_at, previous.expires_at), previous.since, previous.taken_over
         )
         return []
     leases.held[scope] = Held(lease.fence, expires_at, now, taken_over)
--- a/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
@@ -1,10 +1,10 @@
-"""What each model is used, told to the instances that place the models.
+"""Collect the demand for each model at the instances that place the models.
 
-Every instance samples what it runs and what waits with it for the models that operators have set
-wants for, and tells the averages, twice a minute, to the one instance that places the models
-of a service in its data centre. That costs each instance one small datagram for each service; a
-lost one is made up for by the next. Servers' own load reports would not do: they say how many
-requests run, not for which model, and nothing of requests that no server has been found for.
+Every instance samples its running and waiting requests for the models with configured wants, and
+sends the averages at a fixed interval to the instance that places the models of a service in its
+data centre. This costs each instance one small datagram for each service; the next one replaces a
+lost one. Load reports of the servers are not sufficient: they have no counts by model and no
+waiting requests.
 """
 
 from __future__ import annotations
@@ -26,41 +26,41 @@
 from turmericweir_core.state.server_table import Server, is_open
 from turmericweir_core.state.state import State
 
-# Tellings that may be lost in a row before an instance's use counts as none.
+# Reporting periods after which an instance's use no longer counts.
 _VALID_PERIODS: Final = 2.5
 
 
-# --- who places what -------------------------------------------------------------------------
+# --- placers and scopes -----------------------------------------------------------------------
 
 
 def placer(state: State, now: float, scope: Scope) -> Member | None:
-    """Pick the instance that is to place the models of a scope.
+    """Return the instance that places the models of a scope.
 
-    By rendezvous hashing over the live instances of the data centre: two that disagree on who is
-    live may both think that they are the one, and then the lease decides.
+    It is picked by rendezvous hashing over the live instances of the data centre. If two instances
+    disagree on the live ones, the lease decides.
     """
     live = [
-        each
-        for each in membership.live_instances(state, now, scope.data_centre)
-        if not each.leaving
+        member
+        for member in membership.live_instances(state, now, scope.data_centre)
+        if not member.leaving
     ]
     if not live:
         return None
-    return max(live, key=lambda each: (rendezvous_weight(str(scope), each.name), each.name))
+    return max(live, key=lambda member: (rendezvous_weight(str(scope), member.name), member.name))
 
 
 def managed_services(config: Config) -> dict[str, list[str]]:
-    """List the wanted models by the service that may serve them."""
-    found: dict[str, list[str]] = {}
+    """Return the models with wants by the service that may serve them."""
+    models_by_service: dict[str, list[str]] = {}
     for model in sorted(config.wants):
         service = config.service_by_target.get(Target(model))
         if service is not None and service.kind is Kind.MODEL:
-            found.setdefault(service.name, []).append(model)
-    return found
+            models_by_service.setdefault(service.name, []).append(model)
+    return models_by_service
 
 
 def server_counts(state: State, service: str) -> dict[str, int]:
-    """Count the servers of a service by data centre, without those that leave."""
+    """Return the number of servers of a service by data centre, without leaving ones."""
     counts: dict[str, int] = {}
     for server in state.servers.by_name.values():
         if server.entry.service == service and not (server.leaving or server.drained):
@@ -68,8 +68,8 @@
     return counts
 
 
-def _told_scope(state: State, service: str) -> Scope | None:
-    """Name the scope that is told of this instance's use of a service's models."""
+def _receiving_scope(state: State, service: str) -> Scope | None:
+    """Return the scope that receives this instance's use of a service's models."""
     counts = server_counts(state, service)
     if state.me.data_centre in counts:
         return Scope(service, state.me.data_centre)
@@ -78,118 +78,119 @@
     return Scope(service, max(counts, key=lambda name: (counts[name], name)))
 
 
-# --- telling ---------------------------------------------------------------------------------
+# --- sending ----------------------------------------------------------------------------------
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Sample the use of models, and tell it when it is time."""
+    """Sample the use of models, and send it when it is due."""
     models = state.models
     if not state.config.wants:
         return []
     if now >= models.sample_due:
         models.sample_due = now + state.options.model_sample_s
-        _sample(state)
-    if now < models.demand_due and not _is_alarming(state, now):
+        _sample_use(state)
+    if now < models.demand_due and not _has_urgent_demand(state, now):
         return []
     models.demand_due = now + state.options.model_demand_s
     models.alarm_due = now + state.options.model_alarm_s
-    effects = _tell(state, now)
+    effects = _send_use(state, now)
     models.sampled.clear()
     models.samples = 0
     return effects
 
 
-def _sample(state: State) -> None:
+def _sample_use(state: State) -> None:
     models = state.models
     models.samples += 1
     for req in state.requests.values():
         if req.target not in state.config.wants or req.phase is Phase.DONE:
             continue
-        waits = req.phase is Phase.WAITING
-        before = models.sampled.get(req.target, Usage())
+        is_waiting = req.phase is Phase.WAITING
+        previous = models.sampled.get(req.target, Usage())
         models.sampled[req.target] = Usage(
-            before.busy + (0.0 if waits else 1.0), before.waiting + (1 if waits else 0)
+            previous.busy + (0.0 if is_waiting else 1.0),
+            previous.waiting + (1 if is_waiting else 0),
         )
 
 
-def _is_alarming(state: State, now: float) -> bool:
-    """Tell whether something waits for a model that no server has, and it is time to say so."""
+def _has_urgent_demand(state: State, now: float) -> bool:
+    """Return whether requests wait for a model without a server and an early report is due."""
     if now < state.models.alarm_due:
         return False
     return any(
-        usage.waiting and is_missing(state, now, model)
+        usage.waiting and is_model_missing(state, now, model)
         for model, usage in state.models.sampled.items()
     )
 
 
-def is_missing(state: State, now: float, model: str) -> bool:
-    """Tell whether no server that is open has a model."""
+def is_model_missing(state: State, now: float, model: str) -> bool:
+    """Return whether no open server has a model."""
     return not any(
-        is_open(server, now) and _may_have(server, model)
+        is_open(server, now) and _may_have_model(server, model)
         for server in state.servers.by_name.values()
     )
 
 
-def _may_have(server: Server, model: str) -> bool:
+def _may_have_model(server: Server, model: str) -> bool:
     if model not in server.service.models:
         return False
     if server.report is None:
         return True
-    # Otherwise than for placement, a report that names no model says that there is none.
-    return any(model in (each, bare_name(each)) for each in server.report.models)
+    # Unlike in placement, a report without models means that the server has none.
+    return any(model in (label, bare_name(label)) for label in server.report.models)
 
 
-def _tell(state: State, now: float) -> list[Effect]:
+def _send_use(state: State, now: float) -> list[Effect]:
     effects: list[Effect] = []
-    for service, wanted in managed_services(state.config).items():
-        scope = _told_scope(state, service)
-        to = placer(state, now, scope) if scope is not None else None
-        if scope is None or to is None:
+    for service, models in managed_services(state.config).items():
+        scope = _receiving_scope(state, service)
+        receiver = placer(state, now, scope) if scope is not None else None
+        if scope is None or receiver is None:
             continue
-        uses = list(_uses(state, wanted))
-        if to.name == state.me.name:
-            _note(state, now, scope, to.name, uses)
+        uses = list(_uses(state, models))
+        if receiver.name == state.me.name:
+            _record_use(state, now, scope, receiver.name, uses)
         elif uses:
             message = ModelDemand(scope.service, scope.data_centre, uses)
-            effects.append(SendDatagram(to.name, to.peer_address, message))
+            effects.append(SendDatagram(receiver.name, receiver.peer_address, message))
     return effects
 
 
-def _uses(state: State, wanted: list[str]) -> Iterator[ModelUse]:
+def _uses(state: State, models: list[str]) -> Iterator[ModelUse]:
     samples = max(1, state.models.samples)
-    for model in wanted:
+    for model in models:
         usage = state.models.sampled.get(model)
         if usage is not None:
-            # Rounded up: one that waits must not be averaged away.
+            # Rounded up, so that a single waiting request counts.
             yield ModelUse(model, usage.busy / samples, -(-usage.waiting // samples))
 
 
-# --- hearing ---------------------------------------------------------------------------------
+# --- receiving --------------------------------------------------------------------------------
 
 
 def on_message(state: State, now: float, sender: InstanceName, message: ModelDemand) -> None:
-    """Take what another instance told."""
+    """Record the use that another instance sent."""
     if membership.member(state, sender) is None or message.service not in state.config.services:
         return
     scope = Scope(message.service, message.data_centre)
-    _note(state, now, scope, sender, message.uses)
+    _record_use(state, now, scope, sender, message.uses)
 
 
-def _note(
+def _record_use(
     state: State, now: float, scope: Scope, sender: InstanceName, uses: list[ModelUse]
 ) -> None:
     by_model = {use.model: Usage(max(0.0, use.busy), max(0, use.waiting)) for use in uses}
     state.models.reported.setdefault(scope, {})[sender] = Reported(now, by_model)
 
 
-def usage_of(state: State, now: float, scope: Scope, model: str) -> Usage:
-    """Add up what all instances told of a model, leaving out what is too old."""
-    told = state.models.reported.get(scope, {})
-    oldest = now - _VALID_PERIODS * state.options.model_demand_s
+def total_usage(state: State, now: float, scope: Scope, model: str) -> Usage:
+    """Return the total use of a model on all instances, without outdated reports."""
+    reports = state.models.reported.get(scope, {})
+    oldest_at = now - _VALID_PERIODS * state.options.model_demand_s
     busy, waiting = 0.0, 0
-    for name, reported in list(told.items()):
-        if reported.at < oldest:
-            del told[name]
+    for name, reported in list(reports.items()):
+        if reported.at < oldest_at:
+            del reports[name]
             continue
         usage = reported.by_model.get(model, Usage())
         busy += usage.busy
--- a/packages/turmericweir-core/turmericweir_core/leases/order_steps.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_steps.py
@@ -1,13 +1,12 @@
-"""What is to be ordered so that servers come to have what they should: wanted against reported.
+"""Compute the orders that bring the models of servers to the wanted state.
 
-The orders of a round are worked out afresh from the servers' reports, each stating an end (this
-label loaded, that one not). So it does not matter which earlier order was lost, given twice, or
-given late by a holder that had been paused: the next round sees what came of it and orders what is
-still missing.
+The orders of each round are computed again from the servers' reports, and each states a result
+(this label loaded, that one not). Lost, repeated or delayed orders of earlier rounds therefore do
+no harm.
 
-Three rules keep callers served. A version is replaced on one server at a time, the new one loaded
-before the old one goes. No server unloads a model unless enough others report that they have it.
-And an order whose effect is not reported yet counts against both.
+Three rules keep models available. A version is replaced on one server at a time, and the new
+version is loaded before the old one is unloaded. A server unloads a model only if enough others
+report it. An order whose effect is not reported yet counts against both rules.
 """
 
 from __future__ import annotations
@@ -24,22 +23,22 @@
 
 
 class WantedModel(Struct, frozen=True):
-    """Where a model should be, in which version."""
+    """The servers that should have a model, and its version."""
 
     model: str
     version: str
     servers: frozenset[ServerName]
-    # Servers that must have it at any time.
+    # Minimum number of servers that have the model at any time.
     least: int
-    # No server anywhere has it.
+    # No server has the model.
     missing: bool = False
 
 
-def steps(scope: Scope, wanted: WantedModel, holdings: Sequence[Holding]) -> list[Order]:
-    """List the orders that are due for one model."""
-    holders = sum(1 for each in holdings if each.has(wanted.model))
-    found = _loads(scope, wanted, holdings, holders)
-    return found + _unloads(scope, wanted, holdings, holders)
+def orders_for_model(scope: Scope, wanted: WantedModel, holdings: Sequence[Holding]) -> list[Order]:
+    """Return the due orders for one model."""
+    holders = sum(1 for holding in holdings if holding.has_model(wanted.model))
+    orders = _loads(scope, wanted, holdings, holders)
+    return orders + _unloads(scope, wanted, holdings, holders)
 
 
 # --- loading ---------------------------------------------------------------------------------
@@ -49,42 +48,42 @@
     scope: Scope, wanted: WantedModel, holdings: Sequence[Holding], holders: int
 ) -> list[Order]:
     label = ModelLabel(wanted.model, wanted.version)
-    found: list[Order] = []
-    rolling = any(_is_between(wanted, each) for each in holdings)
-    for each in holdings:
-        if each.server not in wanted.servers or _gets_wanted(wanted, each):
+    orders: list[Order] = []
+    is_rolling = any(_is_changing_version(wanted, holding) for holding in holdings)
+    for holding in holdings:
+        if holding.server not in wanted.servers or _gets_wanted_version(wanted, holding):
             continue
-        replaces = each.gets(wanted.model)
-        if replaces and rolling:
+        is_replacement = holding.has_or_loads(wanted.model)
+        if is_replacement and is_rolling:
             continue
-        rolling = rolling or replaces
-        found.append(
-            Order(scope, each.server, OrderKind.LOAD, label, wanted.missing, holders=holders)
+        is_rolling = is_rolling or is_replacement
+        orders.append(
+            Order(scope, holding.server, OrderKind.LOAD, label, wanted.missing, holders=holders)
         )
-    return found
+    return orders
 
 
-def _gets_wanted(wanted: WantedModel, each: Holding) -> bool:
-    return any(label.is_of(wanted.model, wanted.version) for label in each.labels)
+def _gets_wanted_version(wanted: WantedModel, holding: Holding) -> bool:
+    return any(label.is_of(wanted.model, wanted.version) for label in holding.labels)
 
 
-def _has_wanted(wanted: WantedModel, each: Holding) -> bool:
-    return any(label.is_of(wanted.model, wanted.version) for label in each.loaded)
+def _has_wanted_version(wanted: WantedModel, holding: Holding) -> bool:
+    return any(label.is_of(wanted.model, wanted.version) for label in holding.loaded)
 
 
-def _old_labels(wanted: WantedModel, each: Holding) -> list[ModelLabel]:
+def _old_labels(wanted: WantedModel, holding: Holding) -> list[ModelLabel]:
     return [
         label
-        for label in each.labels
+        for label in holding.labels
         if label.model == wanted.model
         and not label.adapter
         and not label.is_of(wanted.model, wanted.version)
     ]
 
 
-def _is_between(wanted: WantedModel, each: Holding) -> bool:
-    """Tell whether a server is on its way from one version to another."""
-    return _gets_wanted(wanted, each) and bool(_old_labels(wanted, each))
+def _is_changing_version(wanted: WantedModel, holding: Holding) -> bool:
+    """Return whether a server is changing from one version to another."""
+    return _gets_wanted_version(wanted, holding) and bool(_old_labels(wanted, holding))
 
 
 # --- unloading -------------------------------------------------------------------------------
@@ -93,34 +92,36 @@
 def _unloads(
     scope: Scope, wanted: WantedModel, holdings: Sequence[Holding], holders: int
 ) -> list[Order]:
-    found: list[Order] = []
-    # Failure: two servers are told at once to unload what either of them could have spared, and
-    # callers of the model wait until their deadlines. Each one that is told counts as gone.
-    left = holders
-    for each in holdings:
-        if each.server in wanted.servers:
-            if _has_wanted(wanted, each):
-                found += _unload(scope, each, _old_labels(wanted, each), holders, follows=True)
+    orders: list[Order] = []
+    # Servers with an unload order count as gone. Prevents two servers from unloading the last
+    # copies at once.
+    remaining = holders
+    for holding in holdings:
+        if holding.server in wanted.servers:
+            if _has_wanted_version(wanted, holding):
+                orders += _unload(
+                    scope, holding, _old_labels(wanted, holding), holders, follows=True
+                )
             continue
-        labels = [*_old_labels(wanted, each), *_wanted_labels(wanted, each)]
+        labels = [*_old_labels(wanted, holding), *_wanted_labels(wanted, holding)]
         if not labels:
             continue
-        serves = each.has(wanted.model)
-        if serves and left - 1 < wanted.least:
+        is_holder = holding.has_model(wanted.model)
+        if is_holder and remaining - 1 < wanted.least:
             continue
-        left -= 1 if serves else 0
-        found += _unload(scope, each, labels, holders, follows=False)
-    return found
+        remaining -= 1 if is_holder else 0
+        orders += _unload(scope, holding, labels, holders, follows=False)
+    return orders
 
 
-def _wanted_labels(wanted: WantedModel, each: Holding) -> list[ModelLabel]:
-    return [label for label in each.labels if label.is_of(wanted.model, wanted.version)]
+def _wanted_labels(wanted: WantedModel, holding: Holding) -> list[ModelLabel]:
+    return [label for label in holding.labels if label.is_of(wanted.model, wanted.version)]
 
 
 def _unload(
-    scope: Scope, each: Holding, labels: list[ModelLabel], holders: int, *, follows: bool
+    scope: Scope, holding: Holding, labels: list[ModelLabel], holders: int, *, follows: bool
 ) -> list[Order]:
     return [
-        Order(scope, each.server, OrderKind.UNLOAD, label, holders=holders, follows=follows)
+        Order(scope, holding.server, OrderKind.UNLOAD, label, holders=holders, follows=follows)
         for label in labels
     ]
--- a/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
@@ -44,7 +44,7 @@
     """Return all known instances, this one included, by data centre and name."""
     members = [*state.members.by_name.values(), membership.self_member(state)]
     versions = [_version_of(state, now, member) for member in members]
-    return sorted(versions, key=lambda member: (member.data_centre, member.name))
+    return sorted(versions, key=lambda version: (version.data_centre, version.name))
 
 
 def _version_of(state: State, now: float, member: Member) -> InstanceVersion:
--- a/packages/turmericweir-core/turmericweir_core/membership/leaving.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/leaving.py
@@ -60,8 +60,8 @@
     return [Log("server_leaving", {"server": name, "drained": drained, "by": state.me.name})]
 
 
-def expire(state: State, now: float) -> None:
-    """Drop expired notices."""
+def drop_expired_notices(state: State, now: float) -> None:
+    """Drop the notices that no instance has renewed for some time."""
     expire_marks(state.servers.marks, state.options, now)
 
 
--- a/packages/turmericweir-core/turmericweir_core/membership/membership.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership.py
@@ -76,9 +76,9 @@
 
 def data_centres(state: State, now: float) -> list[CentreView]:
     """Return the data centres with the newest status of each, this one included."""
-    views = [_remote_view(state, now, member) for member in state.members.centres.values()]
+    views = [_remote_view(state, now, each) for each in state.members.centres.values()]
     local_members = live_instances(state, now, state.me.data_centre)
-    lowest_offset = min(member.settings_offset for member in local_members)
+    lowest_offset = min(each.settings_offset for each in local_members)
     me = state.me
     views.append(
         CentreView(me.data_centre, me.region, now, True, len(local_members), lowest_offset)
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
@@ -183,7 +183,7 @@
 
 
 def take_sender(state: State, now: float, name: InstanceName, beat: Heartbeat) -> Member | None:
-    """Record what a heartbeat says of its sender; return None if it cannot be used."""
+    """Record the sender of a heartbeat; return None if the heartbeat cannot be used."""
     members = state.members
     region = region_by_tag(state.me, beat.tag)
     if region is None:
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_meeting.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_meeting.py
@@ -43,7 +43,7 @@
     other.
     """
     members = state.members
-    # Unresponsive instances of other data centres are contacted by `membership_words.speak`.
+    # `membership_words.send_statuses` contacts unresponsive instances of other data centres.
     unresponsive = [
         member
         for member in members.by_name.values()
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
@@ -102,7 +102,7 @@
     return is_successor or not is_member_live
 
 
-def forget(state: State, now: float) -> None:
+def drop_expired_members(state: State, now: float) -> None:
     """Drop members that have been unresponsive for long and that no source names any more."""
     members = state.members
     for member in list(members.by_name.values()):
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
@@ -59,9 +59,9 @@
         effects += _add_notices(state, now, membership_meeting.contact_candidate(state, now))
     if now >= members.relay_due:
         members.relay_due = _next_due_at(members.relay_due, now, state.options.relay_s)
-        effects += _add_notices(state, now, membership_words.speak(state, now))
-        membership_records.forget(state, now)
-        leaving.expire(state, now)
+        effects += _add_notices(state, now, membership_words.send_statuses(state, now))
+        membership_records.drop_expired_members(state, now)
+        leaving.drop_expired_notices(state, now)
     return effects
 
 
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_words.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_words.py
@@ -56,7 +56,7 @@
     return started_at is None or now - started_at < _START_PHASE_S
 
 
-def speak(state: State, now: float) -> list[Effect]:
+def send_statuses(state: State, now: float) -> list[Effect]:
     """Send this data centre's status to the others, if this instance is a relay."""
     local_members = live_instances(state, now, state.me.data_centre)
     if state.me.name not in names_of_relays(state, local_members):
--- a/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
@@ -42,7 +42,7 @@
     """Return the instances that read the store; this one may be among them."""
     live = [member for member in membership.live_instances(state, now) if not member.leaving]
     count = max(_READERS_MIN, len(live) // _INSTANCES_PER_READER)
-    return telling.first_by_hash(live, _DUTY, count)
+    return telling.members_for_duty(live, _DUTY, count)
 
 
 def is_reader(state: State, now: float) -> bool:
@@ -106,7 +106,7 @@
 # --- fallback readers --------------------------------------------------------------------------
 
 
-def note_read(state: State, now: float) -> None:
+def note_registry_read(state: State, now: float) -> None:
     """Become a fallback reader if this read was made because no reader announced in time.
 
     Does not apply to the first read, which all instances make when they start.
@@ -115,7 +115,7 @@
         state.registry.stands_in = True
 
 
-def note_told(state: State, now: float, reader: InstanceName) -> None:
+def note_reader(state: State, now: float, reader: InstanceName) -> None:
     """Stop being a fallback reader if the announcing peer is picked or has the higher weight."""
     is_picked = reader in {member.name for member in readers(state, now)}
     if is_picked or rendezvous_weight(_DUTY, reader) > rendezvous_weight(_DUTY, state.me.name):
--- a/packages/turmericweir-core/turmericweir_core/membership/telling.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/telling.py
@@ -1,9 +1,9 @@
-"""Relays: instances that pass messages for all on to the other instances of their data centre.
+"""Relays: instances that pass messages on to the other instances of their data centre.
 
-Each data centre has one relay for some instances, picked by hash among its live members. A message
-for all goes to the relays, and from each to its group. The choice follows from the live members
-alone, so nothing has to be agreed. While two views differ, some instances receive a message twice
-or not at all, and the receiver has to detect missing messages.
+Each data centre has one relay for a group of instances, picked by hash among its live members. A
+message for all instances goes to the relays, and from each to its group. The choice follows from
+the live members alone, without any agreement. While two views differ, some instances receive a
+message twice or not at all, and the receiver has to detect missing messages.
 
 In small deployments there are no relays: each instance sends to every other one.
 """
@@ -35,10 +35,10 @@
 def tellers(members: list[Member]) -> list[Member]:
     """Return the relays among one data centre's live members."""
     staying = [member for member in members if not member.leaving]
-    return first_by_hash(staying, _DUTY, -(-len(staying) // _INSTANCES_PER_RELAY))
+    return members_for_duty(staying, _DUTY, -(-len(staying) // _INSTANCES_PER_RELAY))
 
 
-def first_by_hash(members: list[Member], duty: str, count: int) -> list[Member]:
+def members_for_duty(members: list[Member], duty: str, count: int) -> list[Member]:
     """Return the members picked for a duty, the same ones on all instances.
 
     Instances on the strongest machines come first. Prevents relayed messages from delaying requests
--- a/packages/turmericweir-core/turmericweir_core/store/document.py
+++ b/packages/turmericweir-core/turmericweir_core/store/document.py
@@ -68,7 +68,7 @@
     return proof_age(state, now) <= state.options.store.deny_proof_s
 
 
-def may_serve_key(state: State, now: float, req: Request) -> bool:
+def can_serve_key(state: State, now: float, req: Request) -> bool:
     """Return whether the proof is fresh enough to send a request with a key.
 
     Prevents a partitioned instance from serving a revoked key. The bound is shorter than the one
--- a/packages/turmericweir-core/turmericweir_core/store/instance_refusal.py
+++ b/packages/turmericweir-core/turmericweir_core/store/instance_refusal.py
@@ -33,7 +33,7 @@
     """Return why this instance cannot serve a request, or None if it can."""
     if not state.has_settings:
         return Reason.NO_SETTINGS
-    if not document.may_serve_key(state, now, req):
+    if not document.can_serve_key(state, now, req):
         return Reason.KEY_UNPROVEN
     if _stops_too_soon(state, now, req):
         return Reason.STOPPING
--- a/packages/turmericweir-core/turmericweir_core/store/registry.py
+++ b/packages/turmericweir-core/turmericweir_core/store/registry.py
@@ -44,7 +44,7 @@
     """Update the servers to the entries that were read."""
     registry = state.registry
     was_away = now - registry.read_at > _STORE_AWAY_S
-    store_duty.note_read(state, now)
+    store_duty.note_registry_read(state, now)
     registry.read_at = now
     listed = dict(state.servers.listed)
     effects: list[Effect] = []
@@ -93,7 +93,7 @@
 def on_news(state: State, now: float, sender: InstanceName, update: RegistryNews) -> list[Effect]:
     """Apply a reader's update, or request the whole list if the hash does not match."""
     state.registry.told_by, state.registry.told_at = sender, now
-    store_duty.note_told(state, now, InstanceName(update.reader or sender))
+    store_duty.note_reader(state, now, InstanceName(update.reader or sender))
     effects = _relay_update(state, now, sender, update)
     listed = dict(state.servers.listed)
     for row in update.rows:
--- a/tests/core/duties/duty_network.py
+++ b/tests/core/duties/duty_network.py
@@ -1,8 +1,8 @@
-"""Instances with duties before one store and one platform, stepped by the reducer alone.
+"""Instances with duties before one store and one platform, driven by the reducer alone.
 
-The store keeps the newest record of each key and takes conditional appends. The platform records
-every call that it has carried out, which is what tests judge by. Both may turn instances away, lose
-answers, and carry out later what they have not answered.
+The store keeps the newest record of each key and accepts conditional appends. The platform records
+every call that it has executed, which is what tests assert on. Both may refuse instances, lose
+answers, and execute unanswered calls later.
 """
 
 from __future__ import annotations
@@ -41,20 +41,19 @@
 LEASE_S = 3.0
 WINDOW_S = 5.0
 LATE_S = 10.0
-# The time of day at zero of the networks' clock.
+# Time of day at time zero of the network's clock.
 WALL_ZERO_S = 1_770_000_001.3
-# What a call to the store or the platform takes, and how late one may be carried out that was not
-# answered.
+# Duration of a call, and the largest delay after which an unanswered call is executed.
 CALL_S = 0.01
 TIMEOUT_S = 0.9
-LATE_LANDING_S = 4.0
+DELAYED_EXECUTION_MAX_S = 4.0
 
 
 @dataclass
-class Accepted:
-    """A call that the platform has carried out."""
+class AcceptedCall:
+    """A call that the platform has executed."""
 
-    at: float
+    called_at: float
     holder: str
     fence: int
     subject: str
@@ -64,15 +63,17 @@
 
 @dataclass
 class DutyPlatform:
-    """What the platform has seen."""
+    """The calls that the platform has received."""
 
     checks_fence: bool = True
-    accepted: list[Accepted] = field(default_factory=list)
+    accepted: list[AcceptedCall] = field(default_factory=list)
     # The highest fencing number by subject.
     highest: dict[str, int] = field(default_factory=dict)
     refused: int = 0
 
-    def carry_out(self, at: float, name: str, effect: ReportUsage | OrderServers) -> DutyOutcome:
+    def carry_out(
+        self, called_at: float, name: str, effect: ReportUsage | OrderServers
+    ) -> DutyOutcome:
         subject = "usage"
         if isinstance(effect, OrderServers):
             subject = f"{effect.service}/{effect.data_centre}"
@@ -80,7 +81,7 @@
             self.refused += 1
             return DutyOutcome.STALE
         self.highest[subject] = max(effect.fence, self.highest.get(subject, -1))
-        call = Accepted(at, name, effect.fence, subject)
+        call = AcceptedCall(called_at, name, effect.fence, subject)
         if isinstance(effect, ReportUsage):
             call.window, call.counts = effect.window, dict(effect.counts)
         self.accepted.append(call)
@@ -88,7 +89,7 @@
 
 
 class DutyNetwork(StoreNetwork):
-    """Instances, the ways between them, the store with the leases, and the platform."""
+    """Instances, the links between them, the store with the leases, and the platform."""
 
     def __init__(
         self, seed: int = 1, *, checks_fence: bool = True, orders_servers: bool = False
@@ -117,18 +118,18 @@
             checks_fence=checks_fence,
         )
         self.platform = DutyPlatform(checks_fence)
-        # The topic of the leases: key and value by offset.
+        # The stream of the leases: key and value by offset.
         self.records: list[tuple[str, object]] = []
         self.lease_calls: Counter[str] = Counter()
-        # Given an instance, tell whether the store or the platform answers it.
+        # Returns whether the store or the platform answers an instance.
         self.store_answers: Callable[[str], bool] = lambda name: True
         self.platform_answers: Callable[[str], bool] = lambda name: True
-        # Share of the answers that are lost, and of those the share that is carried out later.
+        # Share of lost answers; half of those calls are executed later.
         self.lost_answers = 0.0
         # Requests that servers began, by window and customer.
         self.truth: dict[int, Counter[str]] = {}
         self._numbers = itertools.count()
-        # What is carried out although nobody was answered, and when.
+        # Unanswered calls that are executed later, with their times.
         self._deferred: list[tuple[float, Callable[[], object]]] = []
 
     def make_state(self, identity: Identity) -> State:
@@ -145,7 +146,7 @@
         return names
 
     def restart(self, name: str) -> None:
-        """Kill an instance and start it anew."""
+        """Kill an instance and restart it."""
         centre = self.nodes[name].state.me.data_centre
         self.kill(name)
         self.add(name, centre, incarnation=f"{name}-{next(self._numbers) + 2}")
@@ -163,7 +164,7 @@
         return names
 
     def holder(self) -> str | None:
-        """Name the instance that wrote the newest valid record, if it has not released."""
+        """Return the writer of the newest valid record, unless it released the lease."""
         if not self.records:
             return None
         value = self.records[-1][1]
@@ -171,7 +172,7 @@
         return None if value["act"] == "release" else str(value["by"][0])
 
     def serve(self, name: str, customer: str, count: int = 1) -> None:
-        """Have servers begin requests of an instance now."""
+        """Count requests that servers begin for an instance now."""
         node = self.nodes[name]
         if node.down or node.paused:
             return
@@ -187,7 +188,7 @@
         return int((self.now + WALL_ZERO_S) // WINDOW_S)
 
     def serve_all(self, names: list[str], seconds: float, step_s: float = 0.2) -> None:
-        """Let time pass in which every instance serves one request in a while."""
+        """Advance the time while all instances serve occasional requests."""
         for _ in range(round(seconds / step_s)):
             for name in names:
                 if self.rng.random() < 0.3:
@@ -219,15 +220,15 @@
             failed = AppendFailed(effect.stream, effect.token, "no answer", True)
             self._answer(name, failed, TIMEOUT_S)
         elif self.rng.random() < self.lost_answers:
-            # Half of these never take effect, the others some time later.
+            # Half of these never take effect, the others later.
             if self.rng.random() < 0.5:
-                self._later(lambda: self._land(effect))
+                self._defer(lambda: self._execute_append(effect))
             failed = AppendFailed(effect.stream, effect.token, "no answer", True)
             self._answer(name, failed, TIMEOUT_S)
         else:
-            self._answer(name, self._land(effect))
+            self._answer(name, self._execute_append(effect))
 
-    def _land(self, effect: AppendRecords) -> Event:
+    def _execute_append(self, effect: AppendRecords) -> Event:
         if effect.at is not None and effect.at != len(self.records):
             return AppendFailed(effect.stream, effect.token, "status 412", False)
         first = len(self.records)
@@ -238,14 +239,14 @@
         if not self.store_answers(name):
             self._answer(name, LogFailed(effect.stream, "no answer"), TIMEOUT_S)
             return
-        records = [LogRecord(at, value) for at, (_, value) in enumerate(self.records)]
+        records = [LogRecord(offset, value) for offset, (_, value) in enumerate(self.records)]
         end = len(records)
         if effect.newest:
-            newest = {self.records[each.offset][0]: each for each in records}
+            newest = {self.records[record.offset][0]: record for record in records}
             self._answer(name, LogNewest(effect.stream, tuple(newest.values()), end))
         else:
-            found = tuple(each for each in records if each.offset >= effect.offset)
-            self._answer(name, LogRead(effect.stream, found, end))
+            later_records = tuple(record for record in records if record.offset >= effect.offset)
+            self._answer(name, LogRead(effect.stream, later_records, end))
 
     def _call(self, name: str, effect: ReportUsage | OrderServers) -> None:
         if not self.platform_answers(name):
@@ -253,55 +254,57 @@
             self._answer(name, unknown, TIMEOUT_S)
         elif self.rng.random() < self.lost_answers:
             if self.rng.random() < 0.5:
-                self._later(lambda: self.platform.carry_out(self.now, name, effect))
+                self._defer(lambda: self.platform.carry_out(self.now, name, effect))
             unknown = DutyAnswered(effect.token, DutyOutcome.UNKNOWN, "no answer")
             self._answer(name, unknown, TIMEOUT_S)
         else:
             outcome = self.platform.carry_out(self.now, name, effect)
             self._answer(name, DutyAnswered(effect.token, outcome))
 
-    def _later(self, work: Callable[[], object]) -> None:
-        self._deferred.append((self.now + LATE_LANDING_S * self.rng.random(), work))
+    def _defer(self, call: Callable[[], object]) -> None:
+        self._deferred.append((self.now + DELAYED_EXECUTION_MAX_S * self.rng.random(), call))
 
     def _tick(self, name: str) -> None:
-        for each in [each for each in self._deferred if each[0] <= self.now]:
-            self._deferred.remove(each)
-            each[1]()
+        for deferred in [deferred for deferred in self._deferred if deferred[0] <= self.now]:
+            self._deferred.remove(deferred)
+            deferred[1]()
         super()._tick(name)
 
-    # --- what tests judge by ---
+    # --- assertions ---
 
     def reported(self) -> dict[int, dict[str, int]]:
-        """Give the counts that the platform has taken, by window."""
-        return {each.window: each.counts for each in self.platform.accepted if each.window >= 0}
+        """Return the counts that the platform has accepted, by window."""
+        return {call.window: call.counts for call in self.platform.accepted if call.window >= 0}
 
     def broken_rules(self) -> list[str]:
-        """List what the platform has seen that one holder at a time would never do."""
-        found: list[str] = []
+        """Return violations of the rule that one holder acts at a time."""
+        violations: list[str] = []
         counts: dict[int, dict[str, int]] = {}
         holder_of: dict[int, str] = {}
         newest: dict[str, int] = {}
-        order: dict[str, list[Accepted]] = {}
+        order: dict[str, list[AcceptedCall]] = {}
         for call in self.platform.accepted:
             if call.window >= 0 and counts.setdefault(call.window, call.counts) != call.counts:
-                found.append(f"two reports of window {call.window} differ")
+                violations.append(f"two reports of window {call.window} differ")
             if holder_of.setdefault(call.fence, call.holder) != call.holder:
-                found.append(f"fence {call.fence} of two holders")
+                violations.append(f"fence {call.fence} of two holders")
             if call.fence < newest.get(call.subject, -1):
-                found.append(f"fence {call.fence} after {newest[call.subject]}")
+                violations.append(f"fence {call.fence} after {newest[call.subject]}")
             newest[call.subject] = max(call.fence, newest.get(call.subject, -1))
-            before = order.setdefault(call.subject, [])
-            if not before or before[-1].holder != call.holder:
-                if len(before) > 1 and before[-2].holder == call.holder:
+            previous = order.setdefault(call.subject, [])
+            if not previous or previous[-1].holder != call.holder:
+                if len(previous) > 1 and previous[-2].holder == call.holder:
                     last_at = max(
-                        it.at
-                        for it in self.platform.accepted
-                        if it.subject == call.subject
-                        and it.holder == call.holder
-                        and it is not call
-                        and it.at <= call.at
+                        other.called_at
+                        for other in self.platform.accepted
+                        if other.subject == call.subject
+                        and other.holder == call.holder
+                        and other is not call
+                        and other.called_at <= call.called_at
                     )
-                    if call.at - last_at < LEASE_S:
-                        found.append(f"{call.holder} acts again {call.at - last_at:.2f} s later")
-                before.append(call)
-        return found
+                    if call.called_at - last_at < LEASE_S:
+                        violations.append(
+                            f"{call.holder} acts again {call.called_at - last_at:.2f} s later"
+                        )
+                previous.append(call)
+        return violations
--- a/tests/core/duties/test_usage.py
+++ b/tests/core/duties/test_usage.py
@@ -1,4 +1,4 @@
-"""Usage reports: one holder, one report for each window, whatever fails."""
+"""Usage reports: one holder and one report for each window under faults."""
 
 from __future__ import annotations
 
@@ -13,21 +13,23 @@
 COUNT = 8
 
 
-def late_windows(network: DutyNetwork) -> list[int]:
-    """List the windows that are due and that the platform has no report of."""
-    now = network.window() - int(LATE_S // WINDOW_S) - 1
+def overdue_windows(network: DutyNetwork) -> list[int]:
+    """Return the windows whose report is overdue."""
+    newest_due = network.window() - int(LATE_S // WINDOW_S) - 1
     return [
-        window for window in network.truth if window <= now and window not in network.reported()
+        window
+        for window in network.truth
+        if window <= newest_due and window not in network.reported()
     ]
 
 
 def wrong_windows(network: DutyNetwork) -> list[int]:
-    """List the windows whose report is not what servers began."""
+    """Return the windows whose report differs from the requests that servers began."""
     reported = network.reported()
     return [
-        each
-        for each in reported
-        if each in network.truth and reported[each] != dict(network.truth[each])
+        window
+        for window in reported
+        if window in network.truth and reported[window] != dict(network.truth[window])
     ]
 
 
@@ -36,14 +38,14 @@
     names = network.start(COUNT)
     network.serve_all(names, 30.0)
     network.run(LATE_S)
-    assert late_windows(network) == []
+    assert overdue_windows(network) == []
     assert wrong_windows(network) == []
-    windows = [each.window for each in network.platform.accepted]
+    windows = [call.window for call in network.platform.accepted]
     assert len(windows) == len(set(windows))
     assert network.broken_rules() == []
 
 
-def test_a_calm_minute_costs_few_calls_to_the_store() -> None:
+def test_steady_state_makes_few_calls_to_the_store() -> None:
     network = DutyNetwork()
     names = network.start(COUNT)
     network.lease_calls.clear()
@@ -51,20 +53,20 @@
     assert network.lease_calls.total() <= 0.3 * 60
 
 
-def test_holder_that_dies_is_followed_in_time() -> None:
-    """Guards against windows that nobody reports after the holder's death."""
+def test_dead_holder_is_replaced_in_time() -> None:
+    """Guards against missing reports after the holder's death."""
     network = DutyNetwork()
     names = network.start(COUNT)
     network.serve_all(names, 12.0)
     network.kill(network.holder() or "")
     network.serve_all(names, 25.0)
     network.run(LATE_S)
-    assert late_windows(network) == []
+    assert overdue_windows(network) == []
     assert network.broken_rules() == []
 
 
-def test_holder_that_stops_hands_over() -> None:
-    """Guards against a successor that waits out the lease of a holder that has left."""
+def test_stopping_holder_releases_the_lease() -> None:
+    """Guards against a successor that waits for the lease of a stopped holder to expire."""
     network = DutyNetwork()
     names = network.start(COUNT)
     network.serve_all(names, 12.0)
@@ -73,13 +75,13 @@
     network.run_until(lambda: network.holder() not in (None, holder), 4.0)
     network.serve_all([name for name in names if name != holder], 20.0)
     network.run(LATE_S)
-    assert late_windows(network) == []
+    assert overdue_windows(network) == []
     assert network.broken_rules() == []
 
 
 @pytest.mark.parametrize("checks_fence", [True, False])
-def test_paused_holder_does_not_act_when_it_wakes(checks_fence: bool) -> None:
-    """Guards against a holder that was frozen past its lease and goes on where it stopped."""
+def test_paused_holder_does_not_act_when_it_resumes(checks_fence: bool) -> None:
+    """Guards against a holder that continues after a pause longer than its lease."""
     network = DutyNetwork(checks_fence=checks_fence)
     names = network.start(COUNT)
     network.serve_all(names, 11.0)
@@ -90,11 +92,11 @@
     network.serve_all(names, 20.0)
     network.run(LATE_S)
     assert network.broken_rules() == []
-    assert late_windows(network) == []
+    assert overdue_windows(network) == []
 
 
-def test_holder_that_the_store_turns_away_leaves_the_duties_to_another() -> None:
-    """Guards against a holder that is cut off from the store and keeps the others quiet."""
+def test_holder_refused_by_the_store_is_replaced() -> None:
+    """Guards against a holder that is cut off from the store but still sends its status."""
     network = DutyNetwork()
     names = network.start(COUNT)
     network.serve_all(names, 12.0)
@@ -102,12 +104,12 @@
     network.store_answers = lambda name: name != holder
     network.serve_all(names, 25.0)
     network.run(LATE_S)
-    assert late_windows(network) == []
+    assert overdue_windows(network) == []
     assert network.broken_rules() == []
 
 
-def test_outages_are_caught_up_with_in_order() -> None:
-    """Guards against windows lost or told anew while the store or the platform is away."""
+def test_windows_are_reported_in_order_after_outages() -> None:
+    """Guards against windows lost or reported again after an outage of store or platform."""
     network = DutyNetwork()
     names = network.start(COUNT)
     network.serve_all(names, 10.0)
@@ -119,16 +121,16 @@
     network.store_answers = lambda name: True
     network.serve_all(names, 10.0)
     network.run(LATE_S)
-    assert late_windows(network) == []
+    assert overdue_windows(network) == []
     assert wrong_windows(network) == []
-    # A successor may repeat what its predecessor has reported; first reports are in order.
-    windows = list(dict.fromkeys(each.window for each in network.platform.accepted))
+    # A successor may repeat its predecessor's reports; the first reports are in order.
+    windows = list(dict.fromkeys(call.window for call in network.platform.accepted))
     assert windows == sorted(windows)
     assert network.broken_rules() == []
 
 
-def test_counts_of_an_instance_that_died_still_count() -> None:
-    """Guards against usage that dies with the instance that served it."""
+def test_counts_of_a_dead_instance_are_reported() -> None:
+    """Guards against usage that is lost with the instance that served it."""
     network = DutyNetwork()
     names = network.start(COUNT)
     victim = next(name for name in names if name != network.holder())
@@ -137,11 +139,11 @@
     network.run(1.5)
     network.kill(victim)
     network.run(LATE_S + WINDOW_S)
-    assert sum(each.get("customer-1", 0) for each in network.reported().values()) == 40
+    assert sum(counts.get("customer-1", 0) for counts in network.reported().values()) == 40
 
 
-def test_all_instances_restart_and_no_window_is_told_anew() -> None:
-    """Guards against a second report of a window by instances that know nothing of the first."""
+def test_no_window_is_reported_again_after_a_restart_of_all() -> None:
+    """Guards against a second report of a window after a restart of all instances."""
     network = DutyNetwork()
     names = network.start(COUNT)
     network.serve_all(names, 14.0)
@@ -154,7 +156,7 @@
     assert max(network.reported()) >= network.window() - 4
 
 
-def test_malformed_counts_are_no_fault() -> None:
+def test_malformed_counts_are_ignored() -> None:
     network = DutyNetwork()
     names = network.start(COUNT)
     holder = network.holder() or ""
@@ -171,7 +173,7 @@
 
 
 def random_faults(network: DutyNetwork, names: list[str], rounds: int) -> None:
-    """Play faults of holders, store and platform in any order while requests are served."""
+    """Inject random faults of holders, store and platform while requests are served."""
     network.lost_answers = 0.15
     for _ in range(rounds):
         holder = network.holder() or names[0]
@@ -205,7 +207,7 @@
 
 @pytest.mark.parametrize("checks_fence", [True, False])
 @pytest.mark.parametrize("seed", range(1, 9))
-def test_one_holder_at_a_time_in_random_trouble(seed: int, checks_fence: bool) -> None:
+def test_one_holder_at_a_time_under_random_faults(seed: int, checks_fence: bool) -> None:
     network = DutyNetwork(seed, checks_fence=checks_fence)
     names = network.start(6)
     random_faults(network, names, 8)
@@ -215,30 +217,30 @@
     assert max(network.reported()) >= network.window() - 4
 
 
-def test_without_the_note_two_reports_differ(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Shows that the random trouble finds what the note in the lease guards against."""
+def test_random_faults_detect_a_missing_note(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Checks that the random faults detect a missing note in the lease."""
 
-    found: list[str] = []
+    violations: list[str] = []
     for seed in range(1, 9):
         network = DutyNetwork(seed)
         names = network.start(6)
         with monkeypatch.context() as patched:
-            patched.setattr(lease_flow, "noted", _own_note_only)
+            patched.setattr(lease_flow, "newest_note", _own_note_only)
             random_faults(network, names, 8)
-        found += network.broken_rules()
-    assert any("differ" in each for each in found)
+        violations += network.broken_rules()
+    assert any("differ" in violation for violation in violations)
 
 
 def _own_note_only(state: object, scope: object) -> object:
-    """Give only what this life has noted itself."""
+    """Return only the note that this incarnation has written."""
     return state.leases.notes.get(scope)  # type: ignore[attr-defined]
 
 
-def test_without_the_wait_for_the_lease_holders_alternate(
+def test_random_faults_detect_a_missing_lease_wait(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Shows that the random trouble finds what waiting out a lease guards against."""
-    found: list[str] = []
+    """Checks that the random faults detect a missing wait for a lease to expire."""
+    violations: list[str] = []
     for seed in range(1, 9):
         network = DutyNetwork(seed, checks_fence=False)
         names = network.start(6)
@@ -246,8 +248,8 @@
             patched.setattr(lease_flow, "free_at", lambda *args: float("-inf"))
             patched.setattr(lease_flow, "held", _held_for_ever)
             random_faults(network, names, 8)
-        found += network.broken_rules()
-    assert found
+        violations += network.broken_rules()
+    assert violations
 
 
 def _held_for_ever(state: object, now: float, scope: object) -> object:
@@ -255,9 +257,9 @@
 
 
 def test_candidates_are_of_different_data_centres() -> None:
-    """Guards against candidates that are all cut off at once."""
+    """Guards against losing all candidates with one data centre."""
     network = DutyNetwork()
     names = network.start(12, 3)
     state = network.nodes[names[0]].state
-    found = election.candidates(state, network.now)
-    assert len({each.data_centre for each in found[:3]}) == 3
+    candidates = election.candidates(state, network.now)
+    assert len({member.data_centre for member in candidates[:3]}) == 3
--- a/tests/core/lease_world.py
+++ b/tests/core/lease_world.py
@@ -1,8 +1,7 @@
-"""A small world for the tests of leases: instances with clocks of their own, and one log.
+"""Instances with local clocks and one log, for tests of leases.
 
-Clocks start anywhere and run up to a twentieth too fast or too slow. What an instance sends waits
-in the world until the test says what becomes of it. A paused instance handles nothing while its
-clock goes on, as a process that was stopped by a signal.
+Clocks start at different times and drift. The effects of an instance wait until the test decides
+their outcome. A paused instance processes nothing while its clock advances.
 """
 
 from __future__ import annotations
@@ -37,21 +36,21 @@
     lease_retry_max_s=0.5,
     lease_call_s=1.0,
 )
-RATES: Final = (1.0, 0.95, 1.05)
-STARTS: Final = (1000.0, 0.0, 77.7)
+CLOCK_RATES: Final = (1.0, 0.95, 1.05)
+CLOCK_STARTS: Final = (1000.0, 0.0, 77.7)
 
 
-class Fate(Enum):
-    """What becomes of something that an instance sent."""
+class EffectOutcome(Enum):
+    """The outcome of an effect of an instance."""
 
     DONE = "done"
-    # Nothing reached the log, and the instance is told.
+    # Nothing reached the log, and the instance is informed.
     FAILED = "failed"
-    # It took effect, but the instance is told that it may not have.
+    # It took effect, and the instance is informed that it may not have.
     UNACKNOWLEDGED = "unacknowledged"
-    # The instance is told that it may have failed; it takes effect at some later time.
+    # The instance is informed that it may have failed; it takes effect later.
     LATE = "late"
-    # It took effect, and the instance hears of it at some later time.
+    # It took effect, and the instance is informed later.
     SLOW = "slow"
 
 
@@ -63,16 +62,16 @@
     rate: float
     start: float
     paused: bool = False
-    # Effects that leave the process and have not been performed.
+    # Effects that have not been performed.
     pending: list[Effect] = field(default_factory=list)
-    # Answers that are on their way to it.
+    # Answers that are on their way to the instance.
     answers: list[Any] = field(default_factory=list)
     logs: list[Log] = field(default_factory=list)
 
 
 @dataclass(frozen=True, slots=True)
-class Given:
-    """An order that a holder gave at some time."""
+class SentOrder:
+    """An order that a holder sent."""
 
     instance: str
     fence: int
@@ -80,16 +79,16 @@
 
 @dataclass(slots=True)
 class World:
-    """Everything."""
+    """The instances, the log and the time."""
 
     options: Options = OPTIONS
     now: float = 0.0
     records: list[Any] = field(default_factory=list)
     oldest: int = 0
-    # Appends that were given up by their writers and are still on their way.
+    # Appends that their writers have given up and that may take effect later.
     late: list[Any] = field(default_factory=list)
     instances: list[Instance] = field(default_factory=list)
-    given: list[Given] = field(default_factory=list)
+    given: list[SentOrder] = field(default_factory=list)
     started: int = 0
 
     def start(self) -> Instance:
@@ -99,45 +98,45 @@
         identity = Identity(
             InstanceName(f"i{number}"), "dc-1", "home", "10.0.0.1:1", f"i{number}-a"
         )
-        kind = number % len(RATES)
+        clock_index = number % len(CLOCK_RATES)
         state = new_state(identity, self.options, seed=number)
-        instance = Instance(state, RATES[kind], STARTS[kind])
+        instance = Instance(state, CLOCK_RATES[clock_index], CLOCK_STARTS[clock_index])
         self.instances.append(instance)
         return instance
 
     def clock(self, instance: Instance) -> float:
-        """Give the time by an instance's own clock."""
+        """Return the time of an instance's clock."""
         return instance.start + self.now * instance.rate
 
-    # --- what instances believe ---
+    # --- holders ---
 
     def holders(self, scope: Scope = SCOPE) -> list[Instance]:
-        """List the instances that would give an order now, paused ones included."""
+        """Return the instances that would send an order now, including paused ones."""
         return [
-            each
-            for each in self.instances
-            if lease_flow.held(each.state, self.clock(each), scope) is not None
+            instance
+            for instance in self.instances
+            if lease_flow.held(instance.state, self.clock(instance), scope) is not None
         ]
 
     def check(self) -> None:
-        """Fail if two believe to hold at once; let the holder that runs give an order."""
+        """Fail if two instances hold the lease; record an order of a running holder."""
         holders = self.holders()
-        assert len(holders) <= 1, [each.state.me.name for each in holders]
-        for each in holders:
-            lease = lease_flow.held(each.state, self.clock(each), SCOPE)
-            if lease is not None and not each.paused:
-                self.given.append(Given(each.state.me.name, lease.fence))
+        assert len(holders) <= 1, [instance.state.me.name for instance in holders]
+        for instance in holders:
+            lease = lease_flow.held(instance.state, self.clock(instance), SCOPE)
+            if lease is not None and not instance.paused:
+                self.given.append(SentOrder(instance.state.me.name, lease.fence))
 
     # --- time and events ---
 
     def tick(self, seconds: float) -> None:
-        """Let time pass for everybody."""
+        """Advance the time for all instances."""
         self.now += seconds
-        for each in self.instances:
-            if not each.paused:
-                self._keep(each, lease_flow.on_tick(each.state, self.clock(each)))
+        for instance in self.instances:
+            if not instance.paused:
+                self._collect(instance, lease_flow.on_tick(instance.state, self.clock(instance)))
 
-    def _keep(self, instance: Instance, effects: list[Effect]) -> None:
+    def _collect(self, instance: Instance, effects: list[Effect]) -> None:
         for effect in effects:
             match effect:
                 case AppendRecords() | ReadLog():
@@ -148,30 +147,30 @@
                     pass
 
     def handle(self, instance: Instance, event: Any) -> None:
-        """Give an event to an instance, once it runs."""
+        """Deliver an event to an instance, or queue it during a pause."""
         if instance.paused:
             instance.answers.append(event)
             return
         now = self.clock(instance)
         match event:
             case AppendDone() | AppendFailed():
-                self._keep(instance, lease_flow.on_append(instance.state, now, event))
+                self._collect(instance, lease_flow.on_append(instance.state, now, event))
             case _:
-                self._keep(instance, lease_flow.on_log(instance.state, now, event))
+                self._collect(instance, lease_flow.on_log(instance.state, now, event))
 
-    def hear(self, instance: Instance) -> None:
-        """Let one answer arrive that was on its way."""
+    def deliver_answer(self, instance: Instance) -> None:
+        """Deliver one queued answer."""
         if instance.answers and not instance.paused:
             self.handle(instance, instance.answers.pop(0))
 
     def resume(self, instance: Instance) -> None:
-        """Let a paused instance go on: first it handles what its sockets have held."""
+        """Resume a paused instance; it first processes its queued answers."""
         instance.paused = False
         while instance.answers:
-            self.hear(instance)
+            self.deliver_answer(instance)
 
-    def perform(self, instance: Instance, fate: Fate = Fate.DONE) -> None:
-        """Decide what becomes of the oldest pending effect."""
+    def perform(self, instance: Instance, fate: EffectOutcome = EffectOutcome.DONE) -> None:
+        """Decide the outcome of the oldest pending effect."""
         if not instance.pending:
             return
         effect = instance.pending.pop(0)
@@ -183,33 +182,33 @@
             case _:
                 pass
 
-    def _append(self, instance: Instance, effect: AppendRecords, fate: Fate) -> None:
+    def _append(self, instance: Instance, effect: AppendRecords, fate: EffectOutcome) -> None:
         stream, token = effect.stream, effect.token
-        if fate in (Fate.FAILED, Fate.LATE):
-            if fate is Fate.LATE:
+        if fate in (EffectOutcome.FAILED, EffectOutcome.LATE):
+            if fate is EffectOutcome.LATE:
                 self.late += effect.records
-            self.handle(instance, AppendFailed(stream, token, "lost", fate is Fate.LATE))
+            self.handle(instance, AppendFailed(stream, token, "lost", fate is EffectOutcome.LATE))
             return
         first = len(self.records)
         self.records += effect.records
-        if fate is Fate.UNACKNOWLEDGED:
+        if fate is EffectOutcome.UNACKNOWLEDGED:
             self.handle(instance, AppendFailed(stream, token, "no answer", maybe=True))
             return
         self._answer(instance, AppendDone(stream, token, first, len(self.records)), fate)
 
-    def _answer(self, instance: Instance, event: Any, fate: Fate) -> None:
-        if fate is Fate.SLOW:
+    def _answer(self, instance: Instance, event: Any, fate: EffectOutcome) -> None:
+        if fate is EffectOutcome.SLOW:
             instance.answers.append(event)
         else:
             self.handle(instance, event)
 
-    def land_late(self) -> None:
-        """Let an append take effect whose writer has given it up."""
+    def execute_late_append(self) -> None:
+        """Execute an append that its writer has given up."""
         if self.late:
             self.records.append(self.late.pop(0))
 
-    def _read(self, instance: Instance, effect: ReadLog, fate: Fate) -> None:
-        if fate in (Fate.FAILED, Fate.LATE, Fate.UNACKNOWLEDGED):
+    def _read(self, instance: Instance, effect: ReadLog, fate: EffectOutcome) -> None:
+        if fate in (EffectOutcome.FAILED, EffectOutcome.LATE, EffectOutcome.UNACKNOWLEDGED):
             self.handle(instance, LogFailed(effect.stream, "lost"))
             return
         end = len(self.records)
@@ -217,19 +216,19 @@
             self._answer(instance, LogExpired(effect.stream, self.oldest, end), fate)
             return
         upto = end if effect.limit is None else min(end, effect.offset + effect.limit)
-        found = enumerate(self.records[effect.offset : upto], effect.offset)
-        records = tuple(LogRecord(offset, value) for offset, value in found)
+        numbered = enumerate(self.records[effect.offset : upto], effect.offset)
+        records = tuple(LogRecord(offset, value) for offset, value in numbered)
         self._answer(instance, LogRead(LEASES_STREAM, records, end), fate)
 
     def run(self, seconds: float, step_s: float = 0.1) -> None:
-        """Let everything work for a while."""
-        until = self.now + seconds
-        while self.now < until:
+        """Run all instances for some time."""
+        end_at = self.now + seconds
+        while self.now < end_at:
             self.tick(step_s)
-            for each in self.instances:
-                while each.pending or (each.answers and not each.paused):
-                    if each.answers and not each.paused:
-                        self.hear(each)
+            for instance in self.instances:
+                while instance.pending or (instance.answers and not instance.paused):
+                    if instance.answers and not instance.paused:
+                        self.deliver_answer(instance)
                     else:
-                        self.perform(each)
+                        self.perform(instance)
             self.check()
--- a/tests/core/leases/test_lease.py
+++ b/tests/core/leases/test_lease.py
@@ -1,4 +1,4 @@
-"""Leases: one holder at a time by everybody's own clock, whatever is lost, late or paused."""
+"""Leases: one holder at a time by all local clocks, under loss, delays and pauses."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.core.lease_world import OPTIONS, SCOPE, Fate, Instance, World
+from tests.core.lease_world import OPTIONS, SCOPE, EffectOutcome, Instance, World
 from turmericweir_core.leases import lease_flow
 from turmericweir_core.messages.effects import AppendRecords
 from turmericweir_core.records.lease_record import Act, LeaseRecord, Scope, decode, encode
@@ -17,12 +17,12 @@
 WAIT_S: Final = OPTIONS.lease_s + OPTIONS.lease_margin_s
 
 
-def wanting(world: World, count: int) -> list[Instance]:
+def start_wanting(world: World, count: int) -> list[Instance]:
     """Start instances that all want the lease."""
-    started = [world.start() for _ in range(count)]
-    for each in started:
-        lease_flow.want(each.state, world.clock(each), SCOPE)
-    return started
+    instances = [world.start() for _ in range(count)]
+    for instance in instances:
+        lease_flow.request_lease(instance.state, world.clock(instance), SCOPE)
+    return instances
 
 
 def fence_of(world: World, instance: Instance) -> int | None:
@@ -43,47 +43,47 @@
 
 def test_first_grant_of_an_empty_stream_holds_at_once_and_is_renewed() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(0.5)
     assert fence_of(world, holder) == 0
     world.run(20.0)
     assert fence_of(world, holder) == 0
-    # One renewal for each `lease_renew_s`, and nothing else.
+    # One renewal for each `lease_renew_s` and no other append.
     assert 18 <= len(world.records) - 1 <= 21
 
 
-def test_two_that_want_it_at_once_get_one_holder() -> None:
+def test_two_instances_that_want_a_lease_get_one_holder() -> None:
     world = World()
-    wanting(world, 2)
+    start_wanting(world, 2)
     world.run(2.0)
     assert len(world.holders()) == 1
 
 
-def test_given_back_lease_goes_to_the_next_at_once_with_a_higher_number() -> None:
+def test_released_lease_passes_at_once_with_a_higher_fence() -> None:
     world = World()
-    first, second = wanting(world, 2)
+    first, second = start_wanting(world, 2)
     world.run(1.0)
     holder = world.holders()[0]
     successor = second if holder is first else first
-    before = fence_of(world, holder)
-    assert before is not None
+    fence_before = fence_of(world, holder)
+    assert fence_before is not None
 
-    lease_flow.unwant(holder.state, SCOPE)
+    lease_flow.release_lease(holder.state, SCOPE)
     world.run(1.0)
 
-    after = fence_of(world, successor)
-    assert after is not None
-    assert after > before
+    fence_after = fence_of(world, successor)
+    assert fence_after is not None
+    assert fence_after > fence_before
     lease = lease_flow.held(successor.state, world.clock(successor), SCOPE)
     assert lease is not None
     assert not lease.taken_over
 
 
-def test_successor_of_a_dead_holder_waits_the_lease_and_the_margin() -> None:
+def test_successor_waits_for_the_lease_and_margin_of_a_dead_holder() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(1.0)
-    successor = wanting(world, 1)[0]
+    successor = start_wanting(world, 1)[0]
     world.run(1.0)
     holder.paused = True
 
@@ -97,11 +97,11 @@
     assert lease.taken_over
 
 
-def test_paused_holder_finds_its_lease_lapsed_and_does_not_renew_over_the_successor() -> None:
+def test_paused_holder_does_not_renew_after_a_successor() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(1.0)
-    successor = wanting(world, 1)[0]
+    successor = start_wanting(world, 1)[0]
     world.run(0.5)
     holder.paused = True
     world.run(2 * WAIT_S)
@@ -115,51 +115,51 @@
     assert world.given[-1].fence == fence
 
 
-def test_holder_that_lapsed_in_an_outage_goes_on_under_its_number_if_nobody_came() -> None:
+def test_holder_keeps_its_fence_after_an_outage_without_successor() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(1.0)
-    until = world.now + 2 * WAIT_S
-    while world.now < until:
+    end_at = world.now + 2 * WAIT_S
+    while world.now < end_at:
         world.tick(0.1)
         while holder.pending:
-            world.perform(holder, Fate.FAILED)
+            world.perform(holder, EffectOutcome.FAILED)
         world.check()
     assert fence_of(world, holder) is None
     world.run(1.0)
     assert fence_of(world, holder) == 0
 
 
-def test_lost_acknowledgement_is_settled_by_reading_on() -> None:
+def test_lost_acknowledgement_is_resolved_by_reading() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.tick(0.1)
     world.perform(holder)
     assert isinstance(holder.pending[0], AppendRecords)
     sent_at = world.clock(holder)
-    world.perform(holder, Fate.UNACKNOWLEDGED)
+    world.perform(holder, EffectOutcome.UNACKNOWLEDGED)
     world.run(0.5)
     lease = lease_flow.held(holder.state, world.clock(holder), SCOPE)
     assert lease is not None
-    # From before it was sent, not from when it was found.
+    # The lease counts from the send time.
     assert lease.expires_at == pytest.approx(sent_at + OPTIONS.lease_s)
     assert len(world.records) == 1
 
 
-def test_acknowledgement_that_comes_after_the_lease_brings_none() -> None:
+def test_acknowledgement_after_the_expiry_gives_no_lease() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.tick(0.1)
     world.perform(holder)
-    world.perform(holder, Fate.SLOW)
+    world.perform(holder, EffectOutcome.SLOW)
     world.now += OPTIONS.lease_s
-    world.hear(holder)
+    world.deliver_answer(holder)
     assert fence_of(world, holder) is None
 
 
-def test_number_that_a_server_refused_is_not_renewed() -> None:
+def test_fence_that_a_server_refused_is_not_renewed() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(1.0)
     assert fence_of(world, holder) == 0
     lease_flow.drop(holder.state, world.clock(holder), SCOPE)
@@ -170,11 +170,11 @@
     assert fence > 0
 
 
-def test_instance_that_starts_on_a_used_stream_reads_only_its_end() -> None:
+def test_new_instance_reads_only_the_end_of_the_stream() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(10.0)
-    reader = wanting(world, 1)[0]
+    reader = start_wanting(world, 1)[0]
     world.tick(0.1)
     world.perform(reader)
     assert reader.state.leases.ledger.start == len(world.records)
@@ -183,71 +183,72 @@
     assert fence_of(world, reader) is None
 
 
-def test_stream_that_let_go_of_the_grant_still_has_one_holder() -> None:
+def test_one_holder_after_the_log_dropped_its_grant() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(5.0)
     world.oldest = len(world.records)
-    wanting(world, 2)
+    start_wanting(world, 2)
     world.run(2 * WAIT_S)
     assert world.holders() == [holder]
 
 
-def test_holder_keeps_its_number_where_the_log_let_go_of_its_grant() -> None:
+def test_holder_keeps_its_fence_after_the_log_dropped_its_grant() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(5.0)
-    # Records of another scope, so that the next acknowledgement is not of the record next to read.
-    elsewhere = LeaseRecord(Act.GRANT, Scope("other", "dc-1"), "b", "b", 1, 0, -1, 3.0)
-    world.records += [encode(elsewhere), encode(elsewhere)]
+    # Records of another scope, which separate the next append from the read offset.
+    other_grant = LeaseRecord(Act.GRANT, Scope("other", "dc-1"), "b", "b", 1, 0, -1, 3.0)
+    world.records += [encode(other_grant), encode(other_grant)]
     world.oldest = len(world.records)
     world.run(2 * WAIT_S)
     assert any(log.event == "leases_gap" for log in holder.logs)
     assert {order.fence for order in world.given} == {0}
 
 
-def test_platform_that_lost_its_records_is_noticed() -> None:
+def test_lost_records_of_the_platform_are_detected() -> None:
     world = World()
-    holder = wanting(world, 1)[0]
+    holder = start_wanting(world, 1)[0]
     world.run(5.0)
     world.records.clear()
     world.run(2 * WAIT_S)
-    other = wanting(world, 1)[0]
+    other = start_wanting(world, 1)[0]
     world.run(2 * WAIT_S)
     assert len(world.holders()) == 1
-    assert any(log.event == "log_shorter" for each in (holder, other) for log in each.logs)
+    assert any(log.event == "log_shorter" for instance in (holder, other) for log in instance.logs)
 
 
-def test_margin_covers_clocks_that_run_apart() -> None:
+def test_margin_covers_clock_drift() -> None:
     world = World()
     world.start()
-    holder, successor = wanting(world, 2)
+    holder, successor = start_wanting(world, 2)
     assert holder.rate < 1.0 < successor.rate
     world.run(0.5, 0.02)
     assert world.holders() == [holder]
-    renewed = len(world.records) + 1
-    while len(world.records) < renewed:
+    records_after_renewal = len(world.records) + 1
+    while len(world.records) < records_after_renewal:
         world.run(0.02, 0.02)
-    # The holder stops right after it renewed, and the successor reads that at once.
+    # The holder is paused right after a renewal, which the successor reads at once.
     holder.paused = True
     successor.state.leases.read_due = 0.0
     world.run(2 * WAIT_S, 0.02)
     assert world.holders() == [successor]
 
 
-def test_own_late_grant_counts_for_nothing_where_records_before_it_were_let_go() -> None:
+def test_own_delayed_grant_is_void_after_dropped_records() -> None:
     world = World()
-    slow, rival = wanting(world, 2)
+    slow, rival = start_wanting(world, 2)
     world.tick(0.1)
     world.perform(slow)
-    world.perform(slow, Fate.LATE)
+    world.perform(slow, EffectOutcome.LATE)
     world.perform(rival)
     world.perform(rival)
     assert world.holders() == [rival]
-    # The rival's grant is let go of before the slow one reads on, and its own lands after that.
+    # The rival's grant is dropped from the log before the slow instance reads on, and its own grant
+    # lands after that.
     world.oldest = len(world.records)
     world.perform(slow)
-    world.land_late()
+    world.execute_late_append()
     world.run(1.0)
     assert world.holders() == [rival]
 
@@ -277,7 +278,7 @@
     assert ledger.leases[SCOPE].instance == "b"
 
 
-def test_release_of_which_the_reader_cannot_be_sure_is_waited_out() -> None:
+def test_uncertain_release_does_not_free_the_lease() -> None:
     ledger = Ledger()
     begin(ledger, 5, 0.0)
     folded = fold(ledger, 1.0, 5, record(Act.RELEASE, 9, 3, "a", fence=0))
@@ -309,19 +310,19 @@
     assert ledger.leases == {}
 
 
-def test_record_comes_through_encoding() -> None:
+def test_record_round_trips() -> None:
     value = LeaseRecord(Act.RENEW, SCOPE, "a", "a-1", 3, 17, 12, 30.0)
     assert decode(encode(value)) == value
 
 
-# --- anything at all -------------------------------------------------------------------------
+# --- random sequences of steps ----------------------------------------------------------------
 
 INDEX: Final = st.integers(0, 2)
 STEPS: Final = st.one_of(
     st.tuples(st.just("tick"), st.sampled_from([0.05, 0.1, 0.3, 1.0])),
     st.tuples(st.just("tick"), st.sampled_from([0.1, 3.0, 3.4, 4.0])),
-    st.tuples(st.just("perform"), INDEX, st.sampled_from(list(Fate))),
-    st.tuples(st.just("perform"), INDEX, st.just(Fate.DONE)),
+    st.tuples(st.just("perform"), INDEX, st.sampled_from(list(EffectOutcome))),
+    st.tuples(st.just("perform"), INDEX, st.just(EffectOutcome.DONE)),
     st.tuples(st.just("hear"), INDEX),
     st.tuples(st.just("pause"), INDEX),
     st.tuples(st.just("resume"), INDEX),
@@ -336,14 +337,14 @@
 
 
 def apply(world: World, step: tuple[Any, ...]) -> None:
-    """Do one step of a random run."""
+    """Apply one step of a random run."""
     match step:
         case ("tick", seconds):
             world.tick(seconds)
         case ("calm", seconds):
             world.run(seconds)
         case ("land",):
-            world.land_late()
+            world.execute_late_append()
         case ("let_go",):
             world.oldest = len(world.records)
         case (name, index, *rest):
@@ -353,55 +354,55 @@
 
 
 def apply_to(world: World, instance: Instance, name: str, rest: list[Any]) -> None:
-    """Do one step to an instance."""
+    """Apply one step to an instance."""
     match name:
         case "perform":
             world.perform(instance, rest[0])
         case "hear":
-            world.hear(instance)
+            world.deliver_answer(instance)
         case "pause":
             instance.paused = True
         case "resume":
             world.resume(instance)
         case "want" if not instance.paused:
-            lease_flow.want(instance.state, world.clock(instance), SCOPE)
+            lease_flow.request_lease(instance.state, world.clock(instance), SCOPE)
         case "unwant" if not instance.paused:
-            lease_flow.unwant(instance.state, SCOPE)
+            lease_flow.release_lease(instance.state, SCOPE)
         case "drop" if not instance.paused:
             lease_flow.drop(instance.state, world.clock(instance), SCOPE)
         case "kill":
             kill(world, instance)
         case _:
-            # A paused process wants nothing new.
+            # A paused process ignores the step.
             assert instance.paused
 
 
 def kill(world: World, instance: Instance) -> None:
-    """Replace an instance; what it has sent may still take effect."""
+    """Replace an instance; its pending appends may still take effect."""
     for effect in instance.pending:
         if isinstance(effect, AppendRecords):
             world.late += effect.records
     index = world.instances.index(instance)
-    fresh = world.start()
-    world.instances.remove(fresh)
-    world.instances[index] = fresh
-    lease_flow.want(fresh.state, world.clock(fresh), SCOPE)
+    successor = world.start()
+    world.instances.remove(successor)
+    world.instances[index] = successor
+    lease_flow.request_lease(successor.state, world.clock(successor), SCOPE)
 
 
 @settings(max_examples=300, deadline=None)
 @given(st.lists(STEPS, max_size=80))
-def test_never_two_holders_and_numbers_never_go_down(steps: list[tuple[Any, ...]]) -> None:
+def test_one_holder_at_a_time_and_fences_never_decrease(steps: list[tuple[Any, ...]]) -> None:
     world = World()
-    wanting(world, 3)
+    start_wanting(world, 3)
     world.run(0.5)
     for step in steps:
         apply(world, step)
         world.check()
-    for each in world.instances:
-        world.resume(each)
-        lease_flow.want(each.state, world.clock(each), SCOPE)
+    for instance in world.instances:
+        world.resume(instance)
+        lease_flow.request_lease(instance.state, world.clock(instance), SCOPE)
     world.run(4 * WAIT_S)
-    # Whatever happened, somebody holds it in the end.
+    # In the end one instance holds the lease.
     assert len(world.holders()) == 1
     fences = [order.fence for order in world.given]
     assert fences == sorted(fences)
--- a/tests/core/leases/test_model_placement.py
+++ b/tests/core/leases/test_model_placement.py
@@ -1,4 +1,4 @@
-"""Where models are: by settings and slow demand, one server at a time, and never to and fro."""
+"""Placement of models by settings and averaged demand, without flapping."""
 
 from __future__ import annotations
 
@@ -24,35 +24,35 @@
     Holding,
     choose_count,
     choose_servers,
+    data_centre_share,
     note_demand,
-    share,
 )
-from turmericweir_core.leases.order_steps import WantedModel, steps
+from turmericweir_core.leases.order_steps import WantedModel, orders_for_model
 from turmericweir_core.records.lease_record import Scope
 from turmericweir_core.state.model_state import ModelTarget, Usage
 
 SCOPE: Final = Scope("lm", "dc-1")
 OPTIONS: Final = Options()
-# Long enough for whatever there is to order.
+# Long enough for all pending orders.
 SETTLE_S: Final = 300.0
 
 
-# --- the difference, by data -----------------------------------------------------------------
+# --- order steps, data-driven -----------------------------------------------------------------
 
 
 def read_holding(line: str) -> Holding:
-    found = re.fullmatch(r"server (\S+) has ?(.*?)(?: ?loading (.*))?", line)
-    assert found is not None, line
-    loaded = tuple(parse_label(text) for text in found[2].split())
-    loading = tuple(parse_label(text) for text in (found[3] or "").split())
-    return Holding(ServerName(found[1]), SLOTS, loaded, loading)
+    match = re.fullmatch(r"server (\S+) has ?(.*?)(?: ?loading (.*))?", line)
+    assert match is not None, line
+    loaded = tuple(parse_label(text) for text in match[2].split())
+    loading = tuple(parse_label(text) for text in (match[3] or "").split())
+    return Holding(ServerName(match[1]), SLOTS, loaded, loading)
 
 
 def read_want(line: str) -> WantedModel:
-    found = re.fullmatch(r"want (\S+) (\S+) on ?(.*?) ?least (\d+)( missing)?", line)
-    assert found is not None, line
-    servers = frozenset(ServerName(name) for name in found[3].split())
-    return WantedModel(found[1], found[2], servers, int(found[4]), missing=bool(found[5]))
+    match = re.fullmatch(r"want (\S+) (\S+) on ?(.*?) ?least (\d+)( missing)?", line)
+    assert match is not None, line
+    servers = frozenset(ServerName(name) for name in match[3].split())
+    return WantedModel(match[1], match[2], servers, int(match[4]), missing=bool(match[5]))
 
 
 @pytest.mark.parametrize("case", load_cases("model_steps.test"), ids=str)
@@ -62,7 +62,7 @@
     out: list[str] = []
     for line in lines:
         if line.startswith("want"):
-            for order in steps(SCOPE, read_want(line), holdings):
+            for order in orders_for_model(SCOPE, read_want(line), holdings):
                 flags = [" urgent"] * order.urgent + [" follows"] * order.follows
                 out.append(f"{order.kind} {order.server} {order.label}{''.join(flags)}")
     check_lines(case, out)
@@ -79,16 +79,16 @@
 
 @given(st.dictionaries(st.sampled_from("abcde"), st.integers(1, 9), min_size=1), st.integers(0, 60))
 def test_shares_add_up_and_grow_with_the_total(servers: dict[str, int], total: int) -> None:
-    shares = {name: share(total, servers, name) for name in servers}
+    shares = {name: data_centre_share(total, servers, name) for name in servers}
     assert sum(shares.values()) == min(total, sum(servers.values()))
     assert all(shares[name] <= servers[name] for name in servers)
-    assert all(share(total + 1, servers, name) >= shares[name] for name in servers)
+    assert all(data_centre_share(total + 1, servers, name) >= shares[name] for name in servers)
 
 
 def run_count(
     target: ModelTarget, demand: list[float], *, bounds: Bounds, servers: int, start: float = 0.0
 ) -> list[int]:
-    """Feed a demand every round and list the counts."""
+    """Apply a demand every round and return the counts."""
     counts: list[int] = []
     for index, use in enumerate(demand):
         now = start + index * OPTIONS.model_round_s
@@ -101,7 +101,7 @@
 
 @settings(max_examples=60, deadline=None)
 @given(st.floats(0, 60), st.floats(0, 0.9), st.integers(0, 8), st.integers(0, 2**32))
-def test_steady_or_noisy_demand_never_moves_a_count_to_and_fro(
+def test_steady_or_noisy_demand_does_not_make_a_count_flap(
     mean: float, noise: float, count: int, seed: int
 ) -> None:
     rng = Random(seed)
@@ -124,7 +124,7 @@
     assert low[-1] == 1
 
 
-def test_burst_of_a_minute_moves_nothing() -> None:
+def test_short_burst_does_not_change_the_count() -> None:
     target = ModelTarget(2)
     steady = [10.0] * 100
     burst = [18.0] * 12
@@ -132,7 +132,7 @@
     assert set(counts) == {2}
 
 
-def test_model_that_is_asked_for_now_and_then_keeps_its_server() -> None:
+def test_rarely_used_model_keeps_its_server() -> None:
     target = ModelTarget(1)
     once_in_ten_minutes = ([1.0] + [0.0] * 119) * 12
     counts = run_count(target, once_in_ten_minutes, bounds=Bounds(0, 8), servers=8)
@@ -141,8 +141,8 @@
     assert idle[-1] == 0
 
 
-def test_servers_that_have_it_keep_it() -> None:
-    holdings = [Holding(ServerName(f"s{n}"), SLOTS, ()) for n in range(8)]
+def test_servers_that_have_a_model_keep_it() -> None:
+    holdings = [Holding(ServerName(f"s{number}"), SLOTS, ()) for number in range(8)]
     holdings[3] = Holding(ServerName("s3"), SLOTS, (ModelLabel("lm"),))
     holdings[6] = Holding(ServerName("s6"), SLOTS, (), (ModelLabel("lm", "1"),))
     target = ModelTarget(2)
@@ -150,14 +150,14 @@
     target.count = 3
     chosen = choose_servers("lm/dc-1", "lm", target, holdings, {})
     assert chosen > {"s3", "s6"}
-    # The same again, whatever order they come in.
+    # The result does not depend on the order of the servers.
     assert choose_servers("lm/dc-1", "lm", target, holdings[::-1], {}) == chosen
 
 
-# --- the whole way ---------------------------------------------------------------------------
+# --- the whole reducer ------------------------------------------------------------------------
 
 
-def test_settings_are_brought_about_and_then_nothing_is_done() -> None:
+def test_wanted_state_is_reached_and_then_no_orders_are_sent() -> None:
     world = World()
     world.add_engines("big", "", "")
     world.start(ModelWant("big", min_servers=2), ModelWant("small", min_servers=1))
@@ -165,36 +165,40 @@
     assert world.having("big") == 2
     assert world.having("small") == 1
 
-    appended, ordered, asked = len(world.records), len(world.orders()), world.asked
+    record_count, order_count, ask_count = len(world.records), len(world.orders()), world.asked
     world.run(3600.0)
-    assert len(world.orders()) == ordered
-    assert world.asked == asked
-    # The lease was given back: a steady state costs the log nothing.
-    assert len(world.records) == appended
+    assert len(world.orders()) == order_count
+    assert world.asked == ask_count
+    # The lease was released, so a steady state appends nothing.
+    assert len(world.records) == record_count
     assert world.records[-1]["act"] == "release"
 
 
-def test_version_rolls_one_server_at_a_time_and_never_below_the_least() -> None:
+def test_version_changes_one_server_at_a_time_above_the_least() -> None:
     world = World()
     world.add_engines("big@1", "big@1", "big@1")
     world.start(ModelWant("big", "1", min_servers=3))
     world.run(30.0)
     world.watch()
     world.want(ModelWant("big", "2", min_servers=3))
-    between: set[int] = set()
+    changing_counts: set[int] = set()
     for _ in range(600):
         world.run(0.5)
-        between.add(
-            sum(1 for each in world.engines.values() if len(each.loaded) + len(each.loading) > 1)
+        changing_counts.add(
+            sum(
+                1
+                for engine in world.engines.values()
+                if len(engine.loaded) + len(engine.loading) > 1
+            )
         )
     assert world.loaded() == ["big@2"] * 3
-    assert max(between) == 1
+    assert max(changing_counts) == 1
     assert world.least["big"] == 3
     kinds = [order.kind for order in world.orders()]
     assert kinds == ["load", "unload"] * 3
 
 
-def test_demand_brings_servers_and_takes_them_back_slowly() -> None:
+def test_demand_adds_servers_and_removes_them_slowly() -> None:
     world = World()
     world.add_engines("big", "", "", "")
     world.start(ModelWant("big"))
@@ -208,7 +212,7 @@
     assert kinds == ["load"] * 3 + ["unload"] * 3
 
 
-def test_model_in_use_keeps_its_last_server_though_none_is_wanted() -> None:
+def test_model_in_use_keeps_its_last_server_without_a_want() -> None:
     world = World()
     world.add_engines("big", "")
     world.start(ModelWant("big", min_servers=0, max_servers=0))
@@ -218,7 +222,7 @@
     assert world.having("big") == 0
 
 
-def test_waiting_requests_bring_a_model_that_no_server_has() -> None:
+def test_waiting_requests_load_a_missing_model() -> None:
     world = World()
     world.add_engines("small", "small")
     state = world.start(ModelWant("big", min_servers=0), ModelWant("small", min_servers=2))
@@ -231,7 +235,7 @@
     assert world.having("small") == 2
 
 
-def test_weight_store_is_asked_no_sooner_than_it_said_and_first_for_what_is_missing() -> None:
+def test_weight_store_is_asked_on_time_and_for_missing_models_first() -> None:
     world = World(weights_s=15.0)
     world.add_engines("big", "", "")
     world.start(ModelWant("big", min_servers=3), ModelWant("small", min_servers=1))
@@ -239,11 +243,11 @@
     assert world.having("big") == 3
     assert world.grants[0][1] == "small@1"
     assert len(world.grants) == 3
-    # One refusal for each wait, not one for each tick of it.
+    # One refusal for each wait, not one for each tick.
     assert world.asked <= 2 * len(world.grants) + 1
 
 
-def test_log_outage_stops_orders_and_the_next_round_goes_on() -> None:
+def test_orders_stop_in_a_log_outage_and_resume_after_it() -> None:
     world = World()
     world.add_engines("big@1", "big@1")
     state = world.start(ModelWant("big", "1", min_servers=2))
@@ -253,24 +257,24 @@
     world.log_up = False
     world.run(OPTIONS.lease_s + 1)
     assert lease_flow.held(state, world.now, SCOPE) is None
-    ordered = len(world.orders())
+    order_count = len(world.orders())
     world.run(600.0)
-    assert len(world.orders()) == ordered
+    assert len(world.orders()) == order_count
     world.log_up = True
     world.run(SETTLE_S)
     assert world.loaded() == ["big@2"] * 2
 
 
-def test_server_that_never_loads_is_given_up_for_another() -> None:
+def test_server_that_fails_to_load_is_replaced() -> None:
     world = World()
     world.add_engines("", "")
     state = world.start(ModelWant("big", min_servers=0), ModelWant("small", min_servers=0))
     world.run(30.0)
     world.want(ModelWant("big", min_servers=1))
     world.run(1.0)
-    first = next(iter(state.models.plans.values()))
+    plan = next(iter(state.models.plans.values()))
     world.run(10.0)
-    (name,) = first.targets["big"].chosen
+    (name,) = plan.targets["big"].chosen
     world.engines[name].broken = True
     world.engines[name].loading.clear()
     world.run(SETTLE_S)
@@ -279,9 +283,9 @@
 
 
 @pytest.mark.parametrize("checks", [True, False])
-def test_late_order_of_a_paused_holder_is_refused_or_repaired(checks: bool) -> None:
-    # Callers of `big` lose its server for a moment at the most. i0 holds the lease and is paused;
-    # i1 takes over and rolls the version. Then an old order of i0's arrives that unloads it.
+def test_delayed_order_of_a_paused_holder_is_refused_or_repaired(checks: bool) -> None:
+    # i0 holds the lease and is paused; i1 takes over and changes the version. A delayed order of i0
+    # to unload it is refused, or repaired shortly after.
     world = World(checks=checks)
     world.add_engines("big@1", "big@1")
     world.start(ModelWant("big", "1", min_servers=2))
@@ -289,16 +293,16 @@
     world.run(30.0)
     world.want(ModelWant("big", "2", min_servers=2))
     world.run(6.0)
-    holders = [each for each in world.states if lease_flow.held(each, world.now, SCOPE)]
+    holders = [state for state in world.states if lease_flow.held(state, world.now, SCOPE)]
     assert len(holders) == 1
-    old = lease_flow.held(holders[0], world.now, SCOPE)
-    assert old is not None
+    old_lease = lease_flow.held(holders[0], world.now, SCOPE)
+    assert old_lease is not None
     world.paused.add(holders[0].me.name)
     world.run(SETTLE_S)
     assert world.loaded() == ["big@2"] * 2
 
     engine = next(iter(world.engines.values()))
-    engine.obey(world.now, "unload", "big@2", old.fence, world.load_s)
+    engine.obey(world.now, "unload", "big@2", old_lease.fence, world.load_s)
     assert engine.loaded == (["big@2"] if checks else [])
     world.run(SETTLE_S)
     assert world.loaded() == ["big@2"] * 2
@@ -307,7 +311,7 @@
     assert world.loaded() == ["big@2"] * 2
 
 
-def test_successor_waits_out_the_longest_order_where_numbers_are_ignored() -> None:
+def test_successor_waits_for_the_longest_order_without_fence_checks() -> None:
     world = World(checks=False)
     world.add_engines("big@1", "big@1")
     world.start(ModelWant("big", "1", min_servers=2))
@@ -315,11 +319,11 @@
     world.run(30.0)
     world.want(ModelWant("big", "2", min_servers=2))
     world.run(6.0)
-    holder = next(each for each in world.states if lease_flow.held(each, world.now, SCOPE))
-    successor = next(each for each in world.states if each is not holder)
+    holder = next(state for state in world.states if lease_flow.held(state, world.now, SCOPE))
+    successor = next(state for state in world.states if state is not holder)
     world.paused.add(holder.me.name)
-    before = len(world.orders())
-    while len(world.orders()) == before:
+    orders_before = len(world.orders())
+    while len(world.orders()) == orders_before:
         world.run(0.5)
         assert world.now < 600
     lease = lease_flow.held(successor, world.now, SCOPE)
@@ -327,7 +331,7 @@
     assert world.orders()[-1].at - lease.since >= OPTIONS.order_longest_s
 
 
-def test_refused_number_makes_the_holder_get_a_newer_lease() -> None:
+def test_holder_acquires_a_newer_lease_after_a_refused_fence() -> None:
     world = World()
     world.add_engines("", "")
     for engine in world.engines.values():
@@ -337,11 +341,11 @@
     assert world.having("big") == 2
     refused = [fence for engine in world.engines.values() for fence in engine.refused]
     assert refused
-    # No number is tried again, at any engine, once one has refused it.
+    # A refused fencing number is not used again on any engine.
     assert len(set(refused)) == len(refused)
 
 
-# --- anything at all -------------------------------------------------------------------------
+# --- random sequences of steps ----------------------------------------------------------------
 
 STEPS: Final = st.one_of(
     st.tuples(st.just("run"), st.sampled_from([1, 5, 20, 60])),
@@ -355,7 +359,7 @@
 
 
 def apply(world: World, step: tuple[str, int]) -> None:
-    """Do one step of a random run."""
+    """Apply one step of a random run."""
     match step:
         case ("run", seconds):
             world.run(seconds, step_s=1.0)
@@ -375,10 +379,10 @@
 
 @settings(max_examples=15, deadline=None)
 @given(st.booleans(), st.lists(STEPS, max_size=25))
-def test_whatever_happened_servers_come_to_have_what_is_wanted(
+def test_servers_reach_the_wanted_state_after_random_steps(
     checks: bool, steps_: list[tuple[str, int]]
 ) -> None:
-    # No flapping either: once it is brought about, nothing is ordered any more.
+    # No orders are sent once the wanted state is reached.
     world = World(checks=checks, load_s=5.0)
     world.add_engines("big@1", "big@1", "")
     world.start(ModelWant("big", "1", min_servers=2))
@@ -391,9 +395,9 @@
     world.want(ModelWant("big", "9", min_servers=2))
     world.run(900.0, step_s=1.0)
     assert sorted(world.loaded()) == ["", "big@9", "big@9"]
-    ordered = len(world.orders())
+    order_count = len(world.orders())
     world.run(300.0, step_s=1.0)
-    assert len(world.orders()) == ordered
+    assert len(world.orders()) == order_count
     for engine in world.engines.values():
         fences = [order.fence for order in engine.obeyed]
         assert not checks or fences == sorted(fences)
--- a/tests/core/model_world.py
+++ b/tests/core/model_world.py
@@ -1,7 +1,7 @@
-"""A small world for the tests of model placement: one data centre with engines, log and store.
+"""One data centre with engines, log and weight store, for tests of model placement.
 
-Instances run the whole reducer. Engines keep what they were ordered, with or without a look at the
-fencing number, and are the record that tests judge by.
+Instances run the whole reducer. Engines record their orders, with or without checking the fencing
+number; tests assert on these records.
 """
 
 from __future__ import annotations
@@ -51,8 +51,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Obeyed:
-    """An order that an engine took."""
+class AcceptedOrder:
+    """An order that an engine accepted."""
 
     at: float
     kind: str
@@ -70,16 +70,16 @@
     loading: dict[str, float] = field(default_factory=dict)
     fence: int = 0
     seq: int = 0
-    obeyed: list[Obeyed] = field(default_factory=list)
-    # The numbers that it refused as old.
+    obeyed: list[AcceptedOrder] = field(default_factory=list)
+    # Fencing numbers that the engine refused as outdated.
     refused: list[int] = field(default_factory=list)
-    # Loads are accepted and never come to anything.
+    # Loads are accepted and never finish.
     broken: bool = False
 
     def report(self, now: float) -> ServerReport:
-        """Describe what it has."""
-        for label, at in list(self.loading.items()):
-            if at <= now:
+        """Return the report of the engine's models."""
+        for label, loaded_at in list(self.loading.items()):
+            if loaded_at <= now:
                 del self.loading[label]
                 self.loaded.append(label)
         self.seq += 1
@@ -95,12 +95,12 @@
         )
 
     def obey(self, now: float, kind: str, label: str, fence: int, load_s: float) -> bool:
-        """Take an order; False for one with an old number."""
+        """Accept an order; return False for one with an outdated fencing number."""
         if self.checks and fence < self.fence:
             self.refused.append(fence)
             return False
         self.fence = max(self.fence, fence) if self.checks else 0
-        self.obeyed.append(Obeyed(now, kind, label, fence))
+        self.obeyed.append(AcceptedOrder(now, kind, label, fence))
         if kind == "load":
             if label not in self.loaded and not self.broken:
                 self.loading.setdefault(label, now + load_s)
@@ -113,36 +113,36 @@
 
 @dataclass(slots=True)
 class World:
-    """Everything."""
+    """The instances, engines, log and weight store."""
 
     options: Options = field(default_factory=Options)
     checks: bool = True
     load_s: float = 20.0
-    # Seconds between two grants of the weight store.
+    # Time between two grants of the weight store.
     weights_s: float = 1.0
     now: float = 0.0
     log_up: bool = True
-    # Orders that reach no engine, and whose givers are told of a time limit.
+    # Orders reach no engine, and their senders receive a timeout.
     lose_orders: bool = False
     records: list[Any] = field(default_factory=list)
     engines: dict[ServerName, Engine] = field(default_factory=dict)
     states: list[State] = field(default_factory=list)
     paused: set[InstanceName] = field(default_factory=set)
     weights_at: float = float("-inf")
-    # When each load was granted.
+    # The time and label of each grant.
     grants: list[tuple[float, str]] = field(default_factory=list)
     asked: int = 0
-    # The least number of engines that had each model at any time since `watch` began.
+    # The least number of engines with each model since `watch`.
     least: dict[str, int] = field(default_factory=dict)
 
     def add_engines(self, *loaded: str) -> None:
-        """Add one engine for each text, with the labels that it names."""
+        """Add one engine for each text, with the labels in it."""
         for text in loaded:
             name = ServerName(f"lm-{len(self.engines) + 1}")
             self.engines[name] = Engine(name, self.checks, text.split())
 
     def config(self, *wants: ModelWant) -> Config:
-        """Build the settings with these wants."""
+        """Return the settings with these wants."""
         service = Service(SERVICE, Kind.MODEL, MODELS, slots=SLOTS, checks_fence=self.checks)
         return Config(
             services={SERVICE: service},
@@ -151,7 +151,7 @@
         )
 
     def want(self, *wants: ModelWant) -> None:
-        """Put wants in force everywhere."""
+        """Apply wants on all instances."""
         config = self.config(*wants)
         for state in self.states:
             _set_config(state, config)
@@ -169,10 +169,10 @@
         )
         state = new_state(identity, self.options, seed=number)
         _set_config(state, self.config(*wants) if wants else self.states[0].config)
-        peers = tuple(each.me.peer_address for each in self.states)
-        # Stands for all instances that send requests; it is known but not heard of.
-        ghost = Member(CALLERS, DATA_CENTRE, "10.0.0.2:1", told_at=float("inf"))
-        state.members.by_name[CALLERS] = ghost
+        peers = tuple(other.me.peer_address for other in self.states)
+        # Represents all instances that send requests; it is listed but never live.
+        callers = Member(CALLERS, DATA_CENTRE, "10.0.0.2:1", told_at=float("inf"))
+        state.members.by_name[CALLERS] = callers
         self.states.append(state)
         self.handle(state, SeedsGiven(peers))
         self._list(state)
@@ -195,7 +195,7 @@
             self.perform(state, effect)
 
     def perform(self, state: State, effect: Effect) -> None:
-        """Do what an instance asks for."""
+        """Perform an effect of an instance."""
         match effect:
             case AppendRecords(stream, token, records) if stream == LEASES_STREAM:
                 self._append(state, token, records)
@@ -226,12 +226,12 @@
             return
         end = len(self.records)
         upto = end if limit is None else min(end, offset + limit)
-        found = enumerate(self.records[offset:upto], offset)
-        records = tuple(LogRecord(at, value) for at, value in found)
+        numbered = enumerate(self.records[offset:upto], offset)
+        records = tuple(LogRecord(record_offset, value) for record_offset, value in numbered)
         self.handle(state, LogRead(LEASES_STREAM, records, end))
 
     def order(self, state: State, effect: SendOrder) -> None:
-        """Let an engine take an order, and tell what it said."""
+        """Deliver an order to an engine, and its answer to the instance."""
         version = f"@{effect.version}" if effect.version else ""
         if self.lose_orders:
             self.handle(state, OrderDone(effect.server, effect.token, False, False, "timeout"))
@@ -244,17 +244,17 @@
         self.handle(state, OrderDone(effect.server, effect.token, ok, not ok, error))
 
     def repeat(self, index: int) -> None:
-        """Let an order that some engine took long ago come in once more."""
-        taken = [(engine, order) for engine in self.engines.values() for order in engine.obeyed]
-        if taken:
-            engine, order = taken[index % len(taken)]
+        """Deliver an earlier order to its engine once more."""
+        accepted = [(engine, order) for engine in self.engines.values() for order in engine.obeyed]
+        if accepted:
+            engine, order = accepted[index % len(accepted)]
             engine.obey(self.now, order.kind, order.label, order.fence, self.load_s)
 
     def _grant(self, state: State, model: str, version: str) -> None:
         self.asked += 1
-        left = self.weights_at + self.weights_s - self.now
-        if left > 0:
-            self.handle(state, WeightsAnswered(model, version, False, left))
+        remaining_s = self.weights_at + self.weights_s - self.now
+        if remaining_s > 0:
+            self.handle(state, WeightsAnswered(model, version, False, remaining_s))
             return
         self.weights_at = self.now
         self.grants.append((self.now, f"{model}@{version}"))
@@ -268,9 +268,9 @@
     # --- time ---
 
     def run(self, seconds: float, step_s: float = 0.5, **busy: float) -> None:
-        """Let time pass, with so many requests in use for each model named."""
-        until = self.now + seconds
-        while self.now < until:
+        """Advance the time with a number of running requests for each named model."""
+        end_at = self.now + seconds
+        while self.now < end_at:
             self.now += step_s
             for state in self.states:
                 self.handle(state, Tick())
@@ -278,14 +278,14 @@
             self._note_least()
 
     def tell(self, state: State, busy: dict[str, float], waiting: int = 0) -> None:
-        """Tell an instance what another one is said to run."""
+        """Send an instance the use of models on another one."""
         if busy:
             uses = [ModelUse(model, use, waiting) for model, use in busy.items()]
             message = ModelDemand(SERVICE, DATA_CENTRE, uses)
             self.handle(state, PeerReceived(CALLERS, message))
 
     def having(self, model: str) -> int:
-        """Count the engines that can serve any version of a model."""
+        """Return the number of engines that can serve any version of a model."""
         return sum(
             1
             for engine in self.engines.values()
@@ -299,18 +299,18 @@
             self.least[model] = min(self.least.get(model, 1000), self.having(model))
 
     def watch(self) -> None:
-        """Begin to note the least numbers anew."""
+        """Restart the record of the least numbers of engines."""
         self.least.clear()
         self._note_least()
 
-    def orders(self) -> list[Obeyed]:
-        """List all orders that engines took, in time."""
-        found = [order for engine in self.engines.values() for order in engine.obeyed]
-        return sorted(found, key=lambda order: order.at)
+    def orders(self) -> list[AcceptedOrder]:
+        """Return all accepted orders in the order of time."""
+        accepted = [order for engine in self.engines.values() for order in engine.obeyed]
+        return sorted(accepted, key=lambda order: order.at)
 
     def loaded(self) -> list[str]:
-        """Describe what every engine has."""
-        return [" ".join(sorted(each.loaded)) for each in self.engines.values()]
+        """Return the models of every engine."""
+        return [" ".join(sorted(engine.loaded)) for engine in self.engines.values()]
 
 
 def _set_config(state: State, config: Config) -> None:
--- a/tests/core/store/test_registry.py
+++ b/tests/core/store/test_registry.py
@@ -171,17 +171,19 @@
 
 
 @given(st.permutations(range(6)), st.lists(st.booleans(), min_size=6, max_size=6))
-def test_any_order_of_records_ends_with_the_newest(order: list[int], there: list[bool]) -> None:
+def test_any_order_of_records_ends_with_the_newest(
+    order: list[int], is_present: list[bool]
+) -> None:
     """Pages, delayed reads and updates come in any order; the highest offset applies."""
     world = StoreWorld(plain=1)
     (entry,) = [candidate for candidate in world.entries if candidate.service == "shop"]
     for number in order:
         offset = 10 + number
-        if there[number]:
+        if is_present[number]:
             world.give(RegistryRead(((entry, offset),)))
         else:
             world.give(RegistryRead((), ((entry.name, offset),)))
-    assert (entry.name in world.state.servers.listed) == there[5]
+    assert (entry.name in world.state.servers.listed) == is_present[5]
 
 
 def test_only_readers_send_updates() -> None:
--- a/tests/core/store_world.py
+++ b/tests/core/store_world.py
@@ -107,9 +107,9 @@
             "shop": Service("shop", Kind.PLAIN, slots=6),
         }
         return Config(
-            classes={service.name: service for service in (QUICK, FIT, BULK, COUNTER)},
+            classes={each.name: each for each in (QUICK, FIT, BULK, COUNTER)},
             services=services,
-            service_by_target={Target(name): service for name, service in services.items()},
+            service_by_target={Target(name): each for name, each in services.items()},
             policy=Policy.PREDICTED,
         )
 
