--- a/packages/turmericweir-core/turmericweir_core/credits/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/__init__.py
@@ -1,1 +1,1 @@
-"""Share servers out by credits that one instance grants for all. Only the own interface does so."""
+"""Credit-based flow control: one instance per server grants its slots to all instances."""
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_allocation.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_allocation.py
@@ -1,9 +1,8 @@
 """Divide one server's slots among instances: a pure function of the capacity and the demand.
 
-The order: one slot for each tier whose assured turn it is; then tier by tier, the most urgent
-first, max-min fair among the instances of a tier; then what is left over, as spare slots for
-whichever request comes first. A spare slot is granted at the lowest tier, since an upper tier may
-use a lower one's slot but not the other way round.
+The order: one slot for each tier that is due an assured slot; then tier by tier, the most urgent
+first, max-min fair among the instances of a tier; then the rest as spare slots. A spare slot is
+granted at the lowest tier, since upper tiers may use slots of lower tiers but not vice versa.
 """
 
 from __future__ import annotations
@@ -16,7 +15,7 @@
 
 
 class Want(Struct, frozen=True):
-    """What one instance could use at one tier."""
+    """The demand of one instance at one tier."""
 
     instance: InstanceName
     tier: int
@@ -25,18 +24,18 @@
 
     @property
     def slots(self) -> int:
-        """Count the slots that it could use."""
+        """Return the number of slots that it could use."""
         return self.running + self.waiting
 
 
 class Share(Struct):
-    """What one instance is to have."""
+    """The slots allocated to one instance, by tier."""
 
     slots: dict[int, int] = field(default_factory=dict)
     assured: dict[int, int] = field(default_factory=dict)
 
     def total(self) -> int:
-        """Sum the slots over all tiers."""
+        """Return the sum of slots over all tiers."""
         return sum(self.slots.values())
 
     def add(self, tier: int, slots: int) -> None:
@@ -46,16 +45,16 @@
 
 
 class Capacity(Struct, frozen=True):
-    """What there is to divide."""
+    """The slots of a server and the rules for dividing them."""
 
     slots: int
-    # Slots that tiers other than the most urgent one may have together.
+    # Maximum for all tiers below the most urgent one together.
     lower_slots: int
-    # Spare slots for one instance at the most.
+    # Maximum number of spare slots per instance.
     spare: int
     most_urgent: int
     lowest: int
-    # Slots are for the tier that they were granted for, or more urgent ones.
+    # A slot may be used only by the tier it was granted for and by more urgent ones.
     by_tier: bool = False
     # Instances that are likely to use the server.
     sharing: int = 1
@@ -64,18 +63,18 @@
 def allocate(
     capacity: Capacity, instances: list[InstanceName], wants: list[Want], assured: Iterable[int]
 ) -> dict[InstanceName, Share]:
-    """Divide the slots; earlier instances come first where something does not divide evenly."""
+    """Divide the slots; any remainder goes to the instances that are listed first."""
     shares = {name: Share() for name in instances}
     free = capacity.slots
     lower_free = capacity.lower_slots
     by_tier: dict[int, list[Want]] = {}
     for want in wants:
-        # One that wants nothing must not be assured the slot of its tier.
+        # Prevents an instance without demand from getting the assured slot of a tier.
         if want.slots:
             by_tier.setdefault(want.tier, []).append(want)
     for tier in assured:
         if free > 0 and by_tier.get(tier):
-            _assure(shares, by_tier[tier], tier)
+            _allocate_assured(shares, by_tier[tier], tier)
             free -= 1
             lower_free -= 1
     for tier in sorted(by_tier):
@@ -84,12 +83,12 @@
         free -= used
         if tier != capacity.most_urgent:
             lower_free -= used
-    _spread_spare(shares, capacity, min(free, max(0, lower_free)))
+    _allocate_spare(shares, capacity, min(free, max(0, lower_free)))
     return shares
 
 
-def _assure(shares: dict[InstanceName, Share], wants: list[Want], tier: int) -> None:
-    # Whoever runs one already keeps it: taking it away would waste what was done.
+def _allocate_assured(shares: dict[InstanceName, Share], wants: list[Want], tier: int) -> None:
+    # Prefers an instance that already runs attempts of the tier: stopping them wastes their work.
     chosen = max(wants, key=lambda want: want.running)
     share = shares[chosen.instance]
     share.add(tier, 1)
@@ -97,10 +96,9 @@
 
 
 def _fill_tier(shares: dict[InstanceName, Share], wants: list[Want], tier: int, free: int) -> int:
-    """Give the instances of a tier their max-min fair part; return the slots used.
+    """Allocate max-min fair shares to the instances of a tier; return the number of slots used.
 
-    Every one gets what it wants up to a common level; what does not make up a whole level goes to
-    those in front.
+    Each instance gets its demand up to a common level; the remainder goes to the first instances.
     """
     missing = [
         (want.instance, want.slots - shares[want.instance].slots.get(tier, 0)) for want in wants
@@ -119,22 +117,22 @@
 
 
 def _common_level(slots: list[int], free: int) -> int:
-    """Give the highest level up to which all can have what they want."""
+    """Return the highest common level up to which all demands can be met."""
     level = 0
     left = free
     ascending = sorted(slots)
-    for position, each in enumerate(ascending):
+    for position, wanted in enumerate(ascending):
         sharers = len(ascending) - position
-        step = min(each - level, left // sharers)
+        step = min(wanted - level, left // sharers)
         level += step
         left -= step * sharers
-        if level < each:
+        if level < wanted:
             return level
     return level
 
 
-def _spread_spare(shares: dict[InstanceName, Share], capacity: Capacity, free: int) -> None:
-    """Grant idle slots in advance, so that the next request needs no message."""
+def _allocate_spare(shares: dict[InstanceName, Share], capacity: Capacity, free: int) -> None:
+    """Grant idle slots in advance to save a message for the next request."""
     left = free
     remaining = len(shares)
     for share in shares.values():
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_assured.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_assured.py
@@ -1,9 +1,8 @@
-"""The assured share of crowded-out tiers at one dispatcher.
+"""The assured share of starved tiers at one dispatcher.
 
-They save up slot seconds. Failure without it: the most urgent tier takes every slot for as long as
-its demand lasts, and a lower class that has no traffic of an upper one on its own instance waits
-for ever. With it, such a tier gets a slot of its own, which no other tier may use, once it has
-saved enough for one, and keeps it until what runs there has ended.
+A tier that waits without a running attempt earns slot seconds. With enough of them it gets an
+assured slot, which no other tier may use, and keeps it until the attempts there have ended.
+Prevents the most urgent tier from starving lower tiers for as long as its demand lasts.
 """
 
 from __future__ import annotations
@@ -20,12 +19,12 @@
     from turmericweir_core.state.state import State
 
 
-def save_up(state: State, now: float, ledger: Ledger, capacity: Capacity) -> None:
-    """Let crowded-out tiers earn slot seconds, and those that have a slot pay for it."""
+def update_assured_tiers(state: State, now: float, ledger: Ledger, capacity: Capacity) -> None:
+    """Credit slot seconds to starved tiers, and charge them to tiers that have an assured slot."""
     options = state.options
     elapsed = min(1.0, now - ledger.settled_at) if ledger.settled_at != NEVER else 0.0
     shares = tier_shares(state.config)
-    for tier in _tiers(ledger):
+    for tier in _active_tiers(ledger):
         saved = ledger.saved.get(tier, 0.0)
         waiting, running = _tier_totals(ledger, tier)
         if tier in ledger.assured:
@@ -33,22 +32,24 @@
         elif waiting and not running:
             saved += elapsed * capacity.slots * shares.get(tier, 0.0)
         ledger.saved[tier] = min(saved, 2.0 * options.credit_assured_s)
-        _set_assured(options, ledger, tier, bool(waiting), bool(running))
+        _update_assured_tier(options, ledger, tier, bool(waiting), bool(running))
 
 
-def _set_assured(options: Options, ledger: Ledger, tier: int, waiting: bool, running: bool) -> None:
+def _update_assured_tier(
+    options: Options, ledger: Ledger, tier: int, waiting: bool, running: bool
+) -> None:
     saved = ledger.saved[tier]
     if tier not in ledger.assured:
         if saved >= options.credit_assured_s:
             ledger.assured.add(tier)
         return
-    # What runs on the slot may end there; its tier is in debt then and saves up anew.
+    # A running attempt may finish on the slot; its tier then has to earn the debt back.
     ends = saved <= -options.credit_assured_debt_s or (saved <= 0.0 and not running)
     if ends or not (waiting or running):
         ledger.assured.discard(tier)
 
 
-def _tiers(ledger: Ledger) -> Iterable[int]:
+def _active_tiers(ledger: Ledger) -> Iterable[int]:
     tiers = {tier for each in ledger.holdings.values() for tier in each.demand}
     return tiers | ledger.assured
 
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -1,16 +1,16 @@
-"""What an instance asks the dispatchers for, and when.
+"""Demands to the dispatchers: which credit an instance requests, and when.
 
-While its credit fits its work it sends nothing but a renewal now and then. A demand goes out:
+While its credit covers its work an instance sends only renewals. Otherwise it sends a demand
 
-- at once, when a tier waits that is more urgent than any it spoke of before; when it has seen a
-  call-back; when an attempt ended that was beyond its credit;
-- a few tens of milliseconds after the one before, when more waits, or when nothing waits any more
-  and, in a shortage, credit lies idle;
-- half a second after the one before, for any other change in a shortage.
+- at once, if a more urgent tier waits than in the last demand, if credit was recalled, or if an
+  attempt beyond its credit has ended;
+- after `credit_demand_gap_s`, if more requests wait, or if none wait any more, or if credit is idle
+  under contention;
+- after `credit_lazy_s`, for any other change under contention.
 
-Messages are the scarce thing in a shortage, not slots. So an upper request that waits on an
-instance which runs lower work asks nobody: that work makes way without a message, if none of it
-ends soon enough by itself. How much waits is told in steps of two, and few servers are asked.
+Messages are limited under contention. An upper request that waits on an instance with lower
+attempts therefore causes no demand: one of those attempts is displaced locally. The number of
+waiting requests is reported in powers of two, and only a few servers are asked.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.tiers import lowest_tier
-from turmericweir_core.credits.credit_holder import lower_that_makes_way, used_by_tier
+from turmericweir_core.credits.credit_holder import displaceable_attempts, used_by_tier
 from turmericweir_core.membership.subset import open_servers
 from turmericweir_core.messages.peer_messages import CreditDemand, TierDemand
 from turmericweir_core.queueing.patience import count_ripe, displacement_wait
@@ -38,99 +38,103 @@
     from turmericweir_core.state.state import State
 
 
-# --- what to ask whom ------------------------------------------------------------------------
+# --- which credit to request -----------------------------------------------------------------
 
 
 def wanted_credit(state: State, now: float, pool: str) -> dict[ServerName, list[TierDemand]]:
-    """Spread what waits in a pool over servers to ask, by server and tier."""
+    """Return the demand for the waiting requests of a pool, by server and tier."""
     wanted: dict[ServerName, dict[int, TierDemand]] = {}
-    # Requests for which own lower work makes way, if none of it ends soon enough by itself.
-    served = 0
-    # For those that own lower work makes way for already, nobody else's need be stopped.
-    covered = pool_load(state.pool_loads, pool).displacing
+    # Requests for which local lower attempts can be displaced.
+    served_locally = 0
+    # Requests for which local attempts are already being displaced need none elsewhere.
+    displacing = pool_load(state.pool_loads, pool).displacing
     queues = queue_state.pool_queues(state.queues, pool)
     for queue in sorted(queues, key=lambda queue: queue.service_class.priority):
         servers = preferred(open_servers(state, now, queue.target), queue.head())
-        asking = len(queue)
-        if _is_short(state, servers):
-            own = _lower_that_makes_way(state, now, servers, queue.service_class.priority)
-            taken = max(0, min(asking, own - served))
-            asking -= taken
-            served += taken
-        if asking:
-            asked = _servers_to_ask(state, now, queue, servers, asking)
-            ripe = count_ripe(state.options, now, queue, asking)
+        unserved = len(queue)
+        if _is_contended(state, servers):
+            displaceable = _count_displaceable(state, now, servers, queue.service_class.priority)
+            taken_locally = max(0, min(unserved, displaceable - served_locally))
+            unserved -= taken_locally
+            served_locally += taken_locally
+        if unserved:
+            asked_servers = _servers_to_ask(state, now, queue, servers, unserved)
+            ready = count_ripe(state.options, now, queue, unserved)
             if queue.service_class.priority >= lowest_tier(state.config):
-                # Nothing is below that could stop for it.
-                ripe = 0
-            presses = _presses(state.options, now, queue, max(0, ripe - covered), len(asked))
-            _spread(wanted, queue, asked, asking, presses)
-        covered = max(0, covered - len(queue))
+                # There is no lower tier to displace.
+                ready = 0
+            displacements = _displacements_by_server(
+                state.options, now, queue, max(0, ready - displacing), len(asked_servers)
+            )
+            _add_demand(wanted, queue, asked_servers, unserved, displacements)
+        displacing = max(0, displacing - len(queue))
     return {name: list(tiers.values()) for name, tiers in wanted.items()}
 
 
-def _is_short(state: State, servers: list[Server]) -> bool:
-    """Tell whether model servers are known to have more demand than slots."""
-    held = state.credits.held
+def _is_contended(state: State, servers: list[Server]) -> bool:
+    """Return whether a model server is known to have more demand than slots."""
+    held_credit = state.credits.held
     return any(
         server.service.kind is Kind.MODEL
-        and server.entry.name in held
-        and held[server.entry.name].contended
+        and server.entry.name in held_credit
+        and held_credit[server.entry.name].contended
         for server in servers
     )
 
 
-def _lower_that_makes_way(state: State, now: float, servers: list[Server], tier: int) -> int:
-    """Count own lower attempts that would leave their places to a tier.
+def _count_displaceable(state: State, now: float, servers: list[Server], tier: int) -> int:
+    """Return the number of local lower attempts whose end would free a slot for a tier.
 
-    Failure: all that runs below counts, also on servers whose credit was called back or that are
-    too slow, where an end makes no room. The upper request then asks nobody, and waits until lower
-    answers end by themselves while they run everywhere.
+    Attempts on servers that are slow or whose credit was recalled free no slot. Prevents an upper
+    request from waiting for them without asking any dispatcher.
     """
-    return sum(lower_that_makes_way(state, now, server, tier) for server in servers)
+    return sum(displaceable_attempts(state, now, server, tier) for server in servers)
 
 
 def _servers_to_ask(
-    state: State, now: float, queue: queue_state.ClassQueue, servers: list[Server], asking: int
+    state: State, now: float, queue: queue_state.ClassQueue, servers: list[Server], requests: int
 ) -> list[Server]:
-    """Pick few servers to ask at first, and more the longer the head waits.
+    """Return a few servers to ask at first, and more the longer the oldest request waits.
 
-    Asking all of them for one request would have each dispatcher hold a slot that all but one of
-    them hold for nothing, and would cost messages to ask and to take it back.
+    Prevents all dispatchers from reserving a slot for a request that needs one.
     """
-    # Those that were asked stay so; to ask others with every report would be endless traffic.
+    # Servers already asked come first. Prevents new demands with every load report.
     asked = state.credits.asking
-    passed = _passed_over(state, now, servers)
+    ask_last = _server_to_ask_last(state, now, servers)
     servers.sort(
         key=lambda server: (
             server.entry.name not in asked,
-            _looks_full(state, now, server),
-            server is passed,
+            _is_reported_full(state, now, server),
+            server is ask_last,
         )
     )
     doublings = int((now - queue.oldest_at()) / state.options.credit_widen_s)
-    first = min(asking, state.options.credit_ask)
-    # Bounded, as the power grows without end.
-    return servers[: first * 2 ** min(5, doublings)]
+    first_servers = min(requests, state.options.credit_ask)
+    # The exponent is bounded because the waiting time is not.
+    return servers[: first_servers * 2 ** min(5, doublings)]
 
 
-def _passed_over(state: State, now: float, servers: list[Server]) -> Server | None:
-    """Find the one server that left this instance no credit, so that others are asked before it.
+def _server_to_ask_last(state: State, now: float, servers: list[Server]) -> Server | None:
+    """Return the one server that recalled all credit of this instance, to ask others before it.
 
-    Failure: more instances have a server first in their subsets than it has slots, while others
-    have slots to spare. Each that asks there again has an idle slot called back from another, which
-    does the same with its next request: six messages for each, all of them at one dispatcher. Asked
-    elsewhere first, instances spread until the credit of each is left to it. Where that is lost as
-    well, there are more instances than slots everywhere: to go round would only cost shortages, so
-    the order of the subset holds for a while, as it does in a shortage.
+    Prevents instances that prefer the same server from recalling each other's idle slots while
+    other servers have free ones. If credit was lost at several servers, there are more instances
+    than slots everywhere, and the order of the subset is used for `credit_stay_s`.
     """
-    held = state.credits.held
-    if any(server.entry.name in held and held[server.entry.name].contended for server in servers):
+    held_credit = state.credits.held
+    if any(
+        server.entry.name in held_credit and held_credit[server.entry.name].contended
+        for server in servers
+    ):
         return None
-    lost = [server for server in servers if _has_lost_credit(state, server)]
-    if len(lost) > 1:
+    servers_without_credit = [server for server in servers if _has_lost_credit(state, server)]
+    if len(servers_without_credit) > 1:
         state.credits.stays_until = now + state.options.credit_stay_s
-    return lost[0] if lost and now >= state.credits.stays_until else None
+    return (
+        servers_without_credit[0]
+        if servers_without_credit and now >= state.credits.stays_until
+        else None
+    )
 
 
 def _has_lost_credit(state: State, server: Server) -> bool:
@@ -138,46 +142,49 @@
     return credit is not None and not sum(credit.slots.values())
 
 
-def _looks_full(state: State, now: float, server: Server) -> bool:
+def _is_reported_full(state: State, now: float, server: Server) -> bool:
     report = server.report
     if report is None or now - server.report_at > state.options.report_valid_s:
         return False
     return report.running + report.waiting >= report.slots
 
 
-def _presses(
-    options: Options, now: float, queue: queue_state.ClassQueue, ripe: int, servers: int
+def _displacements_by_server(
+    options: Options, now: float, queue: queue_state.ClassQueue, ready: int, servers: int
 ) -> list[int]:
-    """Give for how many ripe requests each server's dispatcher is pressed to stop lower work.
+    """Return the number of requests for which each dispatcher is to displace lower attempts.
 
-    Each presses one, so that lower work stops once for it. Failure: that server runs upper work
-    alone, so nothing stops there, and the request waits on while lower work runs elsewhere. So once
-    the first has had the time to act, others are pressed as well.
+    Each ready request is reported to one dispatcher to displace one attempt for it. Later it is
+    reported to more of them, as the first server may run only upper attempts.
     """
     wait = displacement_wait(options, queue.service_class.target_s)
-    turns = int((now - queue.oldest_at() - wait) / options.credit_press_s)
-    # Bounded, as the power grows without end.
-    reach = ripe * options.credit_ask ** max(0, min(3, turns))
-    return [len(range(place, ripe, servers)) or int(place < reach) for place in range(servers)]
+    steps = int((now - queue.oldest_at() - wait) / options.credit_press_s)
+    # The exponent is bounded because the waiting time is not.
+    displacements = ready * options.credit_ask ** max(0, min(3, steps))
+    return [
+        len(range(index, ready, servers)) or int(index < displacements) for index in range(servers)
+    ]
 
 
-def _spread(
+def _add_demand(
     wanted: dict[ServerName, dict[int, TierDemand]],
     queue: queue_state.ClassQueue,
     servers: list[Server],
-    asking: int,
-    presses: list[int],
+    requests: int,
+    displacements: list[int],
 ) -> None:
     tier = queue.service_class.priority
-    for server, pressed in zip(servers, presses, strict=True):
+    for server, added_pressed in zip(servers, displacements, strict=True):
         tiers = wanted.setdefault(server.entry.name, {})
-        before = tiers.get(tier, TierDemand(tier, 0, 0))
-        waiting = before.waiting + ceil(asking / len(servers))
-        press = before.pressed + pressed
-        tiers[tier] = TierDemand(tier, 0, min(server.slots, waiting), min(server.slots, press))
+        demand = tiers.get(tier, TierDemand(tier, 0, 0))
+        waiting = demand.waiting + ceil(requests / len(servers))
+        total_pressed = demand.pressed + added_pressed
+        tiers[tier] = TierDemand(
+            tier, 0, min(server.slots, waiting), min(server.slots, total_pressed)
+        )
 
 
-# --- when ------------------------------------------------------------------------------------
+# --- when to send a demand -------------------------------------------------------------------
 
 
 def make_demand(
@@ -187,7 +194,7 @@
     waiting: list[TierDemand],
     dispatcher: InstanceName,
 ) -> CreditDemand | None:
-    """Make the demand for a server where one is due now."""
+    """Return the demand to send for a server, or None if none is due."""
     name = server.entry.name
     credit = state.credits.held.get(name)
     if credit is None:
@@ -199,12 +206,12 @@
     tiers = _demand_tiers(server, waiting)
     if tiers:
         credit.used_at = now
-    if not _demand_is_due(credit, state.options, now, tiers):
+    if not _is_demand_due(credit, state.options, now, tiers):
         return None
-    # What a dispatcher waits for is sent in any case; there is no more of it than it asked for.
-    asked_for = credit.confirm or _ran_beyond(credit, tiers)
-    kept = _kept_share(tiers, credit.asked)
-    if not _take_from_budget(state, now, kept) and not asked_for:
+    # Answers that the dispatcher waits for are exempt from the budget.
+    is_awaited = credit.confirm or _has_ended_beyond_credit(credit, tiers)
+    reserved = _reserved_budget_share(tiers, credit.asked)
+    if not _take_from_budget(state, now, reserved) and not is_awaited:
         return None
     credit.seq += 1
     credit.sent_at[credit.seq] = now
@@ -220,23 +227,21 @@
     return CreditDemand(name, credit.seq, credit.grant_number, limit, list(tiers))
 
 
-def _kept_share(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> float:
-    """Give the share of the budget that is kept for what is more urgent than this demand.
+def _reserved_budget_share(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> float:
+    """Return the share of the budget that is reserved for more urgent demands than this one.
 
-    Failure: a shortage lasts, news of it use up the budget, and an upper request that has waited
-    out its patience cannot say so while lower work runs. So the last half is for requests that
-    press for lower work to stop, and for tiers that nobody was told of yet, which come before.
+    Prevents updates during a long shortage from using up the budget of demands that displace lower
+    attempts or report a more urgent tier.
     """
-    if _more_urgent(tiers, asked):
+    if _has_more_urgent_wait(tiers, asked):
         return 0.0
-    return 0.25 if _presses_more(tiers, asked) else 0.5
+    return 0.25 if _has_more_displacements(tiers, asked) else 0.5
 
 
-def _take_from_budget(state: State, now: float, kept: float) -> bool:
-    """Take one demand from the budget, but for a share of it; False means that it has to wait.
+def _take_from_budget(state: State, now: float, reserved: float) -> bool:
+    """Take one demand from the unreserved budget; return False if it has to wait for a later tick.
 
-    Failure: every model is short of slots at once, and the control traffic of all instances crowds
-    out what they are for. What is beyond the budget waits for the next tick.
+    Prevents control traffic from displacing requests when all models are short of slots.
     """
     credits, options = state.credits, state.options
     left = options.credit_demands_burst
@@ -245,7 +250,7 @@
         left = min(left, credits.demands_left + refilled)
     credits.demands_at = now
     credits.demands_left = left
-    if left < max(1.0, kept * options.credit_demands_burst):
+    if left < max(1.0, reserved * options.credit_demands_burst):
         credits.demands_put_off += 1
         return False
     credits.demands_left = left - 1.0
@@ -253,8 +258,8 @@
 
 
 def _change_dispatcher(credit: HeldCredit, dispatcher: InstanceName) -> None:
-    # Numbers of the old one's grants mean nothing to the new one. Its slots stay usable until
-    # they lapse: the overlap may cost some overload, a gap would stop all work.
+    # Grant numbers of the old dispatcher are not valid at the new one. The old slots stay usable
+    # until they expire. Prevents a pause of all requests; the overlap can cause some overload.
     credit.dispatcher = dispatcher
     credit.grant_number = 0
     credit.sent_at.clear()
@@ -269,57 +274,56 @@
     return tuple(demands[tier] for tier in sorted(demands))
 
 
-def _demand_is_due(
+def _is_demand_due(
     credit: HeldCredit, options: Options, now: float, tiers: tuple[TierDemand, ...]
 ) -> bool:
-    if credit.confirm or _ran_beyond(credit, tiers):
-        # The dispatcher waits for this to give the slot to another.
+    if credit.confirm or _has_ended_beyond_credit(credit, tiers):
+        # The dispatcher waits for this message to grant the slot to another instance.
         return True
-    since = now - credit.asked_at
+    since_demand_s = now - credit.asked_at
     falls_back = now < credit.fallback_until
-    if not credit.sent_at and not falls_back and _more_urgent(tiers, credit.asked):
-        # The last demand was answered, and did not speak of this.
+    if not credit.sent_at and not falls_back and _has_more_urgent_wait(tiers, credit.asked):
+        # The last demand was answered and did not contain this tier.
         return True
-    if since < (options.credit_answer_s if falls_back else options.credit_demand_gap_s):
+    if since_demand_s < (options.credit_answer_s if falls_back else options.credit_demand_gap_s):
         return False
     waits = any(each.waiting for each in tiers)
     if waits and now >= credit.valid_until and not credit.sent_at:
         return True
-    if _needs_more(tiers, credit.asked) or _has_idle(credit, tiers):
+    if _has_more_demand(tiers, credit.asked) or _has_unneeded_slots(credit, tiers):
         return True
-    if credit.contended and since >= options.credit_lazy_s and tiers != credit.asked:
+    if credit.contended and since_demand_s >= options.credit_lazy_s and tiers != credit.asked:
         return True
     if any(each.running for each in tiers):
-        return since >= options.credit_renew_s
-    # Idle credit is kept for the next request only if it was used since it was asked for last, and
-    # it does no harm that it lapses if this one message is lost.
-    return credit.used_at > credit.asked_at and since >= options.credit_renew_idle_s
+        return since_demand_s >= options.credit_renew_s
+    # Idle credit is renewed only if it was used since the last demand.
+    return credit.used_at > credit.asked_at and since_demand_s >= options.credit_renew_idle_s
 
 
-def _ran_beyond(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
-    """Tell whether an attempt ended that was beyond the credit."""
+def _has_ended_beyond_credit(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
+    """Return whether an attempt beyond the credit has ended."""
     running = sum(each.running for each in tiers)
     reported = sum(each.running for each in credit.asked)
     return running < reported > sum(credit.slots.values())
 
 
-def _needs_more(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
-    told = {each.tier: each for each in asked}
-    for each in tiers:
-        before = told.get(each.tier)
-        # In steps of two, so that a long queue is not reported anew for each request.
-        if each.waiting.bit_length() > (before.waiting.bit_length() if before else 0):
+def _has_more_demand(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
+    asked_by_tier = {demand.tier: demand for demand in asked}
+    for demand in tiers:
+        last = asked_by_tier.get(demand.tier)
+        # Powers of two. Prevents a message for each request of a long queue.
+        if demand.waiting.bit_length() > (last.waiting.bit_length() if last else 0):
             return True
-    return _presses_more(tiers, asked)
+    return _has_more_displacements(tiers, asked)
 
 
-def _presses_more(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
+def _has_more_displacements(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
     pressed = {each.tier: each.pressed for each in asked}
     return any(each.pressed > pressed.get(each.tier, 0) for each in tiers)
 
 
-def _has_idle(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
-    """Tell whether the dispatcher holds slots for what does not wait here any more."""
+def _has_unneeded_slots(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
+    """Return whether the dispatcher reserves slots that are no longer needed here."""
     if any(each.waiting for each in tiers):
         return False
     if any(each.waiting for each in credit.asked):
@@ -329,17 +333,17 @@
     return credit.contended and running < reported
 
 
-def _more_urgent(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
-    """Tell whether a tier waits that is more urgent than any that waited at the last demand."""
-    now_waits = min((each.tier for each in tiers if each.waiting), default=None)
-    then_waited = min((each.tier for each in asked if each.waiting), default=None)
-    if now_waits is None:
+def _has_more_urgent_wait(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
+    """Return whether a tier waits that is more urgent than all tiers of the last demand."""
+    most_urgent_now = min((each.tier for each in tiers if each.waiting), default=None)
+    most_urgent_then = min((each.tier for each in asked if each.waiting), default=None)
+    if most_urgent_now is None:
         return False
-    return then_waited is None or now_waits < then_waited
+    return most_urgent_then is None or most_urgent_now < most_urgent_then
 
 
-def may_be_due(credit: HeldCredit, options: Options, now: float) -> bool:
-    """Tell whether a look at a server's demand is worth while; cheap, as it is done often."""
+def may_need_demand(credit: HeldCredit, options: Options, now: float) -> bool:
+    """Return whether a demand for a server may be due, as a cheap check before `make_demand`."""
     if credit.confirm or credit.contended or any(each.waiting for each in credit.asked):
         return True
     return now - credit.asked_at >= options.credit_renew_s
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
@@ -1,10 +1,10 @@
-"""The side of the credit policy that gives: one ledger for each server that this instance leads.
+"""The dispatcher of the credit policy: one ledger for each server that this instance dispatches.
 
-Each demand is answered at once. Where enough is free the sender gets what it asked for, with a few
-spare slots, and nobody else hears of it. Where idle slots of others would do, as many are called
-back from those not heard from for longest. Otherwise the server's slots are divided anew among all
-holders (`credit_settlement`, `credit_allocation`), with an assured share for the tiers that get
-none (`credit_assured`). A holder that falls silent loses its credit when that lapses.
+Each demand is answered at once. If enough slots are free, the sender is granted its demand and a
+few spare slots. If idle slots of other holders suffice, they are recalled from the holders with the
+oldest demands. Otherwise the server's slots are divided again among all holders
+(`credit_settlement`, `credit_allocation`), with an assured share for starved tiers
+(`credit_assured`). The credit of an unresponsive holder expires.
 """
 
 from __future__ import annotations
@@ -20,27 +20,27 @@
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.tiers import lowest_tier, most_urgent
 from turmericweir_core.credits.credit_allocation import Capacity
-from turmericweir_core.credits.credit_assured import save_up
+from turmericweir_core.credits.credit_assured import update_assured_tiers
 from turmericweir_core.credits.credit_ledger import (
-    begun,
-    covers,
-    free_below,
+    demand_by_tier,
+    demand_once_started,
+    exceeds_capacity,
+    free_lower_slots,
     free_slots,
-    lower_wants,
+    grant_covers,
+    lower_demand,
+    missing_slots,
     set_granted,
-    short_of,
-    wants_of,
-    wants_too_much,
 )
 from turmericweir_core.credits.credit_settlement import (
-    call_back,
-    call_back_unheard,
+    assign_displacements,
     divide,
-    note_use,
-    note_use_of,
     pressed_tiers,
     raise_grants,
-    spread_displacement,
+    recall_credit,
+    recall_idle_slots,
+    update_use,
+    update_use_of,
 )
 from turmericweir_core.membership.subset import sharing_instances
 from turmericweir_core.messages.peer_messages import (
@@ -59,7 +59,7 @@
 
 
 class Outgoing(Struct, frozen=True):
-    """A grant and whom it is for."""
+    """A grant and its receiver."""
 
     instance: InstanceName
     grant: CreditGrant
@@ -71,22 +71,22 @@
 def on_demand(
     state: State, now: float, sender: InstanceName, demand: CreditDemand
 ) -> list[Outgoing]:
-    """Answer a demand, and tell the others where it changes what they have."""
+    """Answer a demand, and send new grants to the other holders that it affects."""
     server = state.servers.by_name.get(ServerName(demand.server))
     if server is None or _is_cut_off(server, now):
-        # The sender gets no answer and goes by its own counts meanwhile.
+        # Without an answer the sender uses its local counts.
         return []
     ledger = state.credits.given.setdefault(server.entry.name, Ledger())
-    holding = _note_demand(state.options, now, ledger, sender, demand)
+    holding = _record_demand(state.options, now, ledger, sender, demand)
     if holding is None:
         return []
     capacity = _capacity(state, now, server, ledger)
     if _grant_from_free(state.options, now, ledger, holding, capacity):
         return [_outgoing(state, now, server, ledger, sender, holding)]
     ledger.unsettled = True
-    called_back = _ask_unheard(state.options, now, ledger, holding, capacity)
+    called_back = _recall_if_idle(state.options, now, ledger, holding, capacity)
     if called_back:
-        # What they say to it settles it.
+        # The answers to the recall trigger the settlement.
         return [
             _outgoing(state, now, server, ledger, name, ledger.holdings[name])
             for name in (*called_back, sender)
@@ -98,28 +98,27 @@
 
 
 def _is_cut_off(server: Server, now: float) -> bool:
-    """Tell whether this instance cannot reach a server itself.
+    """Return whether this instance cannot reach a server.
 
-    Failure: the path from the dispatcher to the server is cut, and those from the others are not.
-    Granting nothing would idle a server that works, granting as before would fill one that may be
-    dead; so it grants nothing and answers nothing, and each instance finds out for itself.
+    Other instances may still reach it, so its dispatcher sends no answers and each instance uses
+    its local counts.
     """
     return now < server.unreachable_until
 
 
-def _note_demand(
+def _record_demand(
     options: Options, now: float, ledger: Ledger, sender: InstanceName, demand: CreditDemand
 ) -> Holding | None:
-    """Take in what a demand says; None where it is older than one seen before."""
+    """Record a demand and return its holding, or None if a newer demand was received before."""
     holding = ledger.holdings.get(sender)
-    restarted = demand.seq == 1
-    if holding is not None and demand.seq <= holding.seq and not restarted:
+    is_restarted = demand.seq == 1
+    if holding is not None and demand.seq <= holding.seq and not is_restarted:
         return None
-    if holding is None or restarted or demand.grant_number < holding.confirmed:
-        # Numbers go on from what the sender knows, so that it takes the answer for newer.
+    if holding is None or is_restarted or demand.grant_number < holding.confirmed:
+        # Numbers continue from the sender's. Prevents the sender from ignoring the answer as stale.
         number = demand.grant_number + 1
         holding = ledger.holdings[sender] = Holding(demand.seq, now, number=number, used_at=now)
-    note_use_of(options, now, holding)
+    update_use_of(options, now, holding)
     holding.seq = demand.seq
     holding.heard_at = now
     holding.demand = {each.tier: each for each in demand.tiers}
@@ -133,48 +132,46 @@
 def _grant_from_free(
     options: Options, now: float, ledger: Ledger, holding: Holding, capacity: Capacity
 ) -> bool:
-    """Give an instance what it asks for out of what is free; False where that is too little."""
+    """Grant an instance its demand from free slots; return False if there are too few."""
     if ledger.unsettled or ledger.short_since is not None or now < ledger.contended_until:
         return False
-    wants = wants_of(holding)
-    more = sum(wants.values()) - holding.total()
+    wants = demand_by_tier(holding)
+    additional = sum(wants.values()) - holding.total()
     free = free_slots(ledger, capacity)
-    # What this instance holds itself is not in the way of what it asks for.
-    lower_free = free_below(ledger, capacity) + holding.committed_below(capacity.most_urgent)
-    lower_free -= lower_wants(holding, capacity)
-    if free < max(0, more) or lower_free < 0:
+    # Slots that the instance already holds count toward its demand.
+    lower_free = free_lower_slots(ledger, capacity) + holding.committed_below(capacity.most_urgent)
+    lower_free -= lower_demand(holding, capacity)
+    if free < max(0, additional) or lower_free < 0:
         return False
-    spare = -more
-    if more > 0:
-        # Spare slots go out only with a message that is sent anyway.
-        # Others that may come are left their part, or each of them would have to call it back.
+    spare = -additional
+    if additional > 0:
+        # Leaves a part for the other instances. Prevents each of them from recalling it later.
         others = max(len(ledger.holdings), capacity.sharing)
-        spare = min(options.credit_spare, (free - more) // others)
+        spare = min(options.credit_spare, (free - additional) // others)
     granted = dict(wants)
     granted[capacity.lowest] = granted.get(capacity.lowest, 0) + max(0, min(spare, lower_free))
     set_granted(holding, capacity, {tier: slots for tier, slots in granted.items() if slots}, {})
     return True
 
 
-def _ask_unheard(
+def _recall_if_idle(
     options: Options, now: float, ledger: Ledger, holding: Holding, capacity: Capacity
 ) -> list[InstanceName]:
-    """See whether somebody is short of slots only because others hold idle ones.
+    """Recall idle slots of other holders for an instance that is short; return those holders.
 
-    Failure without it: with more instances than slots, each of which sends a request now and then,
-    idle slots are taken for a shortage. All holders then report every change for a while, and for
-    all of those messages no more than one slot changes hands.
+    Prevents idle credit of many instances from counting as contention, in which all holders report
+    every change.
     """
     if now < ledger.contended_until:
-        if wants_too_much(ledger, capacity):
+        if exceeds_capacity(ledger, capacity):
             ledger.contended_until = now + options.credit_contended_s
         return []
-    if ledger.short_since is not None or not short_of(holding, capacity):
+    if ledger.short_since is not None or not missing_slots(holding, capacity):
         return []
     ledger.short_since = now
-    # Who is still short then is so in earnest.
+    # An instance that is still short at that time is in a real shortage.
     ledger.look_due = min(ledger.look_due, now + options.credit_short_s)
-    return call_back_unheard(options, now, ledger, capacity)
+    return recall_idle_slots(options, now, ledger, capacity)
 
 
 # --- capacity --------------------------------------------------------------------------------
@@ -183,13 +180,13 @@
 def _capacity(state: State, now: float, server: Server, ledger: Ledger) -> Capacity:
     options = state.options
     limits = [each.limit for each in ledger.holdings.values() if each.limit > 0]
-    # The holders see the server's latency, this instance may have no traffic there itself.
+    # The holders measure the server's latency; this instance may have no traffic there.
     limit = median_low(limits) if limits else server.slots
     limit = min(limit, limited_slots(state.server_limits, server.entry.name, server.slots))
     slots = limit + options.slack_slots if is_open(server, now) else 0
     lower = slots
     if server.service.kind is Kind.PLAIN:
-        # A running plain call cannot be preempted, so some slots are kept for the urgent.
+        # A running plain call cannot be preempted, so slots are reserved for the most urgent tier.
         lower = max(0, slots - ceil(options.reserve_share * limit))
     return Capacity(
         slots=slots,
@@ -206,41 +203,40 @@
 
 
 def settle_if_due(state: State, now: float, server: Server, ledger: Ledger) -> list[Outgoing]:
-    """Divide a server's slots anew, unless that was done a moment ago."""
-    contended = now < ledger.contended_until
-    gap = state.options.credit_settle_s * len(ledger.holdings)
-    # Without a shortage there are few, and the answer to a call-back may come before the gap is
-    # over: the slot that it brings must not stand idle until the next tick. Failure if that went on
-    # for ever: each settlement calls back from several holders, each of their answers makes
-    # another, and within milliseconds there are thousands of messages.
-    in_a_row = not contended and ledger.settlements < state.options.credit_settle_burst
-    if not ledger.unsettled or (not in_a_row and now - ledger.settled_at < gap):
+    """Divide a server's slots again, unless the last settlement was too recent."""
+    is_contended = now < ledger.contended_until
+    gap_s = state.options.credit_settle_s * len(ledger.holdings)
+    # Without contention a few settlements may follow at once. Prevents a slot that an answer to a
+    # recall freed from staying idle until the next tick. The number is limited, as each settlement
+    # can cause several answers and each answer another settlement.
+    may_follow_at_once = not is_contended and ledger.settlements < state.options.credit_settle_burst
+    if not ledger.unsettled or (not may_follow_at_once and now - ledger.settled_at < gap_s):
         return []
     _drop_lapsed(state, now, ledger)
     capacity = _capacity(state, now, server, ledger)
-    note_use(state.options, now, ledger)
-    save_up(state, now, ledger, capacity)
+    update_use(state.options, now, ledger)
+    update_assured_tiers(state, now, ledger, capacity)
     ledger.settled_at = now
     ledger.settlements += 1
     ledger.unsettled = False
     shares = divide(state.options, ledger, capacity)
-    changed = call_back(ledger, capacity, shares)
+    changed = recall_credit(ledger, capacity, shares)
     changed |= raise_grants(ledger, capacity, shares)
-    changed |= spread_displacement(ledger, pressed_tiers(ledger, capacity))
-    if not any(short_of(each, capacity) for each in ledger.holdings.values()):
+    changed |= assign_displacements(ledger, pressed_tiers(ledger, capacity))
+    if not any(missing_slots(each, capacity) for each in ledger.holdings.values()):
         ledger.short_since = None
     return [
         _outgoing(state, now, server, ledger, name, holding)
         for name, holding in ledger.holdings.items()
-        if name in changed or holding.contended != contended
+        if name in changed or holding.contended != is_contended
     ]
 
 
 def _drop_lapsed(state: State, now: float, ledger: Ledger) -> None:
     for name, holding in list(ledger.holdings.items()):
-        # Counted from the receipt of its last demand, so later than the instance itself counts.
-        lapsed = now - holding.heard_at > state.options.credit_ttl_s
-        if lapsed or name not in state.credits.alive:
+        # Counts from the receipt of the last demand, so the holder's credit expires before this.
+        has_lapsed = now - holding.heard_at > state.options.credit_ttl_s
+        if has_lapsed or name not in state.credits.alive:
             del ledger.holdings[name]
 
 
@@ -248,48 +244,50 @@
 
 
 def on_tick(state: State, now: float) -> Iterator[Outgoing]:
-    """Settle what was put off, and what time has changed."""
+    """Run deferred settlements and periodic checks; yield the grants to send."""
     for name, ledger in list(state.credits.given.items()):
         server = state.servers.by_name.get(name)
         if server is None or not ledger.holdings:
-            # Holders fall back on their own counts; a dispatcher that follows asks them anew.
+            # The holders fall back on local counts and send demands to a new dispatcher.
             del state.credits.given[name]
             continue
         if _is_cut_off(server, now):
             continue
         ledger.settlements = 0
-        # What was put off comes first: a slot that is to be had now is no shortage.
+        # Prevents the check from counting a slot that is already free as a shortage.
         yield from settle_if_due(state, now, server, ledger)
         if now >= ledger.look_due or now < ledger.contended_until:
             ledger.look_due = now + state.options.credit_look_s
-            _look_again(state, now, server, ledger)
+            _check_for_shortage(state, now, server, ledger)
             yield from settle_if_due(state, now, server, ledger)
 
 
-def _look_again(state: State, now: float, server: Server, ledger: Ledger) -> None:
+def _check_for_shortage(state: State, now: float, server: Server, ledger: Ledger) -> None:
     options = state.options
     holdings = ledger.holdings.values()
     capacity = _capacity(state, now, server, ledger)
-    if any(short_of(each, capacity) for each in holdings):
+    if any(missing_slots(each, capacity) for each in holdings):
         ledger.short_since = now if ledger.short_since is None else ledger.short_since
     else:
         ledger.short_since = None
-    short = free_slots(ledger, capacity) < 0 or _is_short(options, now, ledger, capacity)
-    if short:
+    is_short = free_slots(ledger, capacity) < 0 or _is_lasting_shortage(
+        options, now, ledger, capacity
+    )
+    if is_short:
         ledger.contended_until = now + options.credit_contended_s
-    told = any(each.contended for each in holdings)
-    lapsed = any(now - each.heard_at > options.credit_ttl_s for each in holdings)
-    if short or told or lapsed or ledger.assured:
+    has_contended = any(each.contended for each in holdings)
+    has_lapsed = any(now - each.heard_at > options.credit_ttl_s for each in holdings)
+    if is_short or has_contended or has_lapsed or ledger.assured:
         ledger.unsettled = True
 
 
-def _is_short(options: Options, now: float, ledger: Ledger, capacity: Capacity) -> bool:
+def _is_lasting_shortage(options: Options, now: float, ledger: Ledger, capacity: Capacity) -> bool:
     if ledger.short_since is None:
         return False
     if now < ledger.contended_until:
-        # By now all have said what they use. Failure without this: somebody is short for a moment
-        # now and then, while a slot is called back, and the shortage never ends.
-        return wants_too_much(ledger, capacity)
+        # All holders have reported their use by now. Prevents short delays of recalled slots from
+        # prolonging the contention forever.
+        return exceeds_capacity(ledger, capacity)
     return now - ledger.short_since >= options.credit_short_s
 
 
@@ -306,30 +304,30 @@
         TierGrant(tier, slots, holding.assured.get(tier, 0))
         for tier, slots in sorted(holding.granted.items())
     ]
-    if not holding.contended and covers(tiers, holding.demand.values()):
-        # As the holder does when it has the grant; so it need not say that its wait is over.
-        holding.demand = {each.tier: each for each in begun(holding.demand.values())}
+    if not holding.contended and grant_covers(tiers, holding.demand.values()):
+        # The holder does the same on receipt, which saves a demand.
+        holding.demand = {each.tier: each for each in demand_once_started(holding.demand.values())}
     grant = CreditGrant(
         server=server.entry.name,
         demand_seq=holding.seq,
         number=holding.number,
         ttl_s=state.options.credit_ttl_s,
         contended=holding.contended,
-        # Repeated with every grant until it is no longer so: the first one may be lost.
+        # Repeated with every grant, as the first one may be lost.
         keep=holding.keep,
         displace_above=holding.displace_above,
         tiers=tiers,
-        load=_load_news(state, now, server, holding),
+        load=_load_update(state, now, server, holding),
     )
     return Outgoing(name, grant)
 
 
-def _load_news(state: State, now: float, server: Server, holding: Holding) -> ServerLoad | None:
+def _load_update(state: State, now: float, server: Server, holding: Holding) -> ServerLoad | None:
     report = server.report
     if report is None or report.seq == holding.load_seq:
         return None
-    leaves = report.leaving and not holding.load_leaving
-    if now - holding.load_at < state.options.credit_load_s and not leaves:
+    is_leaving_unreported = report.leaving and not holding.load_leaving
+    if now - holding.load_at < state.options.credit_load_s and not is_leaving_unreported:
         return None
     holding.load_seq = report.seq
     holding.load_at = now
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
@@ -1,6 +1,6 @@
-"""The side of the credit policy that spends: what the credit held covers, and grants that come in.
+"""The holder of the credit policy: the use of granted credit, and the handling of grants.
 
-What is asked for, and when, is in `credit_demand`.
+`credit_demand` requests the credit.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.credits.credit_lead import dispatcher_of
-from turmericweir_core.credits.credit_ledger import begun, covers
+from turmericweir_core.credits.credit_ledger import demand_once_started, grant_covers
 from turmericweir_core.messages.events import ServerReport
 from turmericweir_core.messages.peer_messages import CreditGrant, ServerLoad
 from turmericweir_core.state.concurrency import limited_slots
@@ -25,11 +25,11 @@
     from turmericweir_core.state.state import State
 
 
-# --- spending --------------------------------------------------------------------------------
+# --- use of credit ---------------------------------------------------------------------------
 
 
 def used_by_tier(server: Server) -> dict[int, int]:
-    """Count this instance's attempts on a server by tier."""
+    """Return the number of this instance's attempts on a server by tier."""
     used: dict[int, int] = {}
     for tier in server.in_flight.values():
         used[tier] = used.get(tier, 0) + 1
@@ -37,11 +37,10 @@
 
 
 def goes_by_counts(state: State, now: float, server: Server) -> bool:
-    """Tell whether a server has no dispatcher that answers, so that own counts must do.
+    """Return whether local counts are used for a server because no dispatcher answers.
 
-    Failure: the dispatcher died, is cut off, or never was. Waiting for its grant would leave
-    callers without an answer before a server that works. Going by own counts with a cautious limit
-    costs some overload at worst, as the server refuses or queues what is too much.
+    Prevents callers from waiting for a grant while the server works. The server may be overloaded
+    meanwhile; it rejects or queues the excess.
     """
     name = server.entry.name
     if dispatcher_of(state, now, server) is None:
@@ -51,109 +50,109 @@
 
 
 def has_credit(state: State, now: float, name: ServerName) -> bool:
-    """Tell whether a grant for a server is in force."""
+    """Return whether a grant for a server is valid."""
     credit = state.credits.held.get(name)
     return credit is not None and now < credit.valid_until
 
 
 def covered_room(state: State, now: float, server: Server, tier: int) -> int:
-    """Count the requests of a tier that may be sent to a server by the credit held there."""
-    room = max(credit_headroom(state, now, server, tier), replacing_room(state, now, server, tier))
+    """Return how many requests of a tier the credit allows to be sent to a server."""
+    room = max(
+        credit_headroom(state, now, server, tier), replacement_room(state, now, server, tier)
+    )
     weight = server_weight(state.stragglers, server.entry.name)
     if weight == 1.0:
         return room
-    # A slow server is given less than the credit covers; what is left goes to others.
+    # A slow server receives less than the credit covers.
     slots = limited_slots(state.server_limits, server.entry.name, server.slots)
     return min(room, max(1, floor(slots * weight)) - len(server.in_flight))
 
 
 def credit_headroom(state: State, now: float, server: Server, tier: int) -> int:
-    """Count the requests of a tier that the credit for a server still covers.
+    """Return how many requests of a tier the credit for a server still covers.
 
-    A slot of a model server is for any tier, whatever it was granted for, since a lower answer can
-    be stopped again. A running plain call cannot: there a tier may use the slots of all less urgent
-    ones, but none that were granted for a more urgent one. No tier uses what another was assured.
+    On a model server any tier may use any slot, since attempts can be preempted. On a plain server
+    a tier may use the slots of less urgent tiers only. Assured slots are used by their tier alone.
     """
     credit = state.credits.held.get(server.entry.name)
     if credit is None or now >= credit.valid_until:
         return -1
     used = used_by_tier(server)
     tiers = sorted({*credit.slots, *used, tier}, reverse=True)
-    left = [_left(credit, used, each, tier) for each in tiers]
+    left_by_tier = [_slots_left(credit, used, slots, tier) for slots in tiers]
     if server.service.kind is Kind.MODEL:
-        return sum(left)
-    # From the least urgent tier up: at each tier so far, what it and those below have left.
-    room = sum(each for number, each in zip(tiers, left, strict=True) if number >= tier)
+        return sum(left_by_tier)
+    # Sums the slots left from the least urgent tier up; the smallest sum limits the room.
+    room = sum(
+        slots for slot_tier, slots in zip(tiers, left_by_tier, strict=True) if slot_tier >= tier
+    )
     total = room
-    for number, each in zip(tiers, left, strict=True):
-        if number < tier:
-            total += each
+    for slot_tier, slots in zip(tiers, left_by_tier, strict=True):
+        if slot_tier < tier:
+            total += slots
             room = min(room, total)
     return room
 
 
-def replacing_room(state: State, now: float, server: Server, tier: int) -> int:
-    """Count the requests of a tier that may take the place of lower work which ran here.
+def replacement_room(state: State, now: float, server: Server, tier: int) -> int:
+    """Return how many requests of a tier may replace lower attempts that have ended here.
 
-    Failure: credit is called back from an instance that runs lower work, so that as much lower work
-    of another instance may run. An upper request that comes here then finds less credit than what
-    runs; to stop one lower answer would not make room by the credit alone, and it waits until all
-    that is too much has ended. The dispatcher takes what an instance said to run as in use until
-    it says otherwise. So upper work may take a lower answer's place as long as the sum does not
-    grow: the server is given no more than before.
+    After a recall more attempts may run than the credit covers. The dispatcher counts all reported
+    attempts as in use, so an upper request may replace one as long as their total does not grow.
+    Prevents the upper request from waiting until all attempts beyond the credit have ended.
     """
     credit = state.credits.held.get(server.entry.name)
     if credit is None or now >= credit.valid_until or server.service.kind is not Kind.MODEL:
         return -1
-    said = sum(each.running for each in credit.asked)
-    # What is to stop here for upper work of other instances leaves its place to that.
-    most = said if credit.keep is None else min(said, credit.keep)
-    said_lower = sum(each.running for each in credit.asked if each.tier > tier)
-    lower = sum(1 for each in server.in_flight.values() if each > tier)
-    return min(most - len(server.in_flight), said_lower - lower)
-
-
-def _left(credit: HeldCredit, used: dict[int, int], each: int, tier: int) -> int:
-    """Count the slots of one tier that are left for a request of another, or of the same."""
-    slots = credit.slots.get(each, 0)
-    busy = used.get(each, 0)
-    if each == tier:
+    reported = sum(each.running for each in credit.asked)
+    # Attempts displaced for other instances are not replaced here.
+    limit = reported if credit.keep is None else min(reported, credit.keep)
+    reported_lower = sum(each.running for each in credit.asked if each.tier > tier)
+    running_lower = sum(1 for each in server.in_flight.values() if each > tier)
+    return min(limit - len(server.in_flight), reported_lower - running_lower)
+
+
+def _slots_left(credit: HeldCredit, used: dict[int, int], slot_tier: int, tier: int) -> int:
+    """Return how many slots of one tier are left for a request of the same or another tier."""
+    slots = credit.slots.get(slot_tier, 0)
+    busy = used.get(slot_tier, 0)
+    if slot_tier == tier:
         return slots - busy
-    kept = credit.assured.get(each, 0)
-    return slots - kept - max(0, busy - kept)
+    assured = credit.assured.get(slot_tier, 0)
+    return slots - assured - max(0, busy - assured)
 
 
 def is_assured(state: State, server: Server, tier: int) -> bool:
-    """Tell whether a tier runs no more on a server than its dispatcher assured to it."""
+    """Return whether all attempts of a tier on a server are within its assured slots."""
     credit = state.credits.held.get(server.entry.name)
-    kept = credit.assured.get(tier, 0) if credit else 0
-    return 0 < kept >= used_by_tier(server).get(tier, 0)
+    assured = credit.assured.get(tier, 0) if credit else 0
+    return 0 < assured >= used_by_tier(server).get(tier, 0)
 
 
 def excess(state: State, server: Server) -> int:
-    """Count the attempts on a server that are to make way, as its credit was called back."""
+    """Return the number of attempts to stop on a server because its credit was recalled."""
     credit = state.credits.held.get(server.entry.name)
     if credit is None or credit.keep is None:
         return 0
     return len(server.in_flight) - max(credit.keep, sum(credit.slots.values()))
 
 
-def lower_that_makes_way(state: State, now: float, server: Server, tier: int) -> int:
-    """Count the lower attempts on a server of which each leaves its place to a tier by ending."""
+def displaceable_attempts(state: State, now: float, server: Server, tier: int) -> int:
+    """Return the number of lower attempts on a server whose end would free a slot for a tier."""
     if server.service.kind is not Kind.MODEL or covered_room(state, now, server, tier) != 0:
         return 0
     return sum(
         running
-        for each, running in used_by_tier(server).items()
-        if each > tier and not is_assured(state, server, each)
+        for running_tier, running in used_by_tier(server).items()
+        if running_tier > tier and not is_assured(state, server, running_tier)
     )
 
 
-# --- answers that do not come ----------------------------------------------------------------
+# --- missing answers -------------------------------------------------------------------------
 
 
 def check_answers(state: State, now: float) -> Iterator[ServerName]:
-    """Fall back on own counts where a dispatcher does not answer; yield the servers."""
+    """Fall back on local counts where a dispatcher does not answer; yield the servers."""
     options = state.options
     for name, credit in list(state.credits.held.items()):
         if credit.sent_at and now - min(credit.sent_at.values()) > options.credit_answer_s:
@@ -164,7 +163,7 @@
 
 
 def fall_back(credit: HeldCredit, options: Options, now: float) -> None:
-    """Go by own counts for a while, then ask again."""
+    """Use local counts for `credit_fallback_s`, then send demands again."""
     credit.fallback_until = now + options.credit_fallback_s
     credit.sent_at.clear()
     credit.asked = ()
@@ -173,14 +172,14 @@
 # --- grants ----------------------------------------------------------------------------------
 
 
-def take_grant(state: State, now: float, sender: InstanceName, grant: CreditGrant) -> bool:
-    """Take a grant; tell whether it was in order."""
+def apply_grant(state: State, now: float, sender: InstanceName, grant: CreditGrant) -> bool:
+    """Apply a grant; return False if it is stale or from another dispatcher."""
     name = ServerName(grant.server)
     credit = state.credits.held.get(name)
     if credit is None or credit.dispatcher != sender or grant.number < credit.grant_number:
-        # Late, or from a dispatcher that was asked before: what it says is no longer so.
+        # Stale, or from a former dispatcher.
         return False
-    sent_at = _sent_at(credit, grant.demand_seq)
+    sent_at = _take_sending_time(credit, grant.demand_seq)
     if sent_at is None:
         return False
     before = sum(credit.slots.values())
@@ -190,34 +189,36 @@
         credit.confirm = credit.confirm or sum(credit.slots.values()) < before
     credit.grant_number = grant.number
     credit.contended = grant.contended
-    if grant.demand_seq == credit.seq and not grant.contended and covers(grant.tiers, credit.asked):
-        _note_begun(state, credit, name)
+    if (
+        grant.demand_seq == credit.seq
+        and not grant.contended
+        and grant_covers(grant.tiers, credit.asked)
+    ):
+        _record_started(state, credit, name)
     credit.keep = grant.keep
     credit.displace_above = grant.displace_above
-    # Failure: a grant that was long on its way, or an instance paused after it took one. The
-    # dispatcher counts from when it heard the demand, which was later than the sending; so credit
-    # has ended here before the dispatcher gives it to another.
+    # Counts from the sending of the demand, and the dispatcher from its receipt. Prevents the use
+    # of a delayed grant whose slots were already granted to another instance.
     credit.valid_until = sent_at + grant.ttl_s
     credit.fallback_until = float("-inf")
     state.credits.grants_taken += 1
-    _take_load(state, now, name, grant.load)
+    _apply_load(state, now, name, grant.load)
     if credit.keep is not None and name in state.servers.by_name:
         state.credits.recalled.add(name)
     return True
 
 
-def _note_begun(state: State, credit: HeldCredit, name: ServerName) -> None:
-    """Take what waited for one that runs, as its dispatcher does without being told.
+def _record_started(state: State, credit: HeldCredit, name: ServerName) -> None:
+    """Record the waiting requests of the last demand as running, as the dispatcher does.
 
-    Failure without it: each request that is asked for costs a second demand and its answer, only to
-    say that it waits no more.
+    Prevents a second demand for each request, only to report that it no longer waits.
     """
-    credit.asked = begun(credit.asked)
+    credit.asked = demand_once_started(credit.asked)
     state.credits.asking.discard(name)
 
 
-def _sent_at(credit: HeldCredit, seq: int) -> float | None:
-    """Find when a demand was sent, and forget those before it."""
+def _take_sending_time(credit: HeldCredit, seq: int) -> float | None:
+    """Return when a demand was sent, and drop the earlier ones."""
     if credit.answered_seq == seq:
         return credit.answered_at
     sent_at = credit.sent_at.get(seq)
@@ -229,7 +230,7 @@
     return sent_at
 
 
-def _take_load(state: State, now: float, name: ServerName, load: ServerLoad | None) -> None:
+def _apply_load(state: State, now: float, name: ServerName, load: ServerLoad | None) -> None:
     server = state.servers.by_name.get(name)
     if load is None or server is None:
         return
@@ -248,5 +249,5 @@
         fence=load.fence,
     )
     note_report(state.servers, state.options, now, report)
-    # That its dispatcher reaches the server does not say that this instance does.
+    # The server may be reachable for the dispatcher but not for this instance.
     server.unreachable_until = unreachable_until
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_lead.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_lead.py
@@ -1,4 +1,4 @@
-"""Who leads a server's credit: rendezvous hashing over the live instances of its data centre."""
+"""The dispatcher of each server: rendezvous hashing over its data centre's live instances."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
 
 
 def dispatcher_of(state: State, now: float, server: Server) -> InstanceName | None:
-    """Name the dispatcher of a server, or give None where its data centre has no live instance."""
+    """Return the dispatcher of a server, or None if its data centre has no live instance."""
     credits = state.credits
     name = server.entry.name
     if name not in credits.dispatchers:
         if not credits.live:
-            note_live(state, now)
+            update_live_instances(state, now)
         live = credits.live.get(server.entry.data_centre, ())
         credits.dispatchers[name] = max(
             live, key=lambda each: rendezvous_weight(name, each), default=None
@@ -28,21 +28,21 @@
 
 
 def leads(state: State, now: float, server: Server) -> bool:
-    """Tell whether this instance is the dispatcher of a server."""
+    """Return whether this instance is the dispatcher of a server."""
     return dispatcher_of(state, now, server) == state.me.name
 
 
-def note_live(state: State, now: float) -> None:
-    """Follow who is live; the dispatchers are picked anew where that has changed."""
+def update_live_instances(state: State, now: float) -> None:
+    """Update the live instances; clear the cached dispatchers if they have changed."""
     state.credits.live_due = now + state.options.credit_live_s
     members = membership.live_instances(state, now)
-    state.credits.alive = frozenset(each.name for each in members)
+    state.credits.alive = frozenset(member.name for member in members)
     live: dict[str, list[InstanceName]] = {}
-    for each in members:
-        # One that leaves hands its servers on before it stops, rather than by falling silent.
-        if not each.leaving:
-            live.setdefault(each.data_centre, []).append(each.name)
-    found = {data_centre: tuple(names) for data_centre, names in live.items()}
-    if found != state.credits.live:
-        state.credits.live = found
+    for member in members:
+        # A leaving instance hands its servers over before it stops.
+        if not member.leaving:
+            live.setdefault(member.data_centre, []).append(member.name)
+    live_by_data_centre = {data_centre: tuple(names) for data_centre, names in live.items()}
+    if live_by_data_centre != state.credits.live:
+        state.credits.live = live_by_data_centre
         state.credits.dispatchers.clear()
--- a/tests/core/credits/test_credit.py
+++ b/tests/core/credits/test_credit.py
@@ -1,4 +1,4 @@
-"""Credits: what one dispatcher gives out, and what is done when messages are lost or it is gone."""
+"""Tests of the credit policy: grants, recalls, and failures of messages and dispatchers."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 def make_world(
     *, instances: int = 3, servers: int = 1, slots: int = 4, options: Options | None = None
 ) -> LoadWorld:
-    """Make a world under credits whose instances have seen each other."""
+    """Return a world with the credit policy whose instances have discovered each other."""
     world = LoadWorld(
         instances=instances, servers=servers, slots=slots, policy=Policy.CREDITS, options=options
     )
@@ -37,28 +37,28 @@
     return world
 
 
-def leader(world: LoadWorld, server: ServerName = S0) -> InstanceName:
-    """Name the dispatcher of a server, on which all instances agree."""
-    found = {
+def agreed_dispatcher(world: LoadWorld, server: ServerName = S0) -> InstanceName:
+    """Return the dispatcher of a server, on which all instances agree."""
+    dispatchers = {
         credit_lead.dispatcher_of(state, world.now, state.servers.by_name[server])
         for state in world.states.values()
     }
-    assert len(found) == 1
-    (name,) = found
+    assert len(dispatchers) == 1
+    (name,) = dispatchers
     assert name is not None
     return name
 
 
 def usable_credit(world: LoadWorld, state: State, server: ServerName) -> int:
-    """Count the slots that an instance may use by the grant that it holds."""
-    held = state.credits.held.get(server)
-    if held is None or world.now >= held.valid_until:
+    """Return the number of slots that an instance may use under its current grant."""
+    credit = state.credits.held.get(server)
+    if credit is None or world.now >= credit.valid_until:
         return 0
-    return sum(held.slots.values())
+    return sum(credit.slots.values())
 
 
-def number_of(world: LoadWorld, name: InstanceName) -> int:
-    """Give the place of an instance in its world."""
+def index_of(world: LoadWorld, name: InstanceName) -> int:
+    """Return the index of an instance in its world."""
     return list(world.states).index(name)
 
 
@@ -80,35 +80,39 @@
     spare: int,
     assured: set[int],
 ) -> None:
-    """Never give more than there is, and nothing to a tier before the more urgent ones have all."""
+    """Allocate within the capacity, and nothing to a tier while more urgent ones lack slots."""
     capacity = Capacity(slots, min(slots, lower), spare, most_urgent=0, lowest=3)
     names = [InstanceName(f"entry-{number}") for number in range(6)]
-    listed = [
+    listed_wants = [
         Want(names[number], tier, running, waiting)
         for (number, tier), (running, waiting) in wants.items()
     ]
-    shares = allocate(capacity, names, listed, sorted(assured))
+    shares = allocate(capacity, names, listed_wants, sorted(assured))
     assert sum(share.total() for share in shares.values()) <= slots
     given_to = {
         tier: sum(share.slots.get(tier, 0) for share in shares.values()) for tier in range(4)
     }
-    kept = {tier: sum(share.assured.get(tier, 0) for share in shares.values()) for tier in range(4)}
-    wanted = {tier: sum(want.slots for want in listed if want.tier == tier) for tier in range(4)}
-    # The assured slots are one for each tier that is owed one, whatever the upper tiers want.
-    assert sum(kept.values()) <= len(assured)
+    assured_slots = {
+        tier: sum(share.assured.get(tier, 0) for share in shares.values()) for tier in range(4)
+    }
+    wanted = {
+        tier: sum(want.slots for want in listed_wants if want.tier == tier) for tier in range(4)
+    }
+    # Each tier of `assured` gets at most one assured slot, whatever the upper tiers want.
+    assert sum(assured_slots.values()) <= len(assured)
     assert sum(given_to[tier] for tier in (1, 2, 3)) <= max(
-        capacity.lower_slots, sum(kept.values())
+        capacity.lower_slots, sum(assured_slots.values())
     )
     if given_to[0] < wanted[0]:
-        assert all(given_to[tier] <= kept[tier] for tier in (1, 2, 3))
+        assert all(given_to[tier] <= assured_slots[tier] for tier in (1, 2, 3))
     elif given_to[1] < wanted[1]:
-        assert all(given_to[tier] <= kept[tier] for tier in (2, 3))
+        assert all(given_to[tier] <= assured_slots[tier] for tier in (2, 3))
 
 
 @settings(deadline=None)
 @given(st.lists(st.integers(1, 9), min_size=1, max_size=6), st.integers(0, 20))
 def test_allocation_is_fair_within_a_tier(sizes: list[int], slots: int) -> None:
-    """Give no instance of a tier two more than one that wants as much or more."""
+    """Give no instance more than one slot more than an instance with the same or more demand."""
     names = [InstanceName(f"entry-{number}") for number in range(len(sizes))]
     capacity = Capacity(slots, slots, 0, most_urgent=0, lowest=1)
     wants = [Want(name, 0, 0, size) for name, size in zip(names, sizes, strict=True)]
@@ -124,11 +128,11 @@
 
 
 def test_no_message_while_credit_covers_the_work() -> None:
-    """Spend the credit held, with the spare slots granted in advance, without a message."""
+    """Use the granted credit, including spare slots, without sending messages."""
     world = make_world(instances=2, slots=8)
     for round_number in range(100):
         if round_number == 2:
-            # By then each instance holds credit, and its dispatcher knows that nothing waits.
+            # Each instance holds credit now, and its dispatcher knows that nothing waits.
             before = world.messages
         for number in range(2):
             world.arrive("counter", instance=number)
@@ -140,7 +144,7 @@
 
 
 def test_renewals_are_few() -> None:
-    """Renew the credit that is in use, now and then, and let go of what is not."""
+    """Renew credit that is in use, and let unused credit expire."""
     world = make_world(instances=2, slots=8)
     world.arrive("quote", instance=0, deadline_s=1e6)
     world.arrive("quote", instance=1, deadline_s=1e6)
@@ -149,7 +153,7 @@
         for running in world.running.values():
             world.progress(running, 1)
         world.advance(0.1)
-    # One instance is the dispatcher. Of the other come ten renewals in 30 s, each answered.
+    # One instance is the dispatcher. The other sends ten renewals in 30 s, each answered.
     assert world.messages - before <= 22
     for running in list(world.running.values()):
         world.end(running)
@@ -162,17 +166,17 @@
 
 
 def test_a_request_that_fits_costs_one_demand_and_its_grant() -> None:
-    # An instance without credit asks for a slot and gets it. That its request has begun, and soon
-    # ended, is no news: were it told, each request would cost two more messages and their answers.
+    # The start and end of a request within its grant are not reported. Prevents two more messages
+    # and their answers for each request.
     world = make_world(instances=2, slots=8)
-    lead = leader(world)
-    other = next(number for number, name in enumerate(world.states) if name != lead)
+    dispatcher = agreed_dispatcher(world)
+    other = next(number for number, name in enumerate(world.states) if name != dispatcher)
     world.arrive("counter", instance=other)
     world.advance(0.3)
     world.end(world.oldest())
     world.advance(2.0)
     assert world.messages == 2
-    # Asked for already, but in use again: the dispatcher has to hear of what waits now.
+    # The granted slots are in use again, so waiting requests must be reported to the dispatcher.
     for name in ("c1", "c2", "c3", "c4"):
         world.arrive("counter", instance=other, name=name)
     assert {"c1", "c2", "c3", "c4"} <= set(world.running_ids())
@@ -181,27 +185,25 @@
 @pytest.mark.parametrize("kind", [Kind.MODEL, Kind.PLAIN])
 @pytest.mark.parametrize("lost", [False, True])
 def test_idle_credit_of_others_is_no_shortage(kind: Kind, lost: bool) -> None:
-    # There are more instances than slots, and each sends a request now and then. All slots are held
-    # idle, so that the next request has to wait until one has been called back. It gets that one
-    # at once, from whoever has not been heard from for longest, and nobody else hears of it. Only
-    # where that call-back is lost do the others have to report what they use.
+    # More instances than slots hold idle credit. The next request gets a slot from the holder with
+    # the oldest demand, without contention for the others unless the recall is lost.
     world = LoadWorld(instances=9, servers=1, slots=4, policy=Policy.CREDITS, kind=kind)
     world.advance(0.3)
-    lead = leader(world)
-    # The dispatcher last, so that it is not the one that is called back from: it would hear itself.
-    for name in sorted(world.states, key=lambda each: each == lead):
-        world.arrive("fitting", instance=number_of(world, name))
+    dispatcher = agreed_dispatcher(world)
+    # The dispatcher is last. Prevents a recall from itself, which could not be lost.
+    for name in sorted(world.states, key=lambda each: each == dispatcher):
+        world.arrive("fitting", instance=index_of(world, name))
         world.advance(0.6)
         if world.running:
             world.end(world.oldest())
     before = world.messages
     if lost:
-        heard = world.states[lead].credits.given[S0].holdings
-        idle = [name for name, each in heard.items() if each.total()]
-        oldest = min(idle, key=lambda name: heard[name].heard_at)
+        holdings = world.states[dispatcher].credits.given[S0].holdings
+        idle_holders = [name for name, each in holdings.items() if each.total()]
+        oldest = min(idle_holders, key=lambda name: holdings[name].heard_at)
         world.lose = lambda sender, receiver: receiver == oldest
     asker = next(n for n in world.states if not usable_credit(world, world.states[n], S0))
-    world.arrive("fitting", instance=number_of(world, asker), name="next")
+    world.arrive("fitting", instance=index_of(world, asker), name="next")
     assert ("next" in world.running_ids()) is not lost
     world.advance(0.4)
     assert "next" in world.running_ids()
@@ -211,8 +213,8 @@
         assert world.messages - before <= 6
 
 
-def crowded_world(*, slots: int) -> LoadWorld:
-    """Make a world of two servers, of which one is the first choice of more instances."""
+def world_with_preferred_server(*, slots: int) -> LoadWorld:
+    """Return a world of two servers, one of which is the first choice of more instances."""
     world = make_world(instances=11, servers=2, slots=slots)
     names = [ServerName("s0"), ServerName("s1")]
     first = Counter(
@@ -223,8 +225,8 @@
     return world
 
 
-def call_in_turn(world: LoadWorld, rounds: int) -> int:
-    """Let each instance send one request after the other; give the messages that it took."""
+def call_from_each(world: LoadWorld, rounds: int) -> int:
+    """Send one request from each instance in order; return the number of messages sent."""
     before = world.messages
     for _ in range(rounds):
         for number in range(len(world.states)):
@@ -236,24 +238,22 @@
 
 
 def test_instances_spread_over_servers_with_idle_slots() -> None:
-    # Seven instances ask one server first, which has six slots; the other has slots to spare. None
-    # of them waits for long, but if each asks where it was called back from, each request there has
-    # a slot called back from the next one to ask, at six messages. They must find the other server.
-    world = crowded_world(slots=5)
-    call_in_turn(world, 2)
-    # 33 s: each renews its credit every 6 s at the most, with one message and its answer.
-    assert call_in_turn(world, 10) <= 2 * 11 * 6
+    # Seven instances prefer a server with six slots while the other has free ones. Prevents them
+    # from recalling each other's credit there with every request.
+    world = world_with_preferred_server(slots=5)
+    call_from_each(world, 2)
+    # This takes 33 s, with one renewal and its answer per instance every 6 s at most.
+    assert call_from_each(world, 10) <= 2 * 11 * 6
     assert world.told["fitting"].count(Outcome.COMPLETED) == 12 * 11
 
 
-def test_instances_stay_where_all_servers_are_crowded() -> None:
-    # There are more instances than slots at both servers. One that goes to the other server after
-    # each call-back would crowd now this one and now that one, whose holders then have to report
-    # every change. Once it has lost its credit at both it asks in the order of its subset.
-    world = crowded_world(slots=2)
-    call_in_turn(world, 6)
+def test_instances_stay_when_all_servers_are_full() -> None:
+    # Both servers have fewer slots than instances. Prevents instances from alternating between the
+    # servers after each recall and causing contention at both.
+    world = world_with_preferred_server(slots=2)
+    call_from_each(world, 6)
     began = len(world.started)
-    call_in_turn(world, 2)
+    call_from_each(world, 2)
     for state in world.states.values():
         first, *_ = target_subset(state, MODEL).servers
         mine = [each for each in world.started[began:] if each.instance == state.me.name]
@@ -261,11 +261,9 @@
 
 
 @pytest.mark.parametrize("seed", range(6))
-def test_answers_to_call_backs_do_not_multiply(seed: int) -> None:
-    # Requests come to instances drawn at random, before one server with fewer slots than there are
-    # instances. Somebody is short while nothing counts as a shortage yet, and several are called
-    # back from. Were the slots divided anew at each of their answers, others would be called back
-    # from each time, whose answers do the same: the dispatcher does nothing else any more.
+def test_answers_to_recalls_do_not_multiply(seed: int) -> None:
+    # Answers to recalls must not each cause a settlement with more recalls. Prevents an endless
+    # exchange of messages while a shortage has not yet been recognised.
     world = make_world(instances=9, slots=8)
     drawn = Random(seed)
     before = 0
@@ -273,7 +271,7 @@
     def is_endless(sender: InstanceName, receiver: InstanceName) -> bool:
         return world.messages - before > 1000
 
-    # Ends what would not end by itself.
+    # Stops an endless exchange of messages.
     world.lose = is_endless
     for _ in range(60):
         before = world.messages
@@ -286,30 +284,28 @@
 
 
 def test_a_shortage_ends_while_demands_go_on() -> None:
-    # Two instances want more slots than there are. Then their callers leave, and what they go on to
-    # say fits. Were each word of it taken for a shortage that goes on, both would have to report
-    # every change for as long as there is traffic.
+    # The demand of two instances first exceeds the slots and then fits. Prevents later demands
+    # from prolonging the contention for as long as there is traffic.
     world = make_world(instances=3, slots=4)
-    lead = leader(world)
-    one, two = (name for name in world.states if name != lead)
-    ledger = world.states[lead].credits.given.setdefault(S0, Ledger())
+    dispatcher = agreed_dispatcher(world)
+    one, two = (name for name in world.states if name != dispatcher)
+    ledger = world.states[dispatcher].credits.given.setdefault(S0, Ledger())
     world.keep_late()
     for seq in range(1, 16):
         for sender, wanted in ((one, 5), (two, 3)):
             tier = TierDemand(1, 0, wanted) if seq == 1 else TierDemand(1, 1, seq % 2)
             known = ledger.holdings[sender].number if seq > 1 else 0
             demand = CreditDemand(S0, seq, known, 4, [tier])
-            world.event(lead, PeerReceived(sender, demand))
+            world.event(dispatcher, PeerReceived(sender, demand))
         world.advance(0.3)
         if seq == 1:
             assert world.now < ledger.contended_until
     assert world.now > ledger.contended_until
 
 
-def test_upper_tier_gets_the_slot_of_a_lower_one_elsewhere() -> None:
-    # Quotes of one instance hold every slot. A counter request comes to another instance: the
-    # dispatcher calls one slot back, one quote makes way, and the counter request runs within its
-    # target. The quote's caller notices a pause, and gets the rest of the answer afterwards.
+def test_upper_tier_displaces_lower_tier_of_another_instance() -> None:
+    # Quotes of one instance use every slot. For a counter request at another instance exactly one
+    # quote is displaced, and it resumes later.
     world = make_world(slots=2)
     for _ in range(6):
         world.arrive("quote", instance=0)
@@ -333,9 +329,9 @@
     assert running.attempt_id not in world.running
 
 
-def test_one_wait_stops_one_answer() -> None:
-    # Quotes of other instances fill both servers. A counter request is named to the dispatchers of
-    # both, since either may have a slot first; but only one quote is stopped for it.
+def test_one_request_displaces_one_attempt() -> None:
+    # A counter request is reported to the dispatchers of both full servers. Prevents each of them
+    # from displacing a quote for it.
     world = make_world(instances=4, servers=2, slots=2)
     for _ in range(4):
         for number in range(3):
@@ -348,13 +344,12 @@
     assert len(world.cancelled) == 1
 
 
-def test_nothing_is_stopped_while_a_slot_is_a_message_away() -> None:
-    # An instance has its quote on one server and no credit on the other, which is idle. A counter
-    # request comes; the dispatcher's answer takes a moment, and then the request has its slot.
-    # Were the quote stopped at once, its prefill would be lost for nothing.
+def test_no_displacement_while_a_grant_is_on_its_way() -> None:
+    # A counter request waits for a grant that is on its way. Prevents the displacement of a quote
+    # in the meantime, which would waste its prefill.
     world = make_world(instances=2, servers=1, slots=3, options=Options(credit_spare=0))
-    lead = leader(world)
-    other = next(number for number, name in enumerate(world.states) if name != lead)
+    dispatcher = agreed_dispatcher(world)
+    other = next(number for number, name in enumerate(world.states) if name != dispatcher)
     world.arrive("quote", instance=other)
     world.keep_late()
     world.arrive("counter", instance=other, name="c")
@@ -366,7 +361,7 @@
 
 
 def test_running_work_of_the_same_tier_is_not_displaced() -> None:
-    """Let the slots of a tier go round among instances as answers end."""
+    """Pass the slots of a tier on to other instances as attempts end."""
     world = make_world(slots=2)
     for _ in range(9):
         world.arrive("fitting", instance=0)
@@ -383,9 +378,9 @@
     assert {"late1", "late2"} <= set(served)
 
 
-def test_one_slot_goes_round_among_instances() -> None:
-    # Three instances have quotes waiting all the time, for the only slot there is. Were the one
-    # that has it to keep it as long as it has work, the callers of the others would wait for ever.
+def test_one_slot_is_shared_among_instances() -> None:
+    # Three instances always have waiting quotes for the only slot. Prevents the holder from keeping
+    # the slot for as long as it has requests.
     world = make_world(slots=1, options=Options(slack_slots=0, credit_turn_s=2.0))
     for _ in range(300):
         for number in range(3):
@@ -399,19 +394,18 @@
     assert min(served.values()) >= 4
 
 
-def test_grant_waits_for_the_call_back_to_be_seen() -> None:
-    # One instance has all slots; another one runs a request without a grant, by its own counts.
-    # Some slots are called back from the first, which has not confirmed that it knows. A grant to
-    # the other one now, though only for what it runs already, would add up to more than there is.
+def test_grant_waits_for_confirmation_of_recall() -> None:
+    # One instance holds all slots and another runs a request by local counts. Prevents a grant to
+    # the second before the first has confirmed the recall, as the grants would exceed the capacity.
     world = make_world(instances=3, slots=3)
-    lead = leader(world)
-    one, two = (name for name in world.states if name != lead)
+    dispatcher = agreed_dispatcher(world)
+    one, two = (name for name in world.states if name != dispatcher)
     grants: dict[InstanceName, int] = {}
     world.keep_late()
     for sender, tier in ((one, TierDemand(2, 0, 4)), (two, TierDemand(0, 1, 0))):
-        world.event(lead, PeerReceived(sender, CreditDemand(S0, 1, 0, 3, [tier])))
+        world.event(dispatcher, PeerReceived(sender, CreditDemand(S0, 1, 0, 3, [tier])))
         world.now += 0.01
-    world.event(lead, Tick())
+    world.event(dispatcher, Tick())
     for receiver, event in world.take_late():
         assert isinstance(event, PeerReceived)
         if isinstance(event.message, CreditGrant):
@@ -421,8 +415,8 @@
 
 
 def test_control_traffic_is_bounded_in_a_shortage() -> None:
-    # Every server is short of slots, and requests of all classes come and go all the time. What the
-    # instances say to each other stays within the budget, and every class is served.
+    # With every server short of slots, the demands stay within the budget and all classes are
+    # served.
     options = Options(credit_demands_s=2.0, credit_demands_burst=6.0)
     world = make_world(instances=4, servers=6, slots=1, options=options)
     before = sum(state.credits.demands_sent for state in world.states.values())
@@ -434,15 +428,14 @@
                 world.end(world.oldest())
         world.advance(0.1)
     sent = sum(state.credits.demands_sent for state in world.states.values()) - before
-    # What dispatchers wait for comes on top; they ask for it as they see fit.
+    # Answers that dispatchers wait for are exempt from the budget.
     assert sent / 4 <= 1.5 * (options.credit_demands_burst + 30.0 * options.credit_demands_s)
     assert all(told.count(Outcome.COMPLETED) for told in world.told.values())
 
 
-def test_an_upper_request_presses_while_the_budget_is_short() -> None:
-    # A shortage has used up what an instance may say of it. A counter request, whose class waited
-    # there before, has waited out its patience while another instance's quotes run: that they have
-    # to stop for it must be told at once, and not when the budget has recovered.
+def test_displacement_is_requested_while_the_budget_is_low() -> None:
+    # A long shortage has used up most of the budget. Prevents a demand that displaces another
+    # instance's quote from being delayed until the budget has recovered.
     options = Options(credit_demands_s=0.0, slack_slots=0)
     world = make_world(instances=2, slots=1, options=options)
     world.arrive("quote", instance=1, name="q")
@@ -454,8 +447,8 @@
     assert world.running_ids() == ["c"]
 
 
-def test_plain_calls_leave_slots_for_the_most_urgent() -> None:
-    """Keep some slots of a plain service free of lower tiers, since nothing there is displaced."""
+def test_plain_service_reserves_slots_for_the_most_urgent() -> None:
+    """Reserve slots of a plain service for the most urgent tier; its calls are not displaced."""
     world = LoadWorld(instances=3, servers=1, slots=4, policy=Policy.CREDITS, kind=Kind.PLAIN)
     world.advance(0.3)
     for number in range(15):
@@ -480,17 +473,16 @@
 
 @settings(max_examples=120, deadline=None)
 @given(STEPS, st.floats(0.0, 0.6), st.integers(0, 2**16))
-def test_grants_never_add_up_to_more_than_there_is(
+def test_grants_never_exceed_capacity(
     steps: list[tuple[str, str, int]], loss: float, seed: int
 ) -> None:
-    # Any part of the messages between the instances is lost. Whatever is asked for and called
-    # back: what the instances may use at one moment, by the grants of the one dispatcher, is never
-    # more than the slots and the slack, and neither are the dispatcher's own books.
+    # With any share of the messages lost, neither the usable grants of all instances nor the
+    # dispatcher's ledger exceed the slots and the slack.
     world = make_world(instances=4, slots=3)
     rng = Random(seed)
     world.lose = lambda sender, receiver: rng.random() < loss
     room = world.slots + world.options.slack_slots
-    lead = leader(world)
+    dispatcher = agreed_dispatcher(world)
     for step, class_name, number in steps:
         if step == "arrive":
             world.arrive(class_name, instance=number)
@@ -500,7 +492,7 @@
             world.advance(0.1 if step == "pass" else 2.0)
         usable = sum(usable_credit(world, state, S0) for state in world.states.values())
         assert usable <= room
-        ledger = world.states[lead].credits.given.get(S0)
+        ledger = world.states[dispatcher].credits.given.get(S0)
         if ledger is not None:
             assert sum(each.total() for each in ledger.holdings.values()) <= room
 
@@ -509,62 +501,63 @@
 
 
 def test_dispatcher_that_is_cut_off() -> None:
-    # The callers of an instance wait for slots, and the dispatcher does not answer. Within half a
-    # second the instance goes by its own counts, with one request at first, and its callers are
-    # served. Once the dispatcher is heard again, credit comes from there.
+    # If the dispatcher does not answer, an instance uses local counts within half a second, and
+    # returns to credit once the dispatcher is reachable.
     world = make_world(slots=8)
-    lead = leader(world)
-    other = next(number for number, name in enumerate(world.states) if name != lead)
-    world.cut.add(lead)
+    dispatcher = agreed_dispatcher(world)
+    other = next(number for number, name in enumerate(world.states) if name != dispatcher)
+    world.cut.add(dispatcher)
     world.arrive("counter", instance=other, name="c")
     world.arrive("quote", instance=other, name="q")
     assert not world.running
     world.advance(0.5)
     assert world.running_ids() == ["c"]
-    world.cut.discard(lead)
+    world.cut.discard(dispatcher)
     world.advance(2.0)
     assert world.running_ids() == ["c", "q"]
-    assert world.states[list(world.states)[other]].credits.held[S0].dispatcher == lead
+    assert world.states[list(world.states)[other]].credits.held[S0].dispatcher == dispatcher
 
 
 def test_new_dispatcher_takes_over() -> None:
-    """Serve on after the dispatcher died, first by counts and then by another one's credit."""
+    """Continue by local counts after the dispatcher died, then by credit of the next dispatcher."""
     world = make_world(slots=4)
-    lead = leader(world)
+    dispatcher = agreed_dispatcher(world)
     for number in range(3):
         world.arrive("fitting", instance=number)
     world.advance(0.3)
-    world.cut.add(lead)
-    world.running = {k: v for k, v in world.running.items() if v.instance != lead}
+    world.cut.add(dispatcher)
+    world.running = {k: v for k, v in world.running.items() if v.instance != dispatcher}
     world.advance(world.options.suspect_s + 1.0)
-    survivors = [name for name in world.states if name != lead]
+    survivors = [name for name in world.states if name != dispatcher]
     for name in survivors:
-        world.arrive("counter", instance=number_of(world, name))
+        world.arrive("counter", instance=index_of(world, name))
     world.advance(1.0)
-    new = {
+    new_dispatchers = {
         credit_lead.dispatcher_of(
             world.states[name], world.now, world.states[name].servers.by_name[S0]
         )
         for name in survivors
     }
-    assert len(new) == 1
-    assert new != {lead}
+    assert len(new_dispatchers) == 1
+    assert new_dispatchers != {dispatcher}
     counters = [each for each in world.running.values() if each.service_class == "counter"]
     assert len(counters) == 2
-    assert all(world.states[name].credits.held[S0].dispatcher in new for name in survivors)
+    assert all(
+        world.states[name].credits.held[S0].dispatcher in new_dispatchers for name in survivors
+    )
 
 
 def test_dispatcher_that_restarts_under_its_name() -> None:
-    """Take the grants of a dispatcher that begins to count its grants anew."""
+    """Accept the grants of a restarted dispatcher whose grant numbers start again."""
     world = make_world(slots=2)
-    lead = leader(world)
-    other = next(name for name in world.states if name != lead)
+    dispatcher = agreed_dispatcher(world)
+    other = next(name for name in world.states if name != dispatcher)
     for _ in range(4):
-        world.arrive("quote", instance=number_of(world, other))
+        world.arrive("quote", instance=index_of(world, other))
         world.advance(0.2)
-    world.restart(lead)
+    world.restart(dispatcher)
     world.advance(4.0)
-    world.arrive("counter", instance=number_of(world, other), name="c")
+    world.arrive("counter", instance=index_of(world, other), name="c")
     world.advance(0.5)
     assert "c" in world.running_ids()
     assert usable_credit(world, world.states[other], S0) >= 1
@@ -572,9 +565,9 @@
     assert sum(usable_credit(world, state, S0) for state in world.states.values()) <= 3
 
 
-def test_two_dispatchers_cost_overload_and_nothing_else() -> None:
-    # Two halves of a data centre do not hear each other, so each has a dispatcher for the server
-    # and it is given up to twice its slots. Every caller is answered all the same, once.
+def test_two_dispatchers_cause_only_overload() -> None:
+    # While a data centre is partitioned, the server has two dispatchers and receives up to twice
+    # its slots. Every caller is still answered exactly once.
     world = make_world(instances=4, slots=2)
     names = list(world.states)
     halves = {name: number // 2 for number, name in enumerate(names)}
@@ -586,11 +579,11 @@
                 assert member.data_centre == DATA_CENTRE
     world.see = lambda one, other: halves[one] == halves[other]
     world.advance(0.5)
-    leads = {
+    dispatchers = {
         credit_lead.dispatcher_of(state, world.now, state.servers.by_name[S0])
         for state in world.states.values()
     }
-    assert len(leads) == 2
+    assert len(dispatchers) == 2
     for number in range(24):
         world.arrive("fitting", instance=number % 4)
     world.advance(1.0)
@@ -603,14 +596,14 @@
     assert len(world.started) == 24 + len(world.cancelled)
 
 
-def test_grant_that_comes_late_is_worth_less() -> None:
-    # An instance is paused before it takes a grant. Meanwhile the dispatcher lets the grant lapse
-    # and gives the slots to another. Were it counted from when it is taken, both would use them.
+def test_delayed_grant_has_expired() -> None:
+    # A grant is applied after its slots were granted to another instance. Prevents its validity
+    # from counting from the receipt, so that both would use the slots.
     world = make_world(slots=2)
-    lead = leader(world)
-    one, two = (name for name in world.states if name != lead)
+    dispatcher = agreed_dispatcher(world)
+    one, two = (name for name in world.states if name != dispatcher)
     world.keep_late()
-    world.arrive("quote", instance=number_of(world, one), deadline_s=1e6)
+    world.arrive("quote", instance=index_of(world, one), deadline_s=1e6)
     demands = world.take_late()
     world.keep_late()
     for receiver, event in demands:
@@ -620,10 +613,10 @@
     world.cut.add(one)
     world.advance(world.options.credit_ttl_s + 1.0)
     for _ in range(6):
-        world.arrive("fitting", instance=number_of(world, two))
+        world.arrive("fitting", instance=index_of(world, two))
         world.advance(0.2)
     world.cut.discard(one)
-    # Before it has heard anything newer.
+    # Delivered before any newer message.
     world.keep_late()
     for receiver, event in grants:
         world.event(receiver, event)
@@ -632,40 +625,40 @@
     assert usable <= world.slots + world.options.slack_slots
 
 
-def test_grant_of_a_former_dispatcher_is_not_taken() -> None:
-    """Ignore grants of anyone but the instance that was asked last."""
+def test_grant_of_a_former_dispatcher_is_ignored() -> None:
+    """Ignore grants of instances other than the one that received the last demand."""
     world = make_world(slots=2)
-    lead = leader(world)
-    one, two = (name for name in world.states if name != lead)
-    world.arrive("quote", instance=number_of(world, one))
-    held = dict(world.states[one].credits.held[S0].slots)
+    dispatcher = agreed_dispatcher(world)
+    one, two = (name for name in world.states if name != dispatcher)
+    world.arrive("quote", instance=index_of(world, one))
+    slots = dict(world.states[one].credits.held[S0].slots)
     stale = CreditGrant(S0, 1, 99, 9.0, contended=False, keep=None, displace_above=0)
     world.event(one, PeerReceived(two, stale))
-    assert world.states[one].credits.held[S0].slots == held
+    assert world.states[one].credits.held[S0].slots == slots
 
 
-def test_demand_that_comes_late_changes_nothing() -> None:
-    """Ignore a demand that is older than the newest one."""
+def test_stale_demand_is_ignored() -> None:
+    """Ignore a demand that is older than the last one received."""
     world = make_world(slots=2)
-    lead = leader(world)
-    other = next(name for name in world.states if name != lead)
+    dispatcher = agreed_dispatcher(world)
+    other = next(name for name in world.states if name != dispatcher)
     for seq, running in ((3, 1), (2, 9)):
         demand = CreditDemand(S0, seq, 0, 2, [TierDemand(2, running, 0)])
-        world.event(lead, PeerReceived(other, demand))
-    holding = world.states[lead].credits.given[S0].holdings[other]
+        world.event(dispatcher, PeerReceived(other, demand))
+    holding = world.states[dispatcher].credits.given[S0].holdings[other]
     assert holding.seq == 3
     assert holding.running() == 1
 
 
 def test_dispatcher_that_cannot_reach_the_server() -> None:
-    # The path between the dispatcher and the server is cut, the others reach it. They go by their
-    # own counts, rather than that the server stands idle.
+    # The dispatcher cannot reach the server but the others can. They use local counts, which
+    # prevents the server from staying idle.
     world = make_world(slots=4)
-    lead = leader(world)
-    world.states[lead].servers.by_name[S0].unreachable_until = world.now + 1e6
-    other = next(name for name in world.states if name != lead)
+    dispatcher = agreed_dispatcher(world)
+    world.states[dispatcher].servers.by_name[S0].unreachable_until = world.now + 1e6
+    other = next(name for name in world.states if name != dispatcher)
     world.report_s = None
-    world.arrive("counter", instance=number_of(world, other), name="c")
+    world.arrive("counter", instance=index_of(world, other), name="c")
     world.advance(0.6)
     assert world.running_ids() == ["c"]
 
@@ -674,7 +667,7 @@
 
 
 def test_only_the_dispatcher_probes() -> None:
-    """Ask each server for its load from one instance, whoever sends it requests."""
+    """Probe each server from one instance only, whichever instances send it requests."""
     world = make_world(instances=4, servers=5)
     for number in range(4):
         world.arrive("quote", instance=number)
@@ -685,34 +678,34 @@
         for server in world.config.servers
     }
     assert all(len(names) == 1 for names in by_server.values())
-    assert all(by_server[server] == {leader(world, server)} for server in by_server)
+    assert all(by_server[server] == {agreed_dispatcher(world, server)} for server in by_server)
 
 
 def test_load_comes_with_the_grants() -> None:
-    """Learn of a server's slots from its dispatcher."""
+    """Receive a server's slots from its dispatcher."""
     world = make_world(instances=2, slots=4)
-    lead = leader(world)
-    other = next(name for name in world.states if name != lead)
+    dispatcher = agreed_dispatcher(world)
+    other = next(name for name in world.states if name != dispatcher)
     world.report_s = None
     server = world.states[other].servers.by_name[S0]
     server.report = report_of(S0, 0, 0, 1)
-    world.arrive("quote", instance=number_of(world, other))
+    world.arrive("quote", instance=index_of(world, other))
     assert server.slots == 4
 
 
 @pytest.mark.parametrize("cut", [True, False])
-def test_probe_of_ones_own_where_no_dispatcher_answers(cut: bool) -> None:
-    """Probe a server that is used while its dispatcher is silent, and only then."""
+def test_holder_probes_where_no_dispatcher_answers(cut: bool) -> None:
+    """Probe a used server if and only if its dispatcher is unresponsive."""
     world = make_world(instances=2, slots=4)
-    lead = leader(world)
-    other = next(name for name in world.states if name != lead)
-    world.arrive("quote", instance=number_of(world, other))
+    dispatcher = agreed_dispatcher(world)
+    other = next(name for name in world.states if name != dispatcher)
+    world.arrive("quote", instance=index_of(world, other))
     world.advance(1.0)
     if cut:
-        world.cut.add(lead)
+        world.cut.add(dispatcher)
     world.probes.clear()
-    # Shorter than it takes until another dispatcher is picked, which would probe in any case.
+    # Shorter than the time until a new dispatcher is picked, which would probe in any case.
     for _ in range(15):
-        world.arrive("quote", instance=number_of(world, other))
+        world.arrive("quote", instance=index_of(world, other))
         world.advance(0.1)
     assert any(name == other for name, _ in world.probes) is cut
