--- a/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
@@ -1,10 +1,9 @@
-"""Keeps live claims within what the log keeps, and helps new readers to know them all.
+"""Keeps live claims within the retention of the log, and lets new readers learn all of them.
 
-A claim whose newest record has fallen far behind the end is carried: written again by whichever
-instance draws the lot first. Two that draw it at once cost one append; the second record changes
-nothing. A reader that started amid the stream and has seen no floor yet asks for one by a record
-of its own, and instances that know every live claim answer it by the same lot. Recovery is driven
-by the one that lost its state, as in Thialfi (see docs/design/claims.md).
+A claim whose newest record is far behind the end of the log is carried, that is written again, by
+an instance drawn by lot. If two instances are drawn, the second record has no effect. A reader that
+started within the stream and has read no floor requests one with a record, and an instance that
+knows every live claim, also drawn by lot, answers it (see docs/design/claims.md).
 """
 
 from __future__ import annotations
@@ -20,20 +19,20 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Carry claims, ask for a floor or give one, where it is due."""
-    effects = _note_blindness(state, now)
-    _note_age(state, now)
+    """Carry claims, and request or write a floor, if due."""
+    effects = _trust_after_retention(state, now)
+    _update_carry_offset(state, now)
     outbox = state.claims.outbox
-    carry = _is_carry_due(state)
-    floor = _is_floor_due(state)
-    if (carry or floor) and _draws_lot(state, now):
-        outbox.carry = outbox.carry or carry
-        outbox.floor = outbox.floor or floor
+    is_carry_due = _is_carry_due(state)
+    is_floor_due = _is_floor_due(state)
+    if (is_carry_due or is_floor_due) and _is_drawn(state, now):
+        outbox.carry = outbox.carry or is_carry_due
+        outbox.floor = outbox.floor or is_floor_due
     return effects + flush(state, now)
 
 
-def _draws_lot(state: State, now: float) -> bool:
-    """Draw so that over all instances one in a few ticks is expected to write."""
+def _is_drawn(state: State, now: float) -> bool:
+    """Return whether a random draw selects this instance, one of all instances every few ticks."""
     others = len(live_instances(state, now))
     return state.rng.random() * max(1, others) < state.options.claim_lot
 
@@ -43,20 +42,20 @@
     ledger = claims.ledger
     if not ledger.whole:
         return False
-    # The view is told again with the claims, before the log lets go of the record that names it.
-    kept = [ledger.views.kept_at] if epoch_of(ledger.views) > NO_VIEW else []
-    kept += [claim.kept_at for claim in islice(ledger.claims.values(), 1)]
-    return any(_is_old(state, each) for each in kept)
+    # The view is carried with the claims, before the log expires the record that contains it.
+    offsets = [ledger.views.kept_at] if epoch_of(ledger.views) > NO_VIEW else []
+    offsets += [claim.kept_at for claim in islice(ledger.claims.values(), 1)]
+    return any(_needs_carrying(state, each) for each in offsets)
 
 
-def _is_old(state: State, kept_at: int) -> bool:
+def _needs_carrying(state: State, kept_at: int) -> bool:
     claims = state.claims
-    behind = claims.ledger.offset - kept_at
-    return behind > state.options.claim_carry_records or kept_at < claims.carry_below
+    distance = claims.ledger.offset - kept_at
+    return distance > state.options.claim_carry_records or kept_at < claims.carry_below
 
 
-def _note_age(state: State, now: float) -> None:
-    """Find out by the own clock which records have grown old, on a stream that stands still."""
+def _update_carry_offset(state: State, now: float) -> None:
+    """Update the offset below which records are old by the local clock, for an idle stream."""
     claims = state.claims
     if now < claims.mark_due:
         return
@@ -69,24 +68,24 @@
     ledger = state.claims.ledger
     if ledger.whole:
         return ledger.floor_asked_at != NO_FLOOR
-    # One request for a floor stands in the log until somebody has answered it.
+    # Only one request for a floor is open in the log at a time.
     return ledger.floor_asked_at < ledger.start
 
 
-def _note_blindness(state: State, now: float) -> list[Effect]:
-    """Trust the ledger once every claim that it may lack has expired."""
+def _trust_after_retention(state: State, now: float) -> list[Effect]:
+    """Mark the ledger as whole once all claims that may be missing from it have expired."""
     claims = state.claims
     if claims.ledger.whole:
         claims.blind_since = None
         return []
     if claims.blind_since is None:
         claims.blind_since = now
-    waited = now - claims.blind_since
-    if waited <= state.options.claim_retention_s * state.options.claim_blind_margin:
+    waited_s = now - claims.blind_since
+    if waited_s <= state.options.claim_retention_s * state.options.claim_blind_margin:
         return []
     claims.ledger.whole = True
     if not state.options.claim_votes:
-        # Without votes there are no views, and nobody is left who knew of one.
+        # Without votes there are no views, and no instance knows of an earlier one.
         claims.ledger.views.current = FIRST_VIEW
     claims.due |= set(claims.waiting)
-    return [Log("claims_trusted", {"after_s": waited})]
+    return [Log("claims_trusted", {"after_s": waited_s})]
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_end.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_end.py
@@ -1,6 +1,6 @@
-"""What follows for a key from the end of a request that held it, or waited for it.
+"""The effects on a key of the end of a request that held it or waited for it.
 
-Called by `lifecycle.finish` for every request, so that no path can end a claimed one unnoticed.
+`lifecycle.finish` calls this module for every request.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from turmericweir_core.base.ids import RequestId
 from turmericweir_core.base.request import Request
 from turmericweir_core.claims.claim_outbox import put_end, put_withdrawal
-from turmericweir_core.claims.claim_peer import told_kept
+from turmericweir_core.claims.claim_peer import kept_message
 from turmericweir_core.claims.claim_vote import known_holder, release
 from turmericweir_core.messages.effects import Effect
 from turmericweir_core.records.claim_answer import KeptAnswer, KeptEnd, keep_end
@@ -21,7 +21,7 @@
 def note_finished(
     state: State, now: float, account: Account, answer: KeptAnswer | None
 ) -> list[Effect]:
-    """Free the key of a request that never ran; keep and tell the end of one that did."""
+    """Release the key of a request that never ran; store and send the end of one that ran."""
     claims = state.claims
     request_id = RequestId(account.request_id)
     key = claims.held.pop(request_id, None)
@@ -29,18 +29,18 @@
         return _give_up_waiting(state, now, request_id)
     claims.due.add(key)
     if account.outcome is Outcome.NOT_RUN:
-        # Not written yet where it ran by agreement; it would land after what withdraws it.
+        # Prevents a claim that is not written yet from being appended after its withdrawal.
         claims.outbox.claims.pop(request_id, None)
         claims.withdrawing.add(request_id)
         put_withdrawal(claims.outbox, state.options, now, request_id, key)
         claims.askers.pop(request_id, None)
         return release(state, request_id, key)
     end = ClaimEnd(account.outcome, account.reason, account.status)
-    kept = KeptEnd(end, answer)
-    keep_end(claims.answers, state.options, request_id, kept)
+    kept_end = KeptEnd(end, answer)
+    keep_end(claims.answers, state.options, request_id, kept_end)
     put_end(claims.outbox, state.options, now, request_id, EndRecord(key, request_id, end))
     askers = claims.askers.pop(request_id, [])
-    return [told_kept(state, asker, request_id, kept) for asker in askers]
+    return [kept_message(state, asker, request_id, kept_end) for asker in askers]
 
 
 def _give_up_waiting(state: State, now: float, request_id: RequestId) -> list[Effect]:
@@ -50,15 +50,15 @@
         return []
     claims.outbox.claims.pop(request_id, None)
     if wait.sent:
-        # The claim may stand in the log, or land there yet. It would hold the key with nobody to
-        # run it, and every later caller would be told that the call may have run.
+        # The claim may be in the log or on its way there. Prevents it from holding the key without
+        # a request that runs.
         claims.withdrawing.add(request_id)
         put_withdrawal(claims.outbox, state.options, now, request_id, wait.key)
     return release(state, request_id, wait.key)
 
 
 def follows_holder(state: State, req: Request) -> bool:
-    """Tell whether a request waits for another that holds its key and may have run."""
+    """Return whether a request waits for another that holds its key and may have run."""
     wait = state.claims.waits.get(req.request_id)
     if wait is None:
         return False
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
@@ -1,8 +1,7 @@
-"""Keeps the view of those who may claim keys in step with who is there.
+"""Keeps the view, the set of instances that may claim keys, up to date with the live instances.
 
-Any member may replace the view, and one that left out of it by mistake loses nothing but time: it
-asks in the log to be let in again. So who is live may be guessed by heartbeats here; what is safe
-never rests on the guess (`claim_view`).
+Any member may replace the view. An instance that was removed by mistake requests membership again
+in the log. Heartbeats decide who is live, but safety does not depend on them (`claim_view`).
 """
 
 from __future__ import annotations
@@ -19,40 +18,40 @@
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.state import State
 
-HASHES: Final = 2**32
+HASH_RANGE: Final = 2**32
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Replace the view, or ask to be in it, where that is due."""
+    """Replace the view, or request membership in it, if due."""
     claims = state.claims
     view = claims.ledger.views.current
     if not claims.ledger.whole:
         return []
     if view is None:
-        return _trust_operator(state)
+        return _apply_operator_epoch(state)
     if not state.options.claim_votes and not view.members:
-        # Nobody has begun with views, and this instance does not.
+        # No instance has created a view, and this one does not create the first.
         return []
     if view.members and not is_member(view, writer_of(state)):
-        _ask_in(state, now, view)
+        _request_membership(state, now, view)
     elif not is_log_slow(claims.outbox, state.options, now):
-        _replace(state, now, view)
+        _replace_view(state, now, view)
     elif claims.outbox.failures > 0 and not claims.read_failed:
-        # Reads work, so appends may. A record that says nothing finds out; a change of view would
-        # keep this instance from agreeing to claims if it failed.
+        # Reads work, so appends may work again. Tries with an empty record, since a failed view
+        # change would prevent this instance from agreeing to claims.
         claims.outbox.floor = True
     return flush(state, now)
 
 
-def _trust_operator(state: State) -> list[Effect]:
-    """Take the view for ended that an operator says is, where nobody is left who knows it."""
+def _apply_operator_epoch(state: State) -> list[Effect]:
+    """End the view that an operator declares ended in the settings."""
     epoch = state.options.claim_replace_epoch
     if epoch > NO_VIEW:
         state.claims.ledger.views.current = View(epoch, ())
     return []
 
 
-def _ask_in(state: State, now: float, view: View) -> None:
+def _request_membership(state: State, now: float, view: View) -> None:
     claims = state.claims
     claims.read_due = min(claims.read_due, now + state.options.claim_join_read_s)
     if state.stopping_since is not None or now < claims.join_due:
@@ -65,97 +64,99 @@
     claims.outbox.join = True
 
 
-def _replace(state: State, now: float, view: View) -> None:
+def _replace_view(state: State, now: float, view: View) -> None:
     claims = state.claims
     if claims.outbox.in_flight is not None or claims.outbox.landed:
         return
-    if view.epoch == NO_VIEW and not _have_met(state, now):
+    if view.epoch == NO_VIEW and not _is_first_view_due(state, now):
         return
-    wanted = _wanted(state, now, view)
-    # A change of which the outcome is unknown is settled by another record, so it is made again.
-    is_due = claims.sealed is not None or set(wanted) != set(view.members)
-    if is_due and (_is_leaving(state, now) or _draws_lot(state, now, view)):
-        claims.outbox.members = wanted
+    next_members = _next_members(state, now, view)
+    # A change with an unknown outcome is written again, as only a later record settles it.
+    is_due = claims.sealed is not None or set(next_members) != set(view.members)
+    if is_due and (_is_leaving(state, now) or _is_drawn(state, now, view)):
+        claims.outbox.members = next_members
 
 
-def _have_met(state: State, now: float) -> bool:
-    """Tell whether a first view would miss nobody, or enough time has passed to make one.
+def _is_first_view_due(state: State, now: float) -> bool:
+    """Return whether the live instances have been stable for long enough to create a first view.
 
-    From the first view on nobody else may claim. Were it made by an instance that has not met the
-    others yet, and that one then cut off from the log, all keys would be closed for as long. So it
-    waits until nobody has come or gone for a while. That delays no call: until there is a view all
-    may claim in the log.
+    Only members of a view may claim. Prevents a view of too few instances, which would block all
+    keys if these lose the log. Until the first view all instances may claim in the log.
     """
     claims = state.claims
     live = frozenset(each.incarnation for each in live_instances(state, now))
     if live != claims.live_seen:
         claims.live_seen = live
         claims.live_since = now
-    waited = now - claims.live_since
-    if waited < state.options.claim_view_met_s:
+    stable_s = now - claims.live_since
+    if stable_s < state.options.claim_view_met_s:
         return False
-    if waited >= state.options.claim_view_first_s:
+    if stable_s >= state.options.claim_view_first_s:
         return True
     return all(is_live(state, now, each) for each in state.members.by_name.values())
 
 
-def _draws_lot(state: State, now: float, view: View) -> bool:
-    """Draw so that over all that may replace the view one in a few ticks is expected to write.
+def _is_drawn(state: State, now: float, view: View) -> bool:
+    """Return whether a draw selects this instance, one of all members every few ticks.
 
-    By a hash, which takes nothing from the generator that other decisions draw from: views come and
-    go in every instance, and would change what those decide.
+    Uses a hash instead of the state's random generator. Prevents view changes from altering the
+    random numbers of other decisions.
     """
     live = {each.incarnation for each in live_instances(state, now)}
     if view.members:
-        # Nobody else can write it. With a lot among all, one member of many instances would leave
-        # the others out for seconds, and were it cut off then their keys would stay closed.
+        # Only members can write the view. Prevents a long delay when few of the instances are
+        # members.
         live &= {each.incarnation for each in view.members}
     if len(live) <= 1:
         return True
-    drawn = xxhash.xxh32_intdigest(f"{state.me.incarnation}\0{now:.3f}".encode()) / HASHES
+    drawn = xxhash.xxh32_intdigest(f"{state.me.incarnation}\0{now:.3f}".encode()) / HASH_RANGE
     return drawn * len(live) < state.options.claim_lot
 
 
 def _is_leaving(state: State, now: float) -> bool:
-    """Tell whether this instance has stopped and holds no key any more."""
-    since = state.stopping_since
-    if since is None or now - since <= state.options.stop_grace_s:
+    """Return whether this instance is stopping and holds no more keys."""
+    stopping_since = state.stopping_since
+    if stopping_since is None or now - stopping_since <= state.options.stop_grace_s:
         return False
     return not state.claims.waits and not state.claims.held and not state.claims.outbox.claims
 
 
-def _wanted(state: State, now: float, view: View) -> tuple[Writer, ...]:
+def _next_members(state: State, now: float, view: View) -> tuple[Writer, ...]:
     live: dict[str, Member] = {each.name: each for each in live_instances(state, now)}
     claims = state.claims
     claims.met = (claims.met & {each.incarnation for each in view.members}) | {
         each.incarnation for each in live.values()
     }
-    kept = [each for each in view.members if _stays(state, now, each, live.get(each.instance))]
+    remaining = [
+        each for each in view.members if _is_present(state, now, each, live.get(each.instance))
+    ]
     joined = [writer_of(state), *claims.ledger.views.joins.values()]
-    joined += [_writer(each) for each in live.values() if each.incarnation and not each.leaving]
-    found = {each.incarnation: each for each in (*kept, *joined)}
+    joined += [
+        _writer_of_member(each) for each in live.values() if each.incarnation and not each.leaving
+    ]
+    writers = {each.incarnation: each for each in (*remaining, *joined)}
     if _is_leaving(state, now):
-        del found[state.me.incarnation]
-    if len(found) > state.options.claim_view_max:
-        # Whoever comes may claim, but only in the log.
+        del writers[state.me.incarnation]
+    if len(writers) > state.options.claim_view_max:
+        # With an empty view all instances may claim, but only in the log.
         return ()
-    return tuple(sorted(found.values(), key=lambda each: each.incarnation))
+    return tuple(sorted(writers.values(), key=lambda each: each.incarnation))
 
 
-def _writer(member: Member) -> Writer:
+def _writer_of_member(member: Member) -> Writer:
     return Writer(member.name, member.incarnation, member.peer_address)
 
 
-def _stays(state: State, now: float, writer: Writer, live: Member | None) -> bool:
-    """Tell whether a member is there: it is live, or has written to the log of late."""
-    quiet = state.claims.quiet
+def _is_present(state: State, now: float, writer: Writer, live: Member | None) -> bool:
+    """Return whether a member is live or has recently written to the log."""
+    quiet_members = state.claims.quiet
     if live is not None:
-        quiet.pop(writer.incarnation, None)
+        quiet_members.pop(writer.incarnation, None)
         return live.incarnation in ("", writer.incarnation)
     numbers = state.claims.ledger.numbers
     number, _ = numbers.get((writer.instance, writer.incarnation), (0, 0))
-    last, since = quiet.get(writer.incarnation, (-1, now))
-    if number != last:
-        quiet[writer.incarnation] = (number, now)
+    last_number, quiet_since = quiet_members.get(writer.incarnation, (-1, now))
+    if number != last_number:
+        quiet_members[writer.incarnation] = (number, now)
         return True
-    return now - since < state.options.claim_view_quiet_s
+    return now - quiet_since < state.options.claim_view_quiet_s
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
@@ -1,10 +1,9 @@
-"""Writes to the `claims` stream: few appends, each with everything that there is to say.
+"""Writes to the `claims` stream in batches.
 
-One append is out at a time. What comes up meanwhile gathers for the next, so a burst of calls costs
-one append for each round trip to the log, and a bucket bounds the appends a second. Whatever is
-said stays in the outbox until it has been read back: a lost acknowledgement is settled by reading,
-and what an append failed to say the next one says again under a higher number, which makes the
-earlier one void should it still land.
+Only one append is in flight at a time; new entries are collected for the next one, and a token
+bucket limits the appends per second. Entries stay in the outbox until they have been read back from
+the log, which also covers lost acknowledgements. Entries of a failed append are written again under
+a higher number, which makes the earlier record void if it still lands.
 """
 
 from __future__ import annotations
@@ -35,11 +34,11 @@
 from turmericweir_core.state.claim_view import epoch_of
 from turmericweir_core.state.state import State
 
-# --- what is to be said ----------------------------------------------------------------------
+# --- entries ---------------------------------------------------------------------------------
 
 
 def put_claim(outbox: Outbox, request_id: RequestId, claim: NewClaim) -> None:
-    """Have a claim written."""
+    """Queue a claim for writing."""
     outbox.claims[request_id] = claim
     outbox.clock_ms = max(outbox.clock_ms, time_of(request_id))
 
@@ -47,26 +46,26 @@
 def put_withdrawal(
     outbox: Outbox, options: Options, now: float, request_id: RequestId, key: str
 ) -> None:
-    """Have a claim taken back whose call never ran."""
+    """Queue the withdrawal of a claim whose call never ran."""
     outbox.withdrawn[request_id] = Withdrawal(key, request_id)
-    _note_quiet(outbox, options, now)
+    _schedule_append(outbox, options, now)
 
 
 def put_end(
     outbox: Outbox, options: Options, now: float, request_id: RequestId, record: EndRecord
 ) -> None:
-    """Have the end of a claimed call written."""
+    """Queue the end of a claimed call for writing."""
     outbox.ends[request_id] = record
-    _note_quiet(outbox, options, now)
+    _schedule_append(outbox, options, now)
 
 
-def _note_quiet(outbox: Outbox, options: Options, now: float) -> None:
+def _schedule_append(outbox: Outbox, options: Options, now: float) -> None:
     if outbox.quiet_due is None:
         outbox.quiet_due = now + options.claim_end_delay_s
 
 
 def is_claim_out(outbox: Outbox, request_id: RequestId) -> bool:
-    """Tell whether a claim is on its way to the log or back."""
+    """Return whether a claim is queued, in flight, or not yet read back."""
     if request_id in outbox.claims:
         return True
     return any(_has_claim(batch, request_id) for batch in outbox.landed.values())
@@ -77,87 +76,87 @@
 
 
 def is_in_doubt(claims: ClaimState, key: str, request_id: str) -> bool:
-    """Tell whether a claim of another request here may hold the key in the log, or land there."""
+    """Return whether another local request's claim of the key may be in the log or reach it."""
     outbox = claims.outbox
-    claimed = any(each.key == key and rid != request_id for rid, each in outbox.claims.items())
-    withdrawn = any(each.key == key for each in outbox.withdrawn.values())
-    waiting = (claims.waits[rid] for rid in claims.waiting.get(key, ()) if rid != request_id)
-    return claimed or withdrawn or any(wait.sent for wait in waiting)
+    has_claim = any(each.key == key and rid != request_id for rid, each in outbox.claims.items())
+    has_withdrawal = any(each.key == key for each in outbox.withdrawn.values())
+    other_waits = (claims.waits[rid] for rid in claims.waiting.get(key, ()) if rid != request_id)
+    return has_claim or has_withdrawal or any(wait.sent for wait in other_waits)
 
 
 def is_log_slow(outbox: Outbox, options: Options, now: float) -> bool:
-    """Tell whether an append takes long or has failed, so that others are worth asking."""
-    return outbox.failures > 0 or _out_for(outbox, now) >= options.claim_vote_after_s
+    """Return whether an append takes long or has failed, so that members should be asked."""
+    return outbox.failures > 0 or _append_age_s(outbox, now) >= options.claim_vote_after_s
 
 
 def is_log_down(outbox: Outbox, options: Options, now: float) -> bool:
-    """Tell whether one more claim would only wait for nothing; a read that succeeds ends it."""
+    """Return whether the log is down; a successful read ends this state."""
     if outbox.failures >= options.claim_down_failures:
         return True
-    return _out_for(outbox, now) >= options.claim_down_s
+    return _append_age_s(outbox, now) >= options.claim_down_s
 
 
-def _out_for(outbox: Outbox, now: float) -> float:
+def _append_age_s(outbox: Outbox, now: float) -> float:
     if outbox.in_flight is None:
         return 0.0
-    # A pause of this process is no silence of the log: callers would be refused for nothing.
+    # Prevents a pause of this process from counting as an unresponsive log.
     return min(now - outbox.in_flight_at, outbox.out_s)
 
 
 def note_tick(outbox: Outbox, options: Options) -> None:
-    """Count how long an append has been out while this process ran."""
+    """Add one tick to the time that the append has been in flight."""
     outbox.out_s += options.tick_s
 
 
 def is_flushed(outbox: Outbox) -> bool:
-    """Tell whether there is nothing left to say."""
-    left = outbox.claims or outbox.withdrawn or outbox.ends or outbox.members is not None
-    said = not left
-    return said and outbox.in_flight is None
+    """Return whether nothing is left to write."""
+    queued = outbox.claims or outbox.withdrawn or outbox.ends or outbox.members is not None
+    is_empty = not queued
+    return is_empty and outbox.in_flight is None
 
 
 # --- appends ---------------------------------------------------------------------------------
 
 
 def flush(state: State, now: float) -> list[Effect]:
-    """Append what there is to say, if an append may be made now."""
+    """Append the queued entries if an append is allowed now."""
     outbox = state.claims.outbox
-    if outbox.in_flight is not None or now < outbox.retry_at or not _is_due(outbox, now):
+    if outbox.in_flight is not None or now < outbox.retry_at or not _is_append_due(outbox, now):
         return []
-    batch = _compose(state)
+    batch = _compose_batch(state)
     if _is_empty(batch) and not outbox.floor:
         outbox.carry = False
         outbox.quiet_due = None
         return []
     if not _take_token(state, now):
         return []
-    _note_sent(state, now, batch)
+    _record_sent(state, now, batch)
     token = str(batch.number)
     return [AppendRecords(CLAIMS_STREAM, token, (encode(batch),)), Count("claim.appends")]
 
 
-def _is_due(outbox: Outbox, now: float) -> bool:
-    quiet = outbox.quiet_due is not None and now >= outbox.quiet_due
-    wanted = outbox.carry or outbox.floor or outbox.join or outbox.members is not None
-    return bool(outbox.claims) or quiet or wanted
+def _is_append_due(outbox: Outbox, now: float) -> bool:
+    is_delay_over = outbox.quiet_due is not None and now >= outbox.quiet_due
+    is_requested = outbox.carry or outbox.floor or outbox.join or outbox.members is not None
+    return bool(outbox.claims) or is_delay_over or is_requested
 
 
 def writer_of(state: State) -> Writer:
-    """Name this process as the log knows it."""
+    """Return this process as a writer of the log."""
     return Writer(state.me.name, state.me.incarnation, state.me.peer_address)
 
 
-def _compose(state: State) -> Batch:
+def _compose_batch(state: State) -> Batch:
     claims = state.claims
     outbox = claims.outbox
     landed = outbox.landed.values()
     claimed = {each.request_id for batch in landed for each in batch.claims}
     withdrawn = {each.request_id for batch in landed for each in batch.withdrawn}
     ended = {each.request_id for batch in landed for each in batch.ends}
-    # An end means nothing before its claim has been read.
+    # An end has no effect before its claim has been read.
     ended |= set(outbox.claims)
     view = claims.ledger.views.current
-    tells_view = (outbox.carry or outbox.floor) and view is not None and view.members
+    includes_view = (outbox.carry or outbox.floor) and view is not None and view.members
     return Batch(
         writer=writer_of(state),
         number=outbox.number + 1,
@@ -165,25 +164,25 @@
         clocks=told_clocks(claims.ledger.clock),
         upto=claims.ledger.offset,
         floor=floor_of(claims.ledger),
-        carried=_carried(claims, state.options) if outbox.carry else (),
+        carried=_claims_to_carry(claims, state.options) if outbox.carry else (),
         withdrawn=tuple(each for rid, each in outbox.withdrawn.items() if rid not in withdrawn),
         ends=tuple(each for rid, each in outbox.ends.items() if rid not in ended),
         claims=_next_claims(claims, state.options, claimed),
         epoch=epoch_of(claims.ledger.views),
-        members=view.members if tells_view and view is not None else None,
+        members=view.members if includes_view and view is not None else None,
         join=outbox.join,
-        change=_change(claims),
+        change=_view_change(claims),
     )
 
 
 def _next_claims(claims: ClaimState, options: Options, claimed: set[str]) -> tuple[NewClaim, ...]:
-    """Pick claims for one record: first those that callers wait for."""
-    left = [(rid, each) for rid, each in claims.outbox.claims.items() if rid not in claimed]
-    left.sort(key=lambda item: item[0] not in claims.waits)
-    return tuple(each for _, each in left[: options.claim_batch_max])
+    """Return the claims for one record, starting with those that callers wait for."""
+    unsent = [(rid, each) for rid, each in claims.outbox.claims.items() if rid not in claimed]
+    unsent.sort(key=lambda item: item[0] not in claims.waits)
+    return tuple(each for _, each in unsent[: options.claim_batch_max])
 
 
-def _change(claims: ClaimState) -> ViewChange | None:
+def _view_change(claims: ClaimState) -> ViewChange | None:
     members = claims.outbox.members
     view = claims.ledger.views.current
     if members is None or view is None:
@@ -195,14 +194,14 @@
     return ViewChange(view.epoch, members, agreed, claims.outbox.replaces)
 
 
-def _carried(claims: ClaimState, options: Options) -> tuple[CarriedClaim, ...]:
+def _claims_to_carry(claims: ClaimState, options: Options) -> tuple[CarriedClaim, ...]:
     if not claims.ledger.whole:
         return ()
     oldest = islice(claims.ledger.claims.values(), options.claim_carry_max)
-    return tuple(_carry(each) for each in oldest)
+    return tuple(_to_carried_claim(each) for each in oldest)
 
 
-def _carry(claim: Claim) -> CarriedClaim:
+def _to_carried_claim(claim: Claim) -> CarriedClaim:
     return CarriedClaim(
         claim=claim.claim,
         holder=claim.holder,
@@ -214,16 +213,16 @@
 
 
 def _is_empty(batch: Batch) -> bool:
-    said = batch.carried or batch.withdrawn or batch.ends or batch.claims
-    return not (said or batch.members or batch.join or batch.change)
+    has_entries = batch.carried or batch.withdrawn or batch.ends or batch.claims
+    return not (has_entries or batch.members or batch.join or batch.change)
 
 
 def _take_token(state: State, now: float) -> bool:
     outbox = state.claims.outbox
     options = state.options
     tokens = options.claim_append_burst if outbox.tokens is None else outbox.tokens
-    share = options.claim_appends_s / max(1, len(live_instances(state, now)))
-    tokens += (now - outbox.tokens_at) * share
+    local_rate = options.claim_appends_s / max(1, len(live_instances(state, now)))
+    tokens += (now - outbox.tokens_at) * local_rate
     outbox.tokens = min(tokens, options.claim_append_burst)
     outbox.tokens_at = now
     if outbox.tokens < 1.0:
@@ -232,7 +231,7 @@
     return True
 
 
-def _note_sent(state: State, now: float, batch: Batch) -> None:
+def _record_sent(state: State, now: float, batch: Batch) -> None:
     outbox = state.claims.outbox
     outbox.in_flight = batch
     outbox.in_flight_at = now
@@ -245,7 +244,7 @@
     outbox.replaces = False
     outbox.quiet_due = None
     if len(batch.ends) < len(outbox.ends):
-        _note_quiet(outbox, state.options, now)
+        _schedule_append(outbox, state.options, now)
     if batch.change is not None:
         state.claims.sealed = batch.number
     for claim in batch.claims:
@@ -255,7 +254,7 @@
 
 
 def on_done(state: State, event: AppendDone) -> Batch | None:
-    """Note an append that took effect and give its record, unless it was read before."""
+    """Record a successful append; return its batch unless it was already read."""
     outbox = state.claims.outbox
     batch = outbox.in_flight
     if batch is None or event.token != str(batch.number):
@@ -269,9 +268,9 @@
 
 
 def give_up_late(state: State, now: float) -> list[Effect]:
-    """Take an append for failed of which nothing was heard for far too long.
+    """Treat an append as failed if it has not been answered within `claim_call_s`.
 
-    Its task may have ended by a fault of the program, and nothing would ever be appended again.
+    Prevents a task that ended by a bug from blocking all further appends.
     """
     outbox = state.claims.outbox
     batch = outbox.in_flight
@@ -282,42 +281,42 @@
 
 
 def on_failed(state: State, now: float, event: AppendFailed) -> list[Effect]:
-    """Read on after a failed append: its acknowledgement may be all that was lost."""
+    """Read the stream after a failed append, since only its acknowledgement may be lost."""
     outbox = state.claims.outbox
     batch = outbox.in_flight
     if batch is None or event.token != str(batch.number):
         return []
-    out_for = _out_for(outbox, now)
+    append_age_s = _append_age_s(outbox, now)
     outbox.in_flight = None
     outbox.failures += 1
-    if out_for >= state.options.claim_down_s:
+    if append_age_s >= state.options.claim_down_s:
         outbox.failures = max(outbox.failures, state.options.claim_down_failures)
-    pause = _pause(state.options, outbox.failures)
-    outbox.retry_at = now + pause * (0.5 + state.rng.random() / 2)
+    pause_s = _max_retry_pause_s(state.options, outbox.failures)
+    outbox.retry_at = now + pause_s * (0.5 + state.rng.random() / 2)
     if batch.withdrawn or batch.ends:
         outbox.quiet_due = outbox.retry_at
     return [Count("claim.append_failed"), *read_on(state, now)]
 
 
-def _pause(options: Options, failures: int) -> float:
-    """Give the longest pause after so many failures in a row."""
-    doubled = options.claim_retry_s * 2.0 ** min(failures - 1, 10)
-    return min(options.claim_retry_max_s, doubled)
+def _max_retry_pause_s(options: Options, failures: int) -> float:
+    """Return the maximum pause after a number of consecutive failures."""
+    doubled_s = options.claim_retry_s * 2.0 ** min(failures - 1, 10)
+    return min(options.claim_retry_max_s, doubled_s)
 
 
 def read_on(state: State, now: float) -> list[Effect]:
-    """Read the stream from where the ledger stands, one read at a time."""
+    """Read the stream from the ledger's offset, unless a read is in progress."""
     claims = state.claims
     claims.read_due = now + state.options.claim_read_s
-    since = claims.reading_since
-    if since is not None and now - since < state.options.claim_call_s:
+    reading_since = claims.reading_since
+    if reading_since is not None and now - reading_since < state.options.claim_call_s:
         return []
     claims.reading_since = now
     return [ReadLog(CLAIMS_STREAM, claims.ledger.offset)]
 
 
 def note_read_back(outbox: Outbox, batch: Batch, *, valid: bool) -> None:
-    """Strike out what an own record has said, or say it again if the record is void."""
+    """Remove the entries of a local record that was read back, unless the record is void."""
     outbox.landed.pop(batch.number, None)
     if not valid:
         return
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
@@ -1,7 +1,7 @@
-"""Messages between the instance that runs a call for a key and those whose callers sent it again.
+"""Messages between the instance that runs the call of a key and instances with repeated calls.
 
-The asking instance drives: it asks again until it is answered, so a lost message costs only time,
-and the instance that ran the call remembers who asked only to answer at once when the call ends.
+The asking instance repeats its question until it is answered, so a lost message only causes delay.
+The instance that runs the call stores the askers only to answer them as soon as the call ends.
 """
 
 from __future__ import annotations
@@ -19,47 +19,49 @@
 from turmericweir_core.state.claim_state import Asker, Wait
 from turmericweir_core.state.state import State
 
-# Headers are bytes by the protocol; this encoding maps each to one character and back.
-LATIN: Final = "latin-1"
+# Maps each byte of a header to one character and back.
+HEADER_ENCODING: Final = "latin-1"
 
 # --- the side that ran the call --------------------------------------------------------------
 
 
 def on_ask(state: State, sender: InstanceName, ask: ClaimAsk) -> list[Effect]:
-    """Tell what became of a request that was claimed here."""
+    """Answer what became of a request that was claimed here."""
     asker = Asker(sender, ask.address, ask.waiter)
-    kept = state.claims.answers.entries.get(ask.holder)
-    if kept is not None:
-        return [told_kept(state, asker, ask.holder, kept)]
+    kept_end = state.claims.answers.entries.get(ask.holder)
+    if kept_end is not None:
+        return [kept_message(state, asker, ask.holder, kept_end)]
     if RequestId(ask.holder) in state.requests:
         askers = state.claims.askers.setdefault(ask.holder, [])
         if asker not in askers:
             askers.append(asker)
-        return [_tell(asker, ClaimOpen(ask.waiter, ask.holder))]
+        return [_reply(asker, ClaimOpen(ask.waiter, ask.holder))]
     if ask.holder in state.claims.withdrawing:
-        # It never ran, and the asker will read so in the log. To be told that nothing is known of
-        # it would have its caller told that it may have run.
-        return [_tell(asker, ClaimOpen(ask.waiter, ask.holder))]
-    return [_tell(asker, ClaimUnheld(ask.waiter, ask.holder, state.claims.ledger.offset))]
+        # The request never ran, and the asker will read its withdrawal in the log. Prevents the
+        # asker from reporting to its caller that the call may have run.
+        return [_reply(asker, ClaimOpen(ask.waiter, ask.holder))]
+    return [_reply(asker, ClaimUnheld(ask.waiter, ask.holder, state.claims.ledger.offset))]
 
 
-def told_kept(state: State, asker: Asker, holder: str, kept: KeptEnd) -> Effect:
-    """Build the message that tells an asker how a call ended."""
-    answer = kept.answer
+def kept_message(state: State, asker: Asker, holder: str, kept_end: KeptEnd) -> Effect:
+    """Return the message that reports the end of a call to an asker."""
+    answer = kept_end.answer
     message = ClaimKept(
         waiter=asker.waiter,
         holder=holder,
-        outcome=kept.end.outcome.value,
-        reason=kept.end.reason.value,
-        status=kept.end.status,
+        outcome=kept_end.end.outcome.value,
+        reason=kept_end.end.reason.value,
+        status=kept_end.end.status,
         has_answer=answer is not None,
-        headers=[[_text(part) for part in each] for each in answer.headers] if answer else [],
+        headers=(
+            [[_decode_header(part) for part in each] for each in answer.headers] if answer else []
+        ),
         body=b64encode(answer.body).decode() if answer else "",
     )
-    return _tell(asker, message)
+    return _reply(asker, message)
 
 
-def _tell(asker: Asker, message: ClaimKept | ClaimOpen | ClaimUnheld) -> Effect:
+def _reply(asker: Asker, message: ClaimKept | ClaimOpen | ClaimUnheld) -> Effect:
     return SendPeer(asker.peer, asker.address, message)
 
 
@@ -69,7 +71,7 @@
 def ask_holder(
     state: State, now: float, wait: Wait, holder: str, peer: str, address: str
 ) -> list[Effect]:
-    """Ask the instance that holds the key, unless it was asked a moment ago."""
+    """Ask the instance that holds the key, unless the next question is not due yet."""
     if now < wait.ask_due:
         return []
     wait.ask_due = now + state.options.claim_ask_s
@@ -78,7 +80,7 @@
 
 
 def end_told(message: ClaimKept) -> KeptEnd | None:
-    """Read an end out of a message; None where it makes no sense to this release."""
+    """Return the end that a message reports, or None if this release does not know its values."""
     try:
         end = ClaimEnd(Outcome(message.outcome), Reason(message.reason), message.status)
     except ValueError:
@@ -87,7 +89,8 @@
         return KeptEnd(end, None)
     try:
         headers = tuple(
-            (name.encode(LATIN), value.encode(LATIN)) for name, value in message.headers
+            (name.encode(HEADER_ENCODING), value.encode(HEADER_ENCODING))
+            for name, value in message.headers
         )
         body = b64decode(message.body, validate=True)
     except ValueError:
@@ -95,5 +98,5 @@
     return KeptEnd(end, KeptAnswer(message.status, headers, body))
 
 
-def _text(part: bytes) -> str:
-    return part.decode(LATIN)
+def _decode_header(part: bytes) -> str:
+    return part.decode(HEADER_ENCODING)
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
@@ -1,23 +1,19 @@
-"""Claims that all members of the view agree to, while the log is out of reach.
-
-An instance whose claim the log does not take asks every member of its view, itself included. A
-member agrees to one request for a key, and only while it knows of no other that may hold the key:
-none in the ledger, none that it agreed to, and none of its own that may stand in the log or land
-there yet. If all agree the request runs, and its claim goes to the log once that is back.
-
-Why no second one runs: it would need the log or the same members. Only members of the newest view
-claim in the log. Each of them has agreed to the first, and so claims the key for nobody else. A
-newer view begins with a record by a member of this one, which brings what it agreed to and agrees
-to nothing more until it knows whether that record counts. So whoever joins later knows of the first
-by the record that lets it in. No clock takes part, and a member that is paused, cut off or dead
-agrees to nothing; what it agreed to before, all others have agreed to as well.
-
-Members remember what they agreed to until the log shows that very request as the holder, until the
-asking instance says that it never ran, or until a newer view, which brings all that counts. That
-another request holds the key in the log is no reason to forget: it may be withdrawn, and an
-agreement that was given may yet be counted.
-
-This is the members' side; `claim_ask` is that of the instance that asks.
+"""The members' side of claims by agreement, used while the log is unreachable.
+
+An instance that cannot append its claim asks every member of its view, including itself
+(`claim_ask`). A member agrees to one request per key, and only if no other request may hold the
+key: none in its ledger, none that it agreed to, and no local claim that may reach the log. If all
+members agree the request runs, and its claim is appended once the log is reachable.
+
+A second run would need the log or the agreement of the same members. Only members of the newest
+view claim in the log, and each of them has agreed to the first request. A new view starts with a
+record of a member that contains its agreements; the member then agrees to nothing until it knows
+whether the record counts. Later members learn of the first request from that record. Clocks are not
+involved.
+
+A member keeps an agreement until the log shows the same request as the holder, the asking instance
+reports that it never ran, or a newer view takes effect. It also keeps it if another request holds
+the key in the log, as that one may be withdrawn while the agreement is still counted.
 """
 
 from __future__ import annotations
@@ -37,16 +33,16 @@
 
 
 def known_holder(claims: ClaimState, options: Options, key: str, request_id: str) -> Claim | None:
-    """Find who holds a key by the log, or another request that this instance has agreed to."""
-    found = holder_of(claims.ledger, options, key)
+    """Return the holder of a key in the log, or another request that this instance agreed to."""
+    holder = holder_of(claims.ledger, options, key)
     vote = claims.votes.get(key)
-    if found is not None or vote is None or vote.claim.request_id == request_id:
-        return found
+    if holder is not None or vote is None or vote.claim.request_id == request_id:
+        return holder
     offset = claims.ledger.offset
-    return Claim(vote.claim, vote.holder, offset, offset, offset, _at_ms(vote))
+    return Claim(vote.claim, vote.holder, offset, offset, offset, _claimed_at_ms(vote))
 
 
-def _at_ms(vote: Vote) -> int:
+def _claimed_at_ms(vote: Vote) -> int:
     return time_of(vote.claim.request_id)
 
 
@@ -54,23 +50,23 @@
 
 
 def voting_view(state: State) -> View | None:
-    """Give the view under which this instance may agree to claims now, if there is any."""
+    """Return the view under which this instance may agree to claims now, or None."""
     claims = state.claims
     view = claims.ledger.views.current
     if not state.options.claim_votes or not claims.ledger.whole or view is None:
         return None
-    # What is agreed to after a change was composed is missing from it, and the change may count.
+    # Prevents agreements that are missing from a view change which may still take effect.
     if claims.sealed is not None or not is_member(view, writer_of(state)):
         return None
     return view
 
 
 def agree(state: State, claim: NewClaim, holder: Writer) -> bool:
-    """Agree to a claim, unless another request may hold its key."""
+    """Agree to a claim unless another request may hold its key; return whether it is agreed."""
     claims = state.claims
-    held = holder_of(claims.ledger, state.options, claim.key)
-    if held is not None:
-        return held.claim.request_id == claim.request_id and not held.unsure
+    current = holder_of(claims.ledger, state.options, claim.key)
+    if current is not None:
+        return current.claim.request_id == claim.request_id and not current.unsure
     vote = claims.votes.get(claim.key)
     if vote is not None:
         return vote.claim.request_id == claim.request_id
@@ -83,15 +79,15 @@
 
 
 def on_vote_ask(state: State, sender: InstanceName, ask: ClaimVoteAsk) -> list[Effect]:
-    """Answer an instance that asks for agreement."""
+    """Answer an instance that requests agreement to a claim."""
     view = voting_view(state)
     claim = NewClaim(ask.key, ask.fingerprint, ask.request_id)
     holder = Writer(sender, ask.incarnation, ask.address)
     may_agree = view is not None and view.epoch == ask.epoch and is_member(view, holder)
-    agreed = may_agree and agree(state, claim, holder)
+    is_agreed = may_agree and agree(state, claim, holder)
     other = known_holder(state.claims, state.options, ask.key, ask.request_id)
-    vote = ClaimVote(ask.epoch, ask.request_id, state.me.incarnation, agreed)
-    if not agreed and other is not None and other.claim.request_id != ask.request_id:
+    vote = ClaimVote(ask.epoch, ask.request_id, state.me.incarnation, is_agreed)
+    if not is_agreed and other is not None and other.claim.request_id != ask.request_id:
         vote = _refusal(state, vote, other)
     return [SendPeer(sender, ask.address, vote)]
 
@@ -112,7 +108,7 @@
 
 
 def on_release(state: State, message: ClaimRelease) -> None:
-    """Forget what was agreed to for a request that never ran."""
+    """Drop the agreement to a request that never ran."""
     vote = state.claims.votes.get(message.key)
     if vote is not None and vote.claim.request_id == message.request_id:
         del state.claims.votes[message.key]
@@ -120,7 +116,7 @@
 
 
 def release(state: State, request_id: RequestId, key: str) -> list[Effect]:
-    """Free the key at the members that agreed, as the request never ran and never will."""
+    """Release the key at the members that agreed to a request that will never run."""
     claims = state.claims
     vote = claims.votes.get(key)
     if vote is None or vote.claim.request_id != request_id:
@@ -138,11 +134,11 @@
     ]
 
 
-# --- what the log says -----------------------------------------------------------------------
+# --- records of the log ----------------------------------------------------------------------
 
 
 def note_folded(state: State, now: float, offset: int, folded: Folded) -> None:
-    """Let go of what the log has settled."""
+    """Drop the agreements that a record of the log has settled."""
     claims = state.claims
     for key in folded.touched:
         holder = holder_of(claims.ledger, state.options, key)
@@ -155,45 +151,47 @@
     for withdrawn in batch.withdrawn:
         on_release(state, ClaimRelease(withdrawn.key, withdrawn.request_id))
     if batch.writer.incarnation == state.me.incarnation and claims.sealed is not None:
-        # A record of this number or above makes any earlier one void that is still to land.
+        # A record with this or a higher number voids all earlier records that have not landed.
         claims.sealed = None if batch.number >= claims.sealed else claims.sealed
-    _note_view(state, now, offset, folded)
+    _apply_new_view(state, now, offset, folded)
 
 
-def _note_view(state: State, now: float, offset: int, folded: Folded) -> None:
+def _apply_new_view(state: State, now: float, offset: int, folded: Folded) -> None:
     claims = state.claims
     view = claims.ledger.views.current
     if view is None or view.epoch == claims.vote_epoch:
         return
     claims.vote_epoch = view.epoch
-    # All claims that were carried out under the view before are in the ledger by now.
+    # All claims that ran under the previous view are in the ledger now.
     claims.due.update(claims.votes, claims.waiting)
     claims.votes.clear()
     change = None if folded.batch is None else folded.batch.change
     if view.epoch != offset or change is None:
         return
     for agreed in change.agreed:
-        _disown(state, now, offset, agreed.claim, agreed.holder)
+        _withdraw_if_ended(state, now, offset, agreed.claim, agreed.holder)
 
 
-def _disown(state: State, now: float, offset: int, claim: NewClaim, holder: Writer) -> None:
-    """Withdraw an own claim that the change of view brought back after it had been released.
+def _withdraw_if_ended(
+    state: State, now: float, offset: int, claim: NewClaim, holder: Writer
+) -> None:
+    """Withdraw a local claim that a view change restored after its release.
 
-    It would hold its key with nobody to run it until the retention is over.
+    Prevents it from holding its key for the whole retention without a request that runs.
     """
     claims = state.claims
     entered = claims.ledger.claims.get(claim.key)
     if entered is None or entered.claimed_at != offset or entered.holder != holder:
         return
     request_id = RequestId(claim.request_id)
-    if holder.incarnation != state.me.incarnation or _is_in_hand(claims, request_id):
+    if holder.incarnation != state.me.incarnation or _is_pending(claims, request_id):
         return
     claims.withdrawing.add(request_id)
     put_withdrawal(claims.outbox, state.options, now, request_id, claim.key)
 
 
-def _is_in_hand(claims: ClaimState, request_id: RequestId) -> bool:
-    """Tell whether a request may yet run or has run: its claim stays here until it is read."""
+def _is_pending(claims: ClaimState, request_id: RequestId) -> bool:
+    """Return whether a request may still run, or its claim or end is still kept here."""
     return (
         request_id in claims.waits
         or request_id in claims.held
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
@@ -79,17 +79,17 @@
         return -1
     used = used_by_tier(server)
     tiers = sorted({*credit.slots, *used, tier}, reverse=True)
-    left_by_tier = [_slots_left(credit, used, slots, tier) for slots in tiers]
+    left_by_tier = [_slots_left(credit, used, each, tier) for each in tiers]
     if server.service.kind is Kind.MODEL:
         return sum(left_by_tier)
     # Sums the slots left from the least urgent tier up; the smallest sum limits the room.
     room = sum(
-        slots for slot_tier, slots in zip(tiers, left_by_tier, strict=True) if slot_tier >= tier
+        each for slot_tier, each in zip(tiers, left_by_tier, strict=True) if slot_tier >= tier
     )
     total = room
-    for slot_tier, slots in zip(tiers, left_by_tier, strict=True):
+    for slot_tier, each in zip(tiers, left_by_tier, strict=True):
         if slot_tier < tier:
-            total += slots
+            total += each
             room = min(room, total)
     return room
 
--- a/tests/core/claims/test_claim_ledger.py
+++ b/tests/core/claims/test_claim_ledger.py
@@ -1,7 +1,7 @@
-"""A reader that starts amid the stream never lacks a live claim once it takes itself for whole.
+"""Tests that a reader which starts within the stream knows all live claims once it is whole.
 
-Writers compose records from what they have read, which may be some way behind, and the records
-land late or out of their order. The truth is a ledger that has read everything from offset 0.
+Writers compose records from an earlier state of the stream, and the records land late or out of
+order. The true ledger has read everything from offset 0.
 """
 
 from __future__ import annotations
@@ -41,30 +41,30 @@
 
 @dataclass(slots=True)
 class Sending:
-    """What one writer has on its way."""
+    """The appends and claims of one writer."""
 
     number: int = 0
-    # Its append that is out, and those that it has given up.
+    # The append in flight, and earlier ones that the writer counts as failed.
     out: Batch | None = None
     late: list[Batch] = field(default_factory=list)
-    # Its claims so far: key and request id.
+    # Its claims, as pairs of key and request id.
     claimed: list[tuple[str, str]] = field(default_factory=list)
 
 
 @dataclass(slots=True)
 class Stream:
-    """The stream, its writers and the truth about it."""
+    """The stream, its writers and its true ledger."""
 
     records: list[Any] = field(default_factory=list)
     truth: Ledger = field(default_factory=Ledger)
-    # The truth at each offset, for writers that have read no further.
+    # The true ledger at each offset, for writers that have read up to there.
     history: list[Ledger] = field(default_factory=lambda: [Ledger()])
     writers: list[Sending] = field(default_factory=lambda: [Sending() for _ in WRITERS])
     now_ms: int = 1_000_000
     requests: int = 0
 
-    def compose(self, index: int, what: str, key: str, behind: int) -> None:
-        """Have a writer send a record; one that it was still waiting for, it gives up."""
+    def compose(self, index: int, kind: str, key: str, behind: int) -> None:
+        """Send a record of a writer; an append in flight counts as failed."""
         sending = self.writers[index]
         if sending.out is not None:
             sending.late.append(sending.out)
@@ -77,10 +77,10 @@
             clocks=told_clocks(ledger.clock),
             upto=ledger.offset,
             floor=floor_of(ledger),
-            carried=_carried(ledger) if what == "carry" else (),
-            withdrawn=self._withdrawn(sending) if what == "withdraw" else (),
-            ends=self._ended(sending, ledger) if what == "end" else (),
-            claims=self._claims(sending, key) if what == "claim" else (),
+            carried=_carried(ledger) if kind == "carry" else (),
+            withdrawn=self._withdrawn(sending) if kind == "withdraw" else (),
+            ends=self._ended(sending, ledger) if kind == "end" else (),
+            claims=self._claims(sending, key) if kind == "claim" else (),
         )
         sending.out = batch
 
@@ -91,8 +91,8 @@
         return (NewClaim(key, "f", request_id),)
 
     def _withdrawn(self, sending: Sending) -> tuple[Withdrawal, ...]:
-        taken, sending.claimed = sending.claimed, []
-        return tuple(Withdrawal(key, request_id) for key, request_id in taken)
+        claimed, sending.claimed = sending.claimed, []
+        return tuple(Withdrawal(key, request_id) for key, request_id in claimed)
 
     def _ended(self, sending: Sending, ledger: Ledger) -> tuple[EndRecord, ...]:
         held = [
@@ -105,7 +105,7 @@
         return tuple(EndRecord(key, request_id, OK) for key, request_id in held)
 
     def land(self, index: int, *, late: bool) -> None:
-        """Let a writer's record land."""
+        """Land a record of a writer."""
         sending = self.writers[index]
         if late and sending.late:
             self._append(sending.late.pop(0))
@@ -130,15 +130,15 @@
 Step = Callable[[Stream], None]
 
 
-def _compose(index: int, what: str, key: str, behind: int) -> Step:
-    return lambda stream: stream.compose(index, what, key, behind)
+def _compose(index: int, kind: str, key: str, behind: int) -> Step:
+    return lambda stream: stream.compose(index, kind, key, behind)
 
 
 def _land(index: int, late: bool) -> Step:
     return lambda stream: stream.land(index, late=late)
 
 
-def _pass(ms: int) -> Step:
+def _advance_time(ms: int) -> Step:
     def step(stream: Stream) -> None:
         stream.now_ms += ms
 
@@ -146,19 +146,21 @@
 
 
 WRITER: Final = st.integers(0, len(WRITERS) - 1)
-WHAT: Final = st.sampled_from(("claim", "claim", "withdraw", "end", "carry", "carry", "floor"))
+RECORD_KIND: Final = st.sampled_from(
+    ("claim", "claim", "withdraw", "end", "carry", "carry", "floor")
+)
 LAND: Final = st.builds(_land, WRITER, st.just(False))
 STEP: Final = st.one_of(
-    st.builds(_compose, WRITER, WHAT, st.sampled_from(KEYS), st.integers(0, 3)),
+    st.builds(_compose, WRITER, RECORD_KIND, st.sampled_from(KEYS), st.integers(0, 3)),
     LAND,
     LAND,
     st.builds(_land, WRITER, st.just(True)),
-    st.builds(_pass, st.sampled_from((1_000, 30_000))),
+    st.builds(_advance_time, st.sampled_from((1_000, 30_000))),
 )
 
 
 def check_late_reader(stream: Stream, start: int) -> None:
-    """Read from an offset on and compare with the truth wherever the reader is whole."""
+    """Read from an offset, and compare with the true ledger wherever the reader is whole."""
     ledger = Ledger()
     restart(ledger, start)
     for offset in range(start, len(stream.records)):
@@ -169,28 +171,28 @@
 
 
 def check_sure(ledger: Ledger, truth: Ledger) -> None:
-    """Check that whom a reader is sure of holds the key in truth, whole or not."""
+    """Check that every holder that a reader is sure of is the true holder."""
     for key in KEYS:
-        found = holder_of(ledger, OPTIONS, key)
+        holder = holder_of(ledger, OPTIONS, key)
         true_holder = holder_of(truth, OPTIONS, key)
-        if found is not None and not found.unsure and true_holder is not None:
-            assert found.claim == true_holder.claim
+        if holder is not None and not holder.unsure and true_holder is not None:
+            assert holder.claim == true_holder.claim
 
 
 def check_against(ledger: Ledger, truth: Ledger) -> None:
-    """Check that every key that is held in truth is blocked, and by whom where it is sure."""
+    """Check that a reader has a holder for every held key, and the true one if it is sure."""
     for key in KEYS:
         true_holder = holder_of(truth, OPTIONS, key)
         if true_holder is None:
             continue
-        found = holder_of(ledger, OPTIONS, key)
-        assert found is not None, f"{key} lacks {true_holder}"
-        assert found.unsure or found.claim == true_holder.claim
+        holder = holder_of(ledger, OPTIONS, key)
+        assert holder is not None, f"{key} lacks {true_holder}"
+        assert holder.unsure or holder.claim == true_holder.claim
 
 
 @settings(max_examples=400, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(st.lists(STEP, max_size=60))
-def test_reader_from_any_offset_lacks_no_live_claim(steps: list[Step]) -> None:
+def test_reader_from_any_offset_knows_all_live_claims(steps: list[Step]) -> None:
     stream = Stream()
     for step in steps:
         step(stream)
@@ -200,7 +202,7 @@
 
 @settings(max_examples=200, deadline=None, suppress_health_check=[HealthCheck.too_slow])
 @given(st.lists(STEP, max_size=60), st.integers(0, 20), st.integers(1, 20))
-def test_reader_that_missed_records_lacks_no_live_claim(
+def test_reader_that_missed_records_knows_all_live_claims(
     steps: list[Step], until: int, missed: int
 ) -> None:
     stream = Stream()
@@ -220,7 +222,7 @@
 
 @settings(max_examples=200, deadline=None)
 @given(st.lists(STEP, max_size=40))
-def test_records_survive_the_wire(steps: list[Step]) -> None:
+def test_records_survive_encoding(steps: list[Step]) -> None:
     stream = Stream()
     for step in steps:
         step(stream)
@@ -235,7 +237,7 @@
 
 @dataclass(slots=True)
 class Script:
-    """Records written by hand; the number of a writer's record is given with its name."""
+    """A stream of handwritten records; each record states its writer and number."""
 
     records: list[Any] = field(default_factory=list)
 
@@ -250,9 +252,9 @@
         withdraw: str = "",
         carry: str = "",
     ) -> None:
-        """Append a record about key a; `carry` names a claim of the first writer."""
-        new = (NewClaim("a", "f", claim),) if claim else ()
-        taken = (Withdrawal("a", withdraw),) if withdraw else ()
+        """Append a record for key a; `carry` is a claim of the first writer."""
+        claims = (NewClaim("a", "f", claim),) if claim else ()
+        withdrawn = (Withdrawal("a", withdraw),) if withdraw else ()
         carried = CarriedClaim(NewClaim("a", "f", carry), WRITERS[0], 0, 0, False, None)
         batch = Batch(
             writer=WRITERS[writer],
@@ -262,39 +264,39 @@
             upto=len(self.records) if upto is None else upto,
             floor=floor,
             carried=(carried,) if carry else (),
-            withdrawn=taken,
-            claims=new,
+            withdrawn=withdrawn,
+            claims=claims,
         )
         self.records.append(encode(batch))
 
     def read(self, ledger: Ledger, until: int | None = None) -> None:
-        """Let a reader go on reading."""
+        """Read the next records into a ledger."""
         for offset in range(ledger.offset, len(self.records) if until is None else until):
             fold(ledger, OPTIONS, offset, self.records[offset])
 
     def check_from(self, start: int) -> None:
-        """Compare a reader that starts there with the truth at the end; it must be whole."""
+        """Check that a reader that starts at an offset is whole and right at the end."""
         truth = Ledger()
         self.read(truth)
-        late = Ledger()
-        restart(late, start)
-        self.read(late)
-        assert late.whole
-        check_against(late, truth)
+        reader = Ledger()
+        restart(reader, start)
+        self.read(reader)
+        assert reader.whole
+        check_against(reader, truth)
 
 
 def holder(script: Script) -> str | None:
-    """Give the request that holds key a in truth."""
+    """Return the request that truly holds key a."""
     truth = Ledger()
     script.read(truth)
     found = holder_of(truth, OPTIONS, "a")
     return found.claim.request_id if found else None
 
 
-def sure_of(ledger: Ledger) -> str | None:
-    """Give the request of which a reader is sure that it holds key a."""
-    found = holder_of(ledger, OPTIONS, "a")
-    return found.claim.request_id if found is not None and not found.unsure else None
+def sure_holder_of_a(ledger: Ledger) -> str | None:
+    """Return the request that a reader is sure to hold key a."""
+    holder = holder_of(ledger, OPTIONS, "a")
+    return holder.claim.request_id if holder is not None and not holder.unsure else None
 
 
 def test_first_claim_holds_until_it_is_withdrawn() -> None:
@@ -322,7 +324,7 @@
     assert holder(script) is None
 
 
-def test_record_that_lands_far_too_late_is_void() -> None:
+def test_delayed_record_is_void() -> None:
     script = Script()
     for number in range(5):
         script.add(1, number + 1)
@@ -339,9 +341,8 @@
 
 
 def test_withdrawal_of_a_claim_that_never_held_frees_nothing() -> None:
-    """A late reader takes r2 for the holder, as it has not read r1. When r2 is withdrawn it must
-    not take the key for free: r3 has held it since r1 was withdrawn, and would run a second time.
-    """
+    """Prevents a late reader that has not read r1 from treating the key as free after r2 withdraws,
+    while r3 holds it."""
     script = Script()
     script.add(0, 1, claim="r1")
     script.add(1, 1, claim="r2")
@@ -352,9 +353,8 @@
     script.check_from(1)
 
 
-def test_floor_does_not_end_what_may_have_been_claimed_since() -> None:
-    """A late reader holds r2 for unsure. The floor is beyond r2, but r3 has claimed the key since,
-    in vain for all that this reader knows; in truth r3 holds it."""
+def test_floor_does_not_end_later_claims() -> None:
+    """Prevents a floor beyond the unsure claim r2 from freeing the key, while r3 holds it."""
     script = Script()
     script.add(0, 1, claim="r1")
     script.add(1, 1, claim="r2")
@@ -376,10 +376,8 @@
 
 
 def test_carried_claim_settles_a_key_before_the_reader_is_whole() -> None:
-    """The one record that carries r1 tells the floor of before it was carried, so a late reader is
-    not whole yet. It knows r1 for the holder all the same, and so knows r2 for its successor. Were
-    it unsure of either, callers would be told `unknown` there until the key is carried again, which
-    on a quiet stream takes up to `claim_carry_s`."""
+    """Prevents a late reader from staying unsure of r1 and its successor r2 until the next carry,
+    in which time callers would get `unknown`."""
     script = Script()
     script.add(0, 1, claim="r1")
     script.add(1, 1)
@@ -388,18 +386,17 @@
     restart(late, 1)
     script.read(late)
     assert floor_of(late) == NO_FLOOR
-    assert sure_of(late) == "r1"
+    assert sure_holder_of_a(late) == "r1"
 
     script.add(0, 2, floor=NO_FLOOR, withdraw="r1")
     script.add(1, 3, floor=2, claim="r2")
     script.read(late)
     assert late.whole
-    assert sure_of(late) == "r2"
+    assert sure_holder_of_a(late) == "r2"
 
 
 def test_carried_claim_composed_before_a_withdrawal_settles_nothing() -> None:
-    """A late reader without an entry reads a withdrawal and then a carried claim whose writer had
-    not read it. Were it sure of r1 it would take r2, which holds the key in truth, for a loser."""
+    """Prevents a late reader from being sure of the withdrawn r1 while r2 holds the key."""
     script = Script()
     script.add(0, 1, claim="r1")
     script.add(0, 2, withdraw="r1")
@@ -410,9 +407,8 @@
 
 
 def test_carried_claim_composed_before_the_start_settles_nothing() -> None:
-    """Its writer had not read what stands between there and the late reader's start: r1 was
-    withdrawn and r2 holds the key. Were the reader sure of r1, its callers would be given the
-    wrong request's end."""
+    """Prevents a late reader from being sure of r1, which was withdrawn between the offset that the
+    writer had read and the reader's start."""
     script = Script()
     script.add(0, 1, claim="r1")
     script.add(0, 2, withdraw="r1")
@@ -427,8 +423,8 @@
 
 
 def test_record_before_the_start_may_make_a_later_one_void() -> None:
-    """The record that makes r1 void stands before the start. A late reader that took r1 for the
-    holder would take the key for free once r1 is gone, while r2 holds it in truth."""
+    """Prevents a late reader from taking the void r1 for the holder, as it would then treat the key
+    of r2 as free."""
     script = Script()
     script.add(0, 2, withdraw="r1")
     script.add(1, 1, floor=1)
@@ -437,7 +433,7 @@
     script.check_from(1)
 
 
-def test_what_was_known_before_a_gap_is_no_longer_sure() -> None:
+def test_claims_before_a_gap_become_unsure() -> None:
     script = Script()
     script.add(0, 1, claim="r1")
     script.add(0, 2, withdraw="r1")
@@ -454,7 +450,7 @@
     check_against(reader, truth)
 
 
-def test_floor_below_the_start_makes_nobody_whole() -> None:
+def test_floor_below_the_start_makes_no_reader_whole() -> None:
     script = Script()
     script.add(0, 1, claim="r1")
     script.add(1, 1, floor=0)
--- a/tests/core/claims/test_claim_vote.py
+++ b/tests/core/claims/test_claim_vote.py
@@ -1,7 +1,7 @@
-"""Claims by agreement of all members, while the log is out of reach: the cases that could double.
+"""Tests of claims by agreement of all members while the log is unreachable.
 
-Random histories of the same are in `test_claims`; here each safeguard has the one order of events
-in which a key would run twice without it.
+Each test plays the order of events in which a key would run twice without one safeguard. Random
+histories are in `test_claims`.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 from msgspec.structs import replace
 
 from tests.core.claims.test_claims import VOTES, begin_outage, check_runs
-from tests.core.claims_world import Fate, Instance, World
+from tests.core.claims_world import Delivery, Instance, World
 from turmericweir_core.base.account import Outcome
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.reasons import Reason
@@ -19,8 +19,8 @@
 from turmericweir_core.messages.events import StopRequested
 
 
-def begin(options: Options = VOTES, *, known: bool = True) -> World:
-    """Make a world in which a view holds, and the log has just gone."""
+def world_in_outage(options: Options = VOTES, *, known: bool = True) -> World:
+    """Return a world with a view whose log has just failed."""
     world = World(options)
     for _ in range(3):
         world.start()
@@ -31,145 +31,142 @@
     return world
 
 
-def do(world: World, instance: Instance, kind: type[Effect], fate: Fate = Fate.DONE) -> None:
-    """Let all that an instance has sent of one kind meet its fate."""
+def perform_all_of(
+    world: World, instance: Instance, kind: type[Effect], delivery: Delivery = Delivery.DONE
+) -> None:
+    """Perform all pending effects of one kind of an instance."""
     for effect in [each for each in instance.pending if isinstance(each, kind)]:
-        world.perform(instance, instance.pending.index(effect), fate)
+        world.perform(instance, instance.pending.index(effect), delivery)
 
 
-def talk(world: World) -> None:
+def exchange_messages(world: World) -> None:
     """Deliver the messages between the instances, and the answers to them."""
     while any(isinstance(each, SendPeer) for it in world.instances for each in it.pending):
         for instance in world.instances:
             if not instance.paused:
-                do(world, instance, SendPeer)
+                perform_all_of(world, instance, SendPeer)
 
 
-def until(world: World, holds: Callable[[], bool]) -> None:
-    """Let everything work until something holds."""
+def run_until(world: World, condition: Callable[[], bool]) -> None:
+    """Run without failures until a condition holds."""
     for _ in range(100):
-        if holds():
+        if condition():
             return
         world.perform_all()
         world.tick(0.1)
-    raise AssertionError("it never came to hold")
+    raise AssertionError("the condition did not hold in time")
 
 
-def lose_all(world: World) -> None:
-    """Kill all instances at once and start as many new ones."""
+def replace_all(world: World) -> None:
+    """Replace all instances by new ones at once."""
     for _ in list(world.instances):
         world.kill(0)
 
 
 def member_names(instance: Instance) -> set[str]:
-    """List the members of the view that an instance knows."""
+    """Return the names of the members of an instance's view."""
     view = instance.state.claims.ledger.views.current
     return set() if view is None else {each.instance for each in view.members}
 
 
-def log_returns(world: World) -> None:
-    """Let the log work again and whatever was held up go through."""
+def restore_log(world: World) -> None:
+    """Restore the log and run without failures."""
     world.up = True
-    world.calm(4.0)
+    world.run_normally(4.0)
 
 
 def test_key_runs_in_an_outage_and_is_answered_by_all() -> None:
-    world = begin()
+    world = world_in_outage()
     first, second, third = world.instances
-    one = world.call(first, "k")
-    talk(world)
-    do(world, first, StartAttempt)
-    two, other = world.call(second, "k"), world.call(third, "k", body="other")
-    talk(world)
-    assert world.accounts[one].outcome is Outcome.COMPLETED
-    assert second.replays[two] == one.encode()
+    request_1 = world.call(first, "k")
+    exchange_messages(world)
+    perform_all_of(world, first, StartAttempt)
+    request_2, other = world.call(second, "k"), world.call(third, "k", body="other")
+    exchange_messages(world)
+    assert world.accounts[request_1].outcome is Outcome.COMPLETED
+    assert second.replays[request_2] == request_1.encode()
     assert world.accounts[other].reason is Reason.KEY_REUSED
     records = len(world.records)
-    log_returns(world)
+    restore_log(world)
     held = [claim for record in world.records[records:] for claim in record["claims"]]
-    assert [claim[2] for claim in held] == [one]
+    assert [claim[2] for claim in held] == [request_1]
     check_runs(world)
 
 
-def test_two_that_ask_at_once_run_one() -> None:
-    """Both callers get the answer of the one run: the request with the higher id makes way."""
-    world = begin()
+def test_two_simultaneous_calls_run_once() -> None:
+    """The request with the higher id yields, and both callers get the answer of one run."""
+    world = world_in_outage()
     first, second, _ = world.instances
-    two, one = world.call(second, "k"), world.call(first, "k")
-    until(world, lambda: one in world.accounts and two in world.accounts)
-    outcomes = {world.accounts[each].outcome for each in (one, two)}
+    request_2, request_1 = world.call(second, "k"), world.call(first, "k")
+    run_until(world, lambda: request_1 in world.accounts and request_2 in world.accounts)
+    outcomes = {world.accounts[each].outcome for each in (request_1, request_2)}
     assert outcomes == {Outcome.COMPLETED}
-    assert [run.request_id for run in world.runs] == [two]
+    assert [run.request_id for run in world.runs] == [request_2]
 
 
-def test_missing_member_has_callers_refused_at_once() -> None:
-    """A member is gone, so nobody can agree for it. The first caller is refused once that is seen,
-    and those after it at once, each with a time to come back; nothing runs."""
-    world = begin()
+def test_missing_member_causes_refusal() -> None:
+    """A missing member prevents agreement: calls are refused with a retry time and do not run."""
+    world = world_in_outage()
     first = world.instances[0]
     world.pause(2, paused=True)
-    one = world.call(first, "k")
-    until(world, lambda: one in world.accounts)
-    assert world.accounts[one].elapsed_s < 1.5
+    request_1 = world.call(first, "k")
+    run_until(world, lambda: request_1 in world.accounts)
+    assert world.accounts[request_1].elapsed_s < 1.5
     for instance in world.instances:
         instance.state.claims.outbox.failures = 2
-    two = world.call(first, "k2")
-    assert world.accounts[two].elapsed_s == 0.0
-    for each in (one, two):
+    request_2 = world.call(first, "k2")
+    assert world.accounts[request_2].elapsed_s == 0.0
+    for each in (request_1, request_2):
         assert world.accounts[each].reason is Reason.CLAIM_UNAVAILABLE
         assert world.accounts[each].retry_after_s
     assert not world.runs
 
 
-def test_claim_on_its_way_to_the_log_keeps_others_from_agreeing() -> None:
-    """The first instance's claim is on its way when the log goes, and lands after the outage. Had
-    it agreed to another's claim meanwhile, both would run."""
-    world = begin(known=False)
+def test_claim_on_its_way_to_the_log_prevents_agreement() -> None:
+    """Prevents a second run by agreement while the first claim is on its way to the log."""
+    world = world_in_outage(known=False)
     first, second, _ = world.instances
-    one = world.call(first, "k", deadline_s=60.0)
-    do(world, first, AppendRecords, Fate.LATE)
+    request_1 = world.call(first, "k", deadline_s=60.0)
+    perform_all_of(world, first, AppendRecords, Delivery.LATE)
     second.state.claims.outbox.failures = 1
-    two = world.call(second, "k", deadline_s=0.5)
+    request_2 = world.call(second, "k", deadline_s=0.5)
     for _ in range(10):
-        talk(world)
-        do(world, second, StartAttempt)
+        exchange_messages(world)
+        perform_all_of(world, second, StartAttempt)
         world.tick(0.1)
-    assert world.accounts[two].outcome is Outcome.NOT_RUN
+    assert world.accounts[request_2].outcome is Outcome.NOT_RUN
     world.up = True
     world.land_late(0)
-    world.calm(4.0)
-    assert [run.request_id for run in world.runs] == [one]
+    world.run_normally(4.0)
+    assert [run.request_id for run in world.runs] == [request_1]
 
 
-def test_new_view_brings_what_ran_without_the_log() -> None:
-    """All agreed to a call, and its instance is paused before it sends it. The log comes back, the
-    others put a new instance in its place, and the caller sends the key there. It must not run, as
-    the paused one goes on with its own run."""
-    world = begin()
+def test_new_view_includes_agreed_calls() -> None:
+    """Prevents a second run at a new instance after a member was paused with an agreed call."""
+    world = world_in_outage()
     first = world.instances[0]
-    one = world.call(first, "k", deadline_s=60.0)
-    talk(world)
+    request_1 = world.call(first, "k", deadline_s=60.0)
+    exchange_messages(world)
     (start,) = (each for each in first.pending if isinstance(each, StartAttempt))
     first.pending.remove(start)
     world.pause(0, paused=True)
     world.up = True
-    fresh = world.start()
-    until(world, lambda: member_names(fresh) == {"i1", "i2", "i3"})
-    two = world.call(fresh, "k", deadline_s=1.0)
+    new_instance = world.start()
+    run_until(world, lambda: member_names(new_instance) == {"i1", "i2", "i3"})
+    request_2 = world.call(new_instance, "k", deadline_s=1.0)
     world.pause(0, paused=True)
-    until(world, lambda: two in world.accounts)
-    assert world.accounts[two].outcome is Outcome.UNKNOWN
+    run_until(world, lambda: request_2 in world.accounts)
+    assert world.accounts[request_2].outcome is Outcome.UNKNOWN
     first.pending.append(start)
-    world.calm(4.0)
-    assert [run.request_id for run in world.runs] == [one]
+    world.run_normally(4.0)
+    assert [run.request_id for run in world.runs] == [request_1]
     check_runs(world)
 
 
-def test_nothing_is_agreed_to_while_a_new_view_may_come() -> None:
-    """A member has sent a new view, which lets a fourth instance in, and does not learn whether it
-    landed. What it agreed to now would be missing from that record: the new instance, which knows
-    nothing else, would run the key a second time."""
-    world = begin(known=False)
+def test_no_agreement_during_an_unconfirmed_view_change() -> None:
+    """Prevents agreements that are missing from an unconfirmed view change, as a new member would
+    not know them and run the key a second time."""
+    world = world_in_outage(known=False)
     first, second, _ = world.instances
     world.start()
     while not any(
@@ -181,59 +178,57 @@
         second.pending.clear()
         second.state.claims.outbox.in_flight = None
         world.tick(0.1)
-    do(world, second, AppendRecords, Fate.LATE)
+    perform_all_of(world, second, AppendRecords, Delivery.LATE)
     first.state.claims.outbox.failures = 1
-    one = world.call(first, "k", deadline_s=0.5)
+    request_1 = world.call(first, "k", deadline_s=0.5)
     for _ in range(10):
-        talk(world)
-        do(world, first, StartAttempt)
+        exchange_messages(world)
+        perform_all_of(world, first, StartAttempt)
         world.tick(0.1)
-    assert world.accounts[one].outcome is Outcome.NOT_RUN
+    assert world.accounts[request_1].outcome is Outcome.NOT_RUN
     assert not world.runs
 
 
-def test_late_claim_of_a_former_member_does_not_count() -> None:
-    """A member is paused while its claim is on its way, and left out of the view. In the next
-    outage the others agree to the same key of another caller; the late claim lands before theirs.
-    It must not count, or the paused one would run the key, too."""
-    world = begin(known=False)
+def test_delayed_claim_of_a_former_member_is_void() -> None:
+    """Prevents a second run by a removed member whose delayed claim lands before the claim that the
+    others agreed to."""
+    world = world_in_outage(known=False)
     first = world.instances[0]
     world.call(first, "k", deadline_s=600.0)
-    do(world, first, AppendRecords, Fate.LATE)
+    perform_all_of(world, first, AppendRecords, Delivery.LATE)
     (late,) = world.late
     world.late.clear()
     world.pause(0, paused=True)
     world.up = True
     others = world.instances[1:]
-    until(world, lambda: all(member_names(each) == {"i1", "i2"} for each in others))
+    run_until(world, lambda: all(member_names(each) == {"i1", "i2"} for each in others))
     world.up = False
     for each in others:
         each.state.claims.outbox.failures = 1
-    two = world.call(others[0], "k")
-    talk(world)
-    do(world, others[0], StartAttempt)
-    assert world.accounts[two].outcome is Outcome.COMPLETED
+    request_2 = world.call(others[0], "k")
+    exchange_messages(world)
+    perform_all_of(world, others[0], StartAttempt)
+    assert world.accounts[request_2].outcome is Outcome.COMPLETED
     world.land(late)
-    world.calm(4.0)
-    assert [run.request_id for run in world.runs] == [two]
+    world.run_normally(4.0)
+    assert [run.request_id for run in world.runs] == [request_2]
 
 
-def test_agreement_outlasts_another_holder_that_withdraws() -> None:
-    """The third instance agrees to the first's claim and then reads in the log that the second
-    holds the key and has withdrawn. It must go on to claim the key for nobody else: the second's
-    agreement may still come, and the first then runs the call by both."""
+def test_agreement_is_kept_when_another_holder_withdraws() -> None:
+    """Prevents the third instance from dropping its agreement when another holder of the key
+    withdraws, as the first can still run with the agreement of the second."""
     world = World(replace(VOTES, claim_vote_wait_s=60.0))
     first, second, third = (world.start() for _ in range(3))
-    world.calm(2.0)
+    world.run_normally(2.0)
     blocker = world.call(second, "k", deadline_s=0.3)
     first.state.claims.outbox.failures = 1
-    one = world.call(first, "k", deadline_s=60.0)
+    request_1 = world.call(first, "k", deadline_s=60.0)
     asks = {each.peer: each for each in first.pending if isinstance(each, SendPeer)}
-    world.perform(first, first.pending.index(asks[third.state.me.name]), Fate.DONE)
-    do(world, third, SendPeer)
-    do(world, second, AppendRecords)
+    world.perform(first, first.pending.index(asks[third.state.me.name]), Delivery.DONE)
+    perform_all_of(world, third, SendPeer)
+    perform_all_of(world, second, AppendRecords)
     while blocker not in world.accounts:
-        do(world, second, StartAttempt, Fate.FAILED)
+        perform_all_of(world, second, StartAttempt, Delivery.FAILED)
         world.tick(0.1)
     for _ in range(8):
         world.tick(0.1)
@@ -242,153 +237,148 @@
     assert world.accounts[blocker].outcome is Outcome.NOT_RUN
     world.call(third, "k", deadline_s=60.0)
     world.work_on(third)
-    talk(world)
-    do(world, first, StartAttempt)
-    world.calm(4.0)
+    exchange_messages(world)
+    perform_all_of(world, first, StartAttempt)
+    world.run_normally(4.0)
     assert [run.key for run in world.runs] == ["k"]
-    assert world.accounts[one].outcome is Outcome.COMPLETED
+    assert world.accounts[request_1].outcome is Outcome.COMPLETED
 
 
-def test_a_claim_on_its_way_does_not_make_way() -> None:
-    """Two callers' claims of one key are on their way to the log when it goes. If the second made
-    way for the first in talks, the first would run; then the second's claim lands, and it runs."""
-    world = begin(known=False)
+def test_claim_on_its_way_does_not_yield() -> None:
+    """Prevents a claim that is on its way to the log from yielding to another, as it can still land
+    and run."""
+    world = world_in_outage(known=False)
     first, second, _ = world.instances
     calls = [world.call(each, "k", deadline_s=60.0) for each in (first, second)]
     for each in (first, second):
-        do(world, each, AppendRecords, Fate.LATE)
+        perform_all_of(world, each, AppendRecords, Delivery.LATE)
     for _ in range(5):
-        talk(world)
-        do(world, first, StartAttempt)
+        exchange_messages(world)
+        perform_all_of(world, first, StartAttempt)
         world.tick(0.1)
     world.up = True
     world.land_late(1)
-    world.calm(4.0)
+    world.run_normally(4.0)
     assert {world.accounts[each].outcome for each in calls} == {Outcome.COMPLETED}
     assert [run.request_id for run in world.runs] == [calls[1]]
 
 
-def test_members_of_a_newer_view_agree_to_nothing_under_the_older() -> None:
-    """The first instance is paused for a while, in which the others let a fourth in, which runs the
-    key. The others have not read that yet when the first asks them, and only the older view in its
-    question tells them that their agreement is not enough."""
-    world = begin(replace(VOTES, claim_view_quiet_s=600.0), known=False)
+def test_no_agreement_under_an_older_view() -> None:
+    """Prevents agreement with an instance that asks under an older view, as a newer member may have
+    run the key."""
+    world = world_in_outage(replace(VOTES, claim_view_quiet_s=600.0), known=False)
     first, second, third = world.instances
     world.pause(0, paused=True)
     world.up = True
-    fresh = world.start()
-    until(world, lambda: all(len(member_names(each)) == 4 for each in (second, third, fresh)))
-    two = world.call(fresh, "k")
-    world.work_on(fresh)
-    assert world.accounts[two].outcome is Outcome.COMPLETED
+    new_instance = world.start()
+    run_until(
+        world, lambda: all(len(member_names(each)) == 4 for each in (second, third, new_instance))
+    )
+    request_2 = world.call(new_instance, "k")
+    world.work_on(new_instance)
+    assert world.accounts[request_2].outcome is Outcome.COMPLETED
     world.pause(0, paused=False)
     world.up = False
     first.state.claims.outbox.failures = 1
     world.tick(0.0)
-    one = world.call(first, "k", deadline_s=0.5)
+    request_1 = world.call(first, "k", deadline_s=0.5)
     for _ in range(10):
-        talk(world)
-        do(world, first, StartAttempt)
+        exchange_messages(world)
+        perform_all_of(world, first, StartAttempt)
         world.tick(0.1)
-    assert world.accounts[one].outcome is not Outcome.COMPLETED
-    assert [run.request_id for run in world.runs] == [two]
+    assert world.accounts[request_1].outcome is not Outcome.COMPLETED
+    assert [run.request_id for run in world.runs] == [request_2]
 
 
-def test_operator_vouches_for_the_end_of_a_view() -> None:
-    """All instances are lost at once. Nobody knows what they agreed to, so new ones refuse all keys
-    until an operator names the view as ended; then a new one begins, and keys run once again."""
-    world = begin()
-    lose_all(world)
+def test_operator_declares_a_view_ended() -> None:
+    """After the loss of all members, keys are refused until an operator declares the view ended."""
+    world = world_in_outage()
+    replace_all(world)
     world.up = True
-    world.calm(2.0)
-    one = world.call(world.instances[0], "k", deadline_s=1.0)
-    world.calm(2.0)
-    assert world.accounts[one].reason is Reason.CLAIM_UNAVAILABLE
+    world.run_normally(2.0)
+    request_1 = world.call(world.instances[0], "k", deadline_s=1.0)
+    world.run_normally(2.0)
+    assert world.accounts[request_1].reason is Reason.CLAIM_UNAVAILABLE
     view = world.truth.views.current
     assert view is not None
     for instance in world.instances:
         instance.state.options = replace(VOTES, claim_replace_epoch=view.epoch)
-    until(world, lambda: len(member_names(world.instances[0])) == 3)
+    run_until(world, lambda: len(member_names(world.instances[0])) == 3)
     calls = [world.call(each, "k") for each in world.instances]
-    world.calm(2.0)
+    world.run_normally(2.0)
     assert {world.accounts[each].outcome for each in calls} == {Outcome.COMPLETED}
     assert len(world.runs) == 1
 
 
-def test_no_silence_frees_the_keys_of_a_lost_view() -> None:
-    """A call runs by agreement in an outage, and all instances are lost before the log has it. New
-    ones find a log that works and members that say nothing for hours. The caller, who never got an
-    answer, sends the key again. It must not run: the log looks just as if it had never run, so
-    there is no wait below the retention after which new instances may begin by themselves."""
-    world = begin()
+def test_keys_of_a_lost_view_stay_refused() -> None:
+    """Prevents new instances from running a key again, however long the lost members of the view
+    are unresponsive, as the lost members may have run it by agreement."""
+    world = world_in_outage()
     first = world.instances[0]
     world.call(first, "k")
-    talk(world)
-    do(world, first, StartAttempt, Fate.UNACKNOWLEDGED)
-    lose_all(world)
+    exchange_messages(world)
+    perform_all_of(world, first, StartAttempt, Delivery.UNACKNOWLEDGED)
+    replace_all(world)
     world.up = True
     world.late.clear()
     for _ in range(24):
-        world.calm(1.0)
+        world.run_normally(1.0)
         world.tick(600.0)
     again = world.call(world.instances[0], "k", deadline_s=1.0)
-    world.calm(2.0)
+    world.run_normally(2.0)
     assert world.accounts[again].reason is Reason.CLAIM_UNAVAILABLE
     assert len(world.runs) == 1
 
 
-def test_last_instance_that_stops_leaves_an_empty_view() -> None:
-    """All instances stop in order, and others start later. They claim at once: nothing can have run
-    by agreement of those that have left."""
-    world = begin()
+def test_last_instance_to_stop_leaves_an_empty_view() -> None:
+    """After an orderly stop of all instances, new instances can claim at once."""
+    world = world_in_outage()
     world.up = True
     for instance in world.instances:
         world.handle(instance, StopRequested())
-    until(
+    run_until(
         world,
         lambda: world.truth.views.current is not None and not world.truth.views.current.members,
     )
     world.instances.clear()
-    fresh = world.start()
-    world.calm(1.0)
-    one = world.call(fresh, "k")
+    new_instance = world.start()
+    world.run_normally(1.0)
+    request_1 = world.call(new_instance, "k")
     world.perform_all()
-    assert world.accounts[one].outcome is Outcome.COMPLETED
+    assert world.accounts[request_1].outcome is Outcome.COMPLETED
 
 
-def test_first_view_waits_until_nobody_comes_any_more() -> None:
-    """Instances start one after the other. The first two would soon make a view of themselves, and
-    are cut off; the third's caller is refused then, though the log works, as members alone may
-    claim. Before there is a view everybody may, so it is made when nobody new has come."""
+def test_first_view_waits_for_stable_membership() -> None:
+    """Prevents a first view of two instances while a third starts, which could not claim if the
+    members became unreachable."""
     world = World(replace(VOTES, claim_view_met_s=1.0, claim_view_first_s=4.0))
     for _ in range(2):
         world.start()
         for _ in range(8):
             world.perform_all()
             world.tick(0.1)
-    fresh = world.start()
+    new_instance = world.start()
     for index in range(2):
         world.pause(index, paused=True)
-    one = world.call(fresh, "k")
-    until(world, lambda: one in world.accounts)
-    assert world.accounts[one].outcome is Outcome.COMPLETED
-    world.calm(2.0)
+    request_1 = world.call(new_instance, "k")
+    run_until(world, lambda: request_1 in world.accounts)
+    assert world.accounts[request_1].outcome is Outcome.COMPLETED
+    world.run_normally(2.0)
     assert [member_names(each) for each in world.instances] == [{"i0", "i1", "i2"}] * 3
 
 
-def test_only_member_lets_all_others_in_at_once() -> None:
-    """An instance is alone in the view when others start. It is cut off from the log and from them
-    a moment after it has heard of them. Had it waited for a lot that is drawn among all, none of
-    the others would be a member, and their callers' keys refused until it is back."""
+def test_single_member_adds_all_others_at_once() -> None:
+    """Prevents a single member from waiting for its lot among all instances before it adds them to
+    the view, as it could become unreachable first."""
     world = World(replace(VOTES, claim_lot=0.2))
     world.start()
-    world.calm(5.0)
+    world.run_normally(5.0)
     assert member_names(world.instances[0]) == {"i0"}
-    fresh = [world.start() for _ in range(3)]
+    new_instance = [world.start() for _ in range(3)]
     for _ in range(3):
         world.tick(0.1)
         world.perform_all()
     world.pause(0, paused=True)
-    calls = [world.call(each, f"k{index}") for index, each in enumerate(fresh)]
-    until(world, lambda: all(each in world.accounts for each in calls))
+    calls = [world.call(each, f"k{index}") for index, each in enumerate(new_instance)]
+    run_until(world, lambda: all(each in world.accounts for each in calls))
     assert {world.accounts[each].outcome for each in calls} == {Outcome.COMPLETED}
--- a/tests/core/claims_world.py
+++ b/tests/core/claims_world.py
@@ -1,9 +1,8 @@
-"""A small world for the tests of claims: instances, a log, peers and a service, all in memory.
+"""An in-memory world for the tests of claims: instances, a log, peers and a service.
 
-Every effect that leaves an instance waits in the world until the test says what becomes of it: it
-is done, lost, done with its answer lost, or done late. The world records every run of the service,
-which is what the promises are judged by, and it folds the whole log itself, from offset 0 and
-whatever the log has let go of since: the truth that the instances' ledgers are compared with.
+Effects of an instance are pending until the test performs, loses or delays them. The world records
+every run of the service. It also folds the whole log from offset 0, including expired records, as
+the true ledger that the instances' ledgers are compared with.
 """
 
 from __future__ import annotations
@@ -59,19 +58,19 @@
 TARGET: Final = Target("shop")
 SERVER: Final = ServerEntry(ServerName("shop-0"), "shop", "dc", "10.0.0.9:1")
 SLOTS: Final = 1000
-# The wall clock at the start, milliseconds.
+# The wall clock time at the start.
 EPOCH_MS: Final = 1_700_000_000_000
 
 
-class Fate(Enum):
-    """What becomes of something that an instance sent."""
+class Delivery(Enum):
+    """The result of an effect that an instance sent."""
 
     DONE = "done"
-    # Nothing reached the other side, and the instance is told.
+    # It did not reach its receiver, and the instance is notified.
     FAILED = "failed"
-    # It took effect, but the instance is told that it may not have.
+    # It took effect, but the instance is notified that it may have failed.
     UNACKNOWLEDGED = "unacknowledged"
-    # The instance is told that it may have failed; it takes effect at some later time.
+    # The instance is notified that it may have failed, and it takes effect later.
     LATE = "late"
 
 
@@ -85,11 +84,11 @@
     # Accounts by request.
     accounts: dict[str, Account] = field(default_factory=dict)
     replays: dict[str, bytes] = field(default_factory=dict)
-    # A paused process takes what came meanwhile when it goes on.
+    # A paused process handles the events of its inbox when it resumes.
     paused: bool = False
     inbox: list[Event] = field(default_factory=list)
-    # It hears the heartbeats of the others.
-    hears: bool = True
+    # Whether it sends and receives heartbeats.
+    has_heartbeats: bool = True
 
 
 @dataclass(frozen=True, slots=True)
@@ -102,17 +101,17 @@
 
 @dataclass(slots=True)
 class World:
-    """Everything."""
+    """The instances, the log and the service, with the time and all pending messages."""
 
     options: Options
     now: float = 0.0
     up: bool = True
-    # The log: all records ever, of which those before `oldest` are no longer served.
+    # All records of the log; those before `oldest` have expired.
     records: list[Any] = field(default_factory=list)
     oldest: int = 0
-    # Appends that were given up by their writers and are still on their way.
+    # Records of appends that their writers count as failed and that have not landed yet.
     late: list[Any] = field(default_factory=list)
-    # Messages between instances that are still on their way, or will come a second time.
+    # Delayed or duplicated messages between instances.
     delayed: list[tuple[InstanceName, SendPeer]] = field(default_factory=list)
     truth: Ledger = field(default_factory=Ledger)
     instances: list[Instance] = field(default_factory=list)
@@ -125,7 +124,7 @@
     # --- instances ---
 
     def start(self) -> Instance:
-        """Start one more instance."""
+        """Start another instance."""
         name = f"i{self.started}"
         self.started += 1
         identity = Identity(
@@ -152,7 +151,7 @@
         return instance
 
     def kill(self, index: int) -> None:
-        """Replace an instance by a new one; what it had sent may still take effect."""
+        """Replace an instance by a new one; its pending appends may still land."""
         gone = self.instances.pop(index)
         for effect in gone.pending:
             if isinstance(effect, AppendRecords):
@@ -160,7 +159,7 @@
         self.start()
 
     def handle(self, instance: Instance, event: Event) -> None:
-        """Give an event to an instance and keep what it wants done."""
+        """Pass an event to an instance and store its effects."""
         if instance.paused:
             instance.inbox.append(event)
             return
@@ -179,27 +178,31 @@
                     pass
 
     def tick(self, seconds: float) -> None:
-        """Let time pass for everybody."""
+        """Advance the time and tick all running instances."""
         self.now += seconds
         for instance in list(self.instances):
             if instance.paused:
                 continue
-            self._meet(instance)
+            self._update_members(instance)
             self.handle(instance, Tick())
 
-    def _meet(self, instance: Instance) -> None:
-        """Let an instance hear the heartbeats of those that run."""
+    def _update_members(self, instance: Instance) -> None:
+        """Update an instance's members from the heartbeats of the running instances."""
         members = instance.state.members
         for other in self.instances:
             me = other.state.me
-            if other is instance or other.paused or not (instance.hears and other.hears):
+            if (
+                other is instance
+                or other.paused
+                or not (instance.has_heartbeats and other.has_heartbeats)
+            ):
                 continue
             heard = Member(me.name, "dc", me.peer_address, "home", me.incarnation, 1, self.now)
             heard.leaving = other.state.stopping_since is not None
             members.by_name[me.name] = heard
 
     def pause(self, index: int, paused: bool) -> None:
-        """Stop a process, or let it go on."""
+        """Pause or resume a process."""
         instance = self.instances[index]
         instance.paused = paused
         if not paused:
@@ -212,7 +215,7 @@
     def call(
         self, instance: Instance, key: str | None, body: str = "b", deadline_s: float = 5.0
     ) -> RequestId:
-        """Have a caller send a call that must not be repeated."""
+        """Send a call that must not be repeated to an instance."""
         self.arrived += 1
         clock = EPOCH_MS + int(self.now * 1000)
         request_id = RequestId(f"{clock:012x}-{self.arrived}")
@@ -233,51 +236,51 @@
         self.handle(instance, RequestArrived(req))
         return request_id
 
-    # --- what leaves the instances ---
+    # --- effects of the instances ---
 
-    def perform(self, instance: Instance, index: int, fate: Fate) -> None:
-        """Decide what becomes of one pending effect."""
+    def perform(self, instance: Instance, index: int, delivery: Delivery) -> None:
+        """Perform one pending effect with the given result."""
         effect = instance.pending.pop(index)
         match effect:
             case AppendRecords():
-                self._append(instance, effect, fate)
+                self._append(instance, effect, delivery)
             case ReadLog():
-                self._read(instance, effect, fate)
+                self._read(instance, effect, delivery)
             case SendPeer():
-                self._send(instance, effect, fate)
+                self._send(instance, effect, delivery)
             case StartAttempt():
-                self._run(instance, effect, fate)
+                self._run(instance, effect, delivery)
             case _:
                 pass
 
-    def _append(self, instance: Instance, effect: AppendRecords, fate: Fate) -> None:
+    def _append(self, instance: Instance, effect: AppendRecords, delivery: Delivery) -> None:
         stream, token = effect.stream, effect.token
-        if fate is Fate.LATE:
+        if delivery is Delivery.LATE:
             self.late += effect.records
-        if fate in (Fate.LATE, Fate.FAILED) or not self.up:
-            maybe = fate is not Fate.FAILED
+        if delivery in (Delivery.LATE, Delivery.FAILED) or not self.up:
+            maybe = delivery is not Delivery.FAILED
             self.handle(instance, AppendFailed(stream, token, "lost", maybe))
             return
         first = len(self.records)
         for record in effect.records:
             self.land(record)
-        if fate is Fate.UNACKNOWLEDGED:
+        if delivery is Delivery.UNACKNOWLEDGED:
             self.handle(instance, AppendFailed(stream, token, "no answer", maybe=True))
         else:
             self.handle(instance, AppendDone(stream, token, first, len(self.records)))
 
     def land(self, record: Any) -> None:
-        """Put a record into the log."""
+        """Append a record to the log."""
         fold(self.truth, self.options, len(self.records), record)
         self.records.append(record)
 
     def land_late(self, index: int) -> None:
-        """Let an append take effect whose writer has given it up."""
+        """Land a delayed append that its writer counts as failed."""
         if self.late:
             self.land(self.late.pop(index % len(self.late)))
 
-    def _read(self, instance: Instance, effect: ReadLog, fate: Fate) -> None:
-        if fate is not Fate.DONE or not self.up:
+    def _read(self, instance: Instance, effect: ReadLog, delivery: Delivery) -> None:
+        if delivery is not Delivery.DONE or not self.up:
             self.handle(instance, LogFailed(effect.stream, "lost"))
             return
         end = len(self.records)
@@ -288,19 +291,19 @@
         records = tuple(LogRecord(offset, value) for offset, value in found)
         self.handle(instance, LogRead(effect.stream, records, end))
 
-    def _send(self, instance: Instance, effect: SendPeer, fate: Fate) -> None:
+    def _send(self, instance: Instance, effect: SendPeer, delivery: Delivery) -> None:
         me = instance.state.me.name
-        if fate in (Fate.LATE, Fate.UNACKNOWLEDGED):
-            # The stream broke, and what was sent comes later, or once more.
+        if delivery in (Delivery.LATE, Delivery.UNACKNOWLEDGED):
+            # The stream broke; the message arrives later or a second time.
             self.delayed.append((me, effect))
         peer = self._find(effect.peer)
-        if peer is not None and fate in (Fate.DONE, Fate.UNACKNOWLEDGED):
+        if peer is not None and delivery in (Delivery.DONE, Delivery.UNACKNOWLEDGED):
             self.handle(peer, PeerReceived(me, effect.message))
-        if peer is None or fate is not Fate.DONE:
+        if peer is None or delivery is not Delivery.DONE:
             self.handle(instance, PeerUnreachable(effect.peer, "broken"))
 
     def deliver_late(self, index: int) -> None:
-        """Let a message come that was on its way for long."""
+        """Deliver a delayed message."""
         if not self.delayed:
             return
         sender, effect = self.delayed.pop(index % len(self.delayed))
@@ -314,19 +317,19 @@
                 return instance
         return None
 
-    def _run(self, instance: Instance, effect: StartAttempt, fate: Fate) -> None:
+    def _run(self, instance: Instance, effect: StartAttempt, delivery: Delivery) -> None:
         request_id, attempt_id = effect.request_id, effect.attempt_id
-        if fate is Fate.FAILED:
+        if delivery is Delivery.FAILED:
             self.handle(instance, AttemptEnded(request_id, attempt_id, EndUnsent("refused")))
             return
         self.handle(instance, AttemptSent(request_id, attempt_id))
-        if fate is Fate.LATE:
+        if delivery is Delivery.LATE:
             end = EndRefused(503, leaving=False)
             self.handle(instance, AttemptEnded(request_id, attempt_id, end))
             return
         key = self.requests[request_id].idempotency_key or request_id
         self.runs.append(Run(request_id, key))
-        if fate is Fate.UNACKNOWLEDGED:
+        if delivery is Delivery.UNACKNOWLEDGED:
             broken = EndBroken("reset", server_alive=True)
             self.handle(instance, AttemptEnded(request_id, attempt_id, broken))
             return
@@ -334,8 +337,8 @@
         complete = EndComplete(200, answer)
         self.handle(instance, AttemptEnded(request_id, attempt_id, complete))
 
-    def let_go(self) -> None:
-        """Have the log let go of what it may by the rule for operators: no live claim of it."""
+    def expire_records(self) -> None:
+        """Expire the records before the oldest live claim, as operators are allowed to."""
         kept = [
             claim.kept_at
             for key, claim in self.truth.claims.items()
@@ -343,11 +346,11 @@
         ]
         self.oldest = max(self.oldest, min(kept, default=len(self.records)))
 
-    def calm(self, seconds: float = 20.0, step_s: float = 0.1) -> None:
-        """Let everything work for a while."""
+    def run_normally(self, seconds: float = 20.0, step_s: float = 0.1) -> None:
+        """Run without failures for some time."""
         self.up = True
         for index, instance in enumerate(self.instances):
-            instance.hears = True
+            instance.has_heartbeats = True
             if instance.paused:
                 self.pause(index, False)
         until = self.now + seconds
@@ -357,19 +360,19 @@
         self.perform_all()
 
     def work(self, count: int) -> None:
-        """Do so many of the oldest things that are pending, of each instance in turn."""
+        """Perform a number of the oldest pending effects of each instance."""
         for number in range(count * len(self.instances)):
             instance = self.instances[number % len(self.instances)]
             if instance.pending and not instance.paused:
-                self.perform(instance, 0, Fate.DONE)
+                self.perform(instance, 0, Delivery.DONE)
 
     def work_on(self, instance: Instance) -> None:
-        """Do all that one instance has pending, and what follows from it."""
+        """Perform all pending effects of one instance and the effects that follow."""
         while instance.pending and not instance.paused:
-            self.perform(instance, 0, Fate.DONE)
+            self.perform(instance, 0, Delivery.DONE)
 
     def perform_all(self) -> None:
-        """Do everything that is pending, and what follows from it."""
+        """Perform all pending effects and the effects that follow."""
         busy = True
         while busy:
             busy = False
@@ -378,4 +381,4 @@
                 self.work_on(instance)
 
 
-__all__ = ["CLAIMS_STREAM", "Fate", "Instance", "Run", "World"]
+__all__ = ["CLAIMS_STREAM", "Delivery", "Instance", "Run", "World"]
