--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -1,18 +1,17 @@
-"""Requests that crash servers: who is suspected, who is refused, and how all instances know.
+"""Quarantine of requests that crash servers.
 
-Every request that was in flight on a server at its crash is a suspect, by its fingerprint. Suspects
-are run again only one at a time on a server (`trial`), so that the next crash names one of them:
-a fingerprint that was in flight at two crashes, the latter with no other such fingerprint, is
-refused for a limited time, whoever sends it again through whichever instance. Innocent suspects
-complete in their trials and are cleared.
+Every request in flight on a server at its crash is a suspect, identified by its fingerprint.
+Suspects run again only one at a time on a server (`trial`), so a second crash identifies the cause:
+a fingerprint in flight at two crashes, and the only such one at the later crash, is refused for
+`quarantine_s` on all instances. Other suspects complete their isolated runs and are cleared.
 
-A crash is a connection that broke on a server that then refuses new connections, or shows a new
-incarnation. A server that is seen alive later in the same incarnation did not crash: the record is
-retracted, and so is any verdict that rests on it.
+A crash is a broken connection to a server that then refuses new connections or reports a new
+incarnation. If the server is later seen alive with the same incarnation, the record and all
+verdicts that depend on it are retracted.
 
-Crash records are sets that only grow, so instances merge them in any order and come to the same
-verdicts. Who learns something first tells everyone in the region, twice; a newcomer, and now and
-then everyone, asks a peer for what it missed.
+Crash records only grow, so instances can merge them in any order and reach the same verdicts. An
+instance sends each update twice to its region. Instances also ask a random peer for missed records,
+once they have started and periodically.
 """
 
 from __future__ import annotations
@@ -32,49 +31,49 @@
 from turmericweir_core.state.quarantine_state import Break, Crash, CrashKey, Evidence, crash_key
 from turmericweir_core.state.server_table import note_unreachable
 from turmericweir_core.trust.crash_records import (
-    SENDINGS,
-    clear_late,
-    kept_as,
+    SENDS_PER_UPDATE,
+    existing_key,
     merge_record,
-    recount,
+    update_counts,
+    withdraw_late_sightings,
 )
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Crashes at which a fingerprint is refused.
-_CONVICTING: Final = 2
+# Number of crashes after which a fingerprint is refused.
+_CRASHES_FOR_REFUSAL: Final = 2
 _RESEND_S: Final = 1.0
 # A server that restarts fast answers a new connection before its report shows a new incarnation.
 _BREAK_KEEP_S: Final = 10.0
-# A report that was on its way when the server crashed is no sign of life.
-_REPORT_ON_WAY_S: Final = 1.0
-# Nor is one of those that come later than usual, as on a busy machine, proof that it did not crash.
-_REPORT_LATE_S: Final = 2.5
+# A report that was sent before the crash can arrive this late.
+_REPORT_DELAY_S: Final = 1.0
+# The same on a busy machine.
+_REPORT_DELAY_MAX_S: Final = 2.5
 
 
 # --- questions of other reducers -------------------------------------------------------------
 
 
 def refused_for(state: State, now: float, fingerprint: str) -> float | None:
-    """Give the time for which a fingerprint is still refused, or None where it is not."""
+    """Return the remaining time for which a fingerprint is refused, or None."""
     until = state.quarantine.refused.get(fingerprint)
     return None if until is None or now >= until else until - now
 
 
 def is_suspect(state: State, fingerprint: str) -> bool:
-    """Tell whether a fingerprint was in flight at a crash and may only run on trial."""
+    """Return whether a fingerprint was in flight at a crash and may only run isolated."""
     return fingerprint in state.quarantine.counts
 
 
 def crash_count(state: State, fingerprint: str) -> int:
-    """Count the crashes at which a fingerprint was in flight."""
+    """Return the number of crashes at which a fingerprint was in flight."""
     return state.quarantine.counts.get(fingerprint, 0)
 
 
 def awaits_verdict(state: State, fingerprint: str) -> bool:
-    """Tell whether a verdict on a fingerprint is about to be given."""
-    if crash_count(state, fingerprint) < _CONVICTING:
+    """Return whether a verdict on a fingerprint is pending."""
+    if crash_count(state, fingerprint) < _CRASHES_FOR_REFUSAL:
         return False
     crashes = state.quarantine.crashes.values()
     return any(not each.judged and fingerprint in each.guilty() for each in crashes)
@@ -84,111 +83,107 @@
 
 
 def note_broken(state: State, now: float, req: Request, attempt: Attempt, alive: bool) -> None:
-    """Take a connection that broke after the request had been sent."""
-    if not req.fingerprint or _is_harmless(state, attempt):
+    """Record a connection that broke after the request was sent."""
+    if not req.fingerprint or _has_streamed_long(state, attempt):
         return
     if alive:
-        # No sign of a crash, unless the next report is of another incarnation.
-        _keep_break(state, now, req, attempt, silent=False)
+        # No evidence of a crash, unless the next report has another incarnation.
+        _record_break(state, now, req, attempt, silent=False)
         return
     key = crash_key(attempt.server, attempt.incarnation, attempt.attempt_id)
-    _note_seen(state, now, key, now, req.fingerprint, attempt.started)
+    _record_sighting(state, now, key, now, req.fingerprint, attempt.started)
 
 
-def _is_harmless(state: State, attempt: Attempt) -> bool:
-    """Tell whether an answer had been coming for too long to have crashed its server.
+def _has_streamed_long(state: State, attempt: Attempt) -> bool:
+    """Return whether an answer had been streaming for too long to be the cause of a crash.
 
-    Failure without it: an engine dies with twenty streams that have run for a second or more. All
-    are suspects, wait for a server of their own one after the other, and their callers, who see no
-    event, leave after two seconds, though other engines could have gone on at once. So it is where
-    the way to a server is cut, which is no crash at all.
+    Prevents all long-running streams of a crashed engine from waiting for isolated runs.
     """
     first, last = attempt.first_token_at, attempt.last_token_at
     return first is not None and last is not None and last - first >= state.options.harmless_s
 
 
 def note_silent(state: State, now: float, req: Request, attempt: Attempt) -> None:
-    """Take a connection that was given up for its silence.
+    """Record a connection that was given up as unresponsive.
 
-    Failure: a server crashes behind a network that swallows its last words. Its connection does not
-    break, so the request that crashed it counts as merely unlucky and goes on to the next server.
-    Whether the server restarted shows in its next report, as after any break.
+    The next report shows whether the server restarted. Prevents a crash from being missed if the
+    network drops the end of the connection.
     """
     if req.fingerprint:
-        _keep_break(state, now, req, attempt, silent=True)
+        _record_break(state, now, req, attempt, silent=True)
 
 
-def _keep_break(state: State, now: float, req: Request, attempt: Attempt, *, silent: bool) -> None:
-    broken = Break(now, attempt.incarnation, req.fingerprint, attempt.started, silent)
-    state.quarantine.breaks.setdefault(attempt.server, []).append(broken)
+def _record_break(
+    state: State, now: float, req: Request, attempt: Attempt, *, silent: bool
+) -> None:
+    connection_break = Break(now, attempt.incarnation, req.fingerprint, attempt.started, silent)
+    state.quarantine.breaks.setdefault(attempt.server, []).append(connection_break)
 
 
 def may_have_crashed(state: State, now: float, req: Request) -> bool:
-    """Tell whether word is awaited if the server crashed on which a model request just broke.
+    """Return whether a model request has just broken on a server that may have crashed.
 
-    Failure: a server crashes and is back before anyone has tried a new connection, and all that was
-    in flight there goes on together on the next one before a report shows the new life. That one
-    crashes as well, and each of them was in flight at two crashes. A plain call is not held: its
-    target is shorter than the wait.
+    Prevents all requests of a server that restarted quickly from moving together to the next server
+    before a report shows the crash. Plain calls do not wait, as their target is shorter.
     """
     if req.kind is not Kind.MODEL:
         return False
-    doubt_s = state.options.crash_doubt_s
+    wait_s = state.options.crash_doubt_s
     return any(
-        each.fingerprint == req.fingerprint and not each.silent and now - each.at < doubt_s
+        each.fingerprint == req.fingerprint and not each.silent and now - each.at < wait_s
         for breaks in state.quarantine.breaks.values()
         for each in breaks
     )
 
 
 def note_progress(state: State, attempt: Attempt) -> None:
-    """Take tokens over a connection that is older than a break: the server did not crash then.
+    """Drop the breaks that tokens over an older connection to the server disprove.
 
-    A break is noted after a new connection was tried, which takes up to a second. A younger attempt
-    may have begun in the life after, and its tokens prove nothing.
+    A break is recorded up to a second late, so an attempt that started later than that may already
+    run on the restarted server and proves nothing.
     """
     breaks = state.quarantine.breaks.get(attempt.server)
     if breaks:
         proven_s = state.options.crash_doubt_s
-        kept = [each for each in breaks if each.at - attempt.started <= proven_s]
-        state.quarantine.breaks[attempt.server] = kept
+        remaining = [each for each in breaks if each.at - attempt.started <= proven_s]
+        state.quarantine.breaks[attempt.server] = remaining
 
 
-def _note_seen(
-    state: State, now: float, key: CrashKey, at: float, fingerprint: str, started: float
+def _record_sighting(
+    state: State, now: float, key: CrashKey, crashed_at: float, fingerprint: str, started_at: float
 ) -> None:
     """Record that a request of this instance was in flight at a crash."""
-    seen = Evidence(suspects=frozenset({Sighting(fingerprint, state.me.name)}))
-    merge_record(state, now, key, at, seen)
-    crash = state.quarantine.crashes[kept_as(state.quarantine, key, at)]
-    # Of two copies the earlier one counts: it may have been in flight.
-    earlier = crash.own_started.get(fingerprint, started)
-    crash.own_started[fingerprint] = min(earlier, started)
-    clear_late(state, now)
+    evidence = Evidence(suspects=frozenset({Sighting(fingerprint, state.me.name)}))
+    merge_record(state, now, key, crashed_at, evidence)
+    crash = state.quarantine.crashes[existing_key(state.quarantine, key, crashed_at)]
+    # Uses the earlier of two copies, as that one may have been in flight.
+    earlier = crash.own_started.get(fingerprint, started_at)
+    crash.own_started[fingerprint] = min(earlier, started_at)
+    withdraw_late_sightings(state, now)
 
 
 def note_report(state: State, now: float, report: ServerReport) -> None:
-    """Compare a server's incarnation with what broke there and with the crashes known."""
+    """Compare a reported incarnation with the broken connections and the recorded crashes."""
     quarantine = state.quarantine
     for broken in quarantine.breaks.pop(report.server, ()):
         if now - broken.at > _BREAK_KEEP_S:
             continue
         if broken.incarnation and broken.incarnation != report.incarnation:
             key = CrashKey(report.server, broken.incarnation)
-            _note_seen(state, now, key, broken.at, broken.fingerprint, broken.started)
-        elif now - broken.at < _REPORT_LATE_S:
+            _record_sighting(state, now, key, broken.at, broken.fingerprint, broken.started)
+        elif now - broken.at < _REPORT_DELAY_MAX_S:
             quarantine.breaks.setdefault(report.server, []).append(broken)
     key = CrashKey(report.server, report.incarnation)
     crash = quarantine.crashes.get(key)
-    if crash is not None and now - crash.at > _REPORT_ON_WAY_S:
+    if crash is not None and now - crash.at > _REPORT_DELAY_S:
         merge_record(state, now, key, crash.at, Evidence(retracted=True))
 
 
 def note_cleared(state: State, now: float, fingerprint: str) -> None:
-    """Clear a suspect that has completed, or has come past where it was at the crash."""
+    """Clear a suspect that has completed or got further than at the crash."""
     for server, breaks in state.quarantine.breaks.items():
-        kept = [each for each in breaks if each.fingerprint != fingerprint]
-        state.quarantine.breaks[server] = kept
+        remaining = [each for each in breaks if each.fingerprint != fingerprint]
+        state.quarantine.breaks[server] = remaining
     if not is_suspect(state, fingerprint):
         return
     for key, crash in state.quarantine.crashes.items():
@@ -200,7 +195,7 @@
 
 
 def judge(state: State, now: float) -> list[Effect]:
-    """Refuse the fingerprints that the crashes known by now convict."""
+    """Give the pending verdicts: refuse fingerprints, or retract earlier verdicts."""
     effects: list[Effect] = []
     for key, crash in state.quarantine.crashes.items():
         if crash.judged or now - crash.changed_at < state.options.verdict_wait_s:
@@ -213,33 +208,33 @@
 def _judge_crash(state: State, now: float, key: CrashKey, crash: Crash) -> list[Effect]:
     quarantine = state.quarantine
     if crash.retracted:
-        _pardon(state, crash)
+        _withdraw_verdicts(state, crash)
         return [Log("crash_retracted", {"peer": key.server, "incarnation": key.incarnation})]
-    convicted = [each for each in crash.guilty() if crash_count(state, each) >= _CONVICTING]
-    # Two that were both in flight at two crashes: one of them is innocent, and only a trial of
-    # each alone can tell which.
-    if len(convicted) != 1 or convicted[0] in quarantine.refused:
+    causes = [each for each in crash.guilty() if crash_count(state, each) >= _CRASHES_FOR_REFUSAL]
+    # If two fingerprints were in flight at two crashes, only their isolated runs can tell which one
+    # is the cause.
+    if len(causes) != 1 or causes[0] in quarantine.refused:
         return []
-    fingerprint = convicted[0]
+    fingerprint = causes[0]
     quarantine.refused[fingerprint] = crash.at + state.options.quarantine_s
     quarantine.look_through = True
     return [Log("quarantined", {"fingerprint": fingerprint, "peer": key.server})]
 
 
-def _pardon(state: State, crash: Crash) -> None:
-    """Take back the verdicts that rested on a crash which was none."""
+def _withdraw_verdicts(state: State, crash: Crash) -> None:
+    """Withdraw the verdicts that depend on a retracted crash."""
     for fingerprint in {each.fingerprint for each in crash.suspects}:
-        if crash_count(state, fingerprint) < _CONVICTING:
+        if crash_count(state, fingerprint) < _CRASHES_FOR_REFUSAL:
             state.quarantine.refused.pop(fingerprint, None)
 
 
-# --- time ------------------------------------------------------------------------------------
+# --- timers ----------------------------------------------------------------------------------
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Forget what is old, tell others the news, give the verdicts that are due."""
+    """Expire old records, give pending verdicts, and exchange records with other instances."""
     _expire(state, now)
-    return [*judge(state, now), *_tell(state, now), *_ask_peer(state, now)]
+    return [*judge(state, now), *_send_updates(state, now), *_request_records(state, now)]
 
 
 def _expire(state: State, now: float) -> None:
@@ -261,26 +256,26 @@
         if now >= until:
             del quarantine.barred[fingerprint]
     if quarantine.counts:
-        recount(quarantine, now, state.options.suspect_keep_s)
+        update_counts(quarantine, now, state.options.suspect_keep_s)
 
 
-def _tell(state: State, now: float) -> list[Effect]:
-    """Send the news to all of the region; a second time in case a stream broke with the first."""
+def _send_updates(state: State, now: float) -> list[Effect]:
+    """Send changed records to the region, a second time in case the first message was lost."""
     quarantine = state.quarantine
-    fresh = any(times == SENDINGS for times in quarantine.unsent.values())
-    if not quarantine.unsent or (not fresh and now < quarantine.resend_due):
+    has_new = any(sends_left == SENDS_PER_UPDATE for sends_left in quarantine.unsent.values())
+    if not quarantine.unsent or (not has_new and now < quarantine.resend_due):
         return []
     quarantine.resend_due = now + _RESEND_S
     keys = [key for key in quarantine.unsent if key in quarantine.crashes]
-    for key, times in list(quarantine.unsent.items()):
-        if times > 1:
-            quarantine.unsent[key] = times - 1
+    for key, sends_left in list(quarantine.unsent.items()):
+        if sends_left > 1:
+            quarantine.unsent[key] = sends_left - 1
         else:
             del quarantine.unsent[key]
-    news = CrashNews(_records(state, now, keys))
+    update = CrashNews(_records(state, now, keys))
     peers = membership.region_instances(state, now)
     me = state.me.name
-    return [SendPeer(each.name, each.peer_address, news) for each in peers if each.name != me]
+    return [SendPeer(each.name, each.peer_address, update) for each in peers if each.name != me]
 
 
 def _records(state: State, now: float, keys: Iterable[CrashKey]) -> list[CrashRecord]:
@@ -300,8 +295,8 @@
     )
 
 
-def _ask_peer(state: State, now: float) -> list[Effect]:
-    """Ask a random peer for what this instance missed; a newcomer does so as soon as it has one."""
+def _request_records(state: State, now: float) -> list[Effect]:
+    """Ask a random peer for missed records, as soon as there is one and then periodically."""
     quarantine = state.quarantine
     if now < quarantine.ask_due:
         return []
@@ -333,23 +328,23 @@
 
 
 def on_asked(state: State, now: float, sender: InstanceName, ask: CrashesAsk) -> list[Effect]:
-    """Send all crashes to a peer that does not know the same ones."""
+    """Send all crash records to a peer whose records differ."""
     if ask.crashes_hash == _crashes_hash(state) or not state.quarantine.crashes:
         return []
     peer = membership.member(state, sender)
     if peer is None:
         return []
-    news = CrashNews(_records(state, now, state.quarantine.crashes))
-    return [SendPeer(sender, peer.peer_address, news)]
+    update = CrashNews(_records(state, now, state.quarantine.crashes))
+    return [SendPeer(sender, peer.peer_address, update)]
 
 
 def on_news(state: State, now: float, news: CrashNews) -> list[Effect]:
-    """Merge what another instance knows; it has told everyone else itself."""
+    """Merge the crash records of another instance, without sending them on."""
     for record in news.crashes:
         if record.age_s > state.options.quarantine_s:
             continue
         key = CrashKey(ServerName(record.server), record.incarnation)
-        at = now - max(0.0, record.age_s)
+        crashed_at = now - max(0.0, record.age_s)
         evidence = Evidence(
             frozenset(record.suspects),
             frozenset(record.late),
@@ -357,17 +352,17 @@
             record.retracted,
         )
         if not record.retracted:
-            _leave_alone(state, now, key.server, at)
-        merge_record(state, now, key, at, evidence, tell=False)
-    clear_late(state, now)
+            _avoid_crashed_server(state, now, key.server, crashed_at)
+        merge_record(state, now, key, crashed_at, evidence, send_on=False)
+    withdraw_late_sightings(state, now)
     return []
 
 
-def _leave_alone(state: State, now: float, name: ServerName, crashed_at: float) -> None:
-    """Give a server that others saw crash no new work before it has had time to come back.
+def _avoid_crashed_server(state: State, now: float, name: ServerName, crashed_at: float) -> None:
+    """Avoid a server whose crash was reported by others until it can have restarted.
 
-    Failure: behind something that takes connections for a server that is down, each instance would
-    lose a request there before it finds out for itself, and be blamed for the next crash.
+    Prevents each instance from losing a request there when a proxy accepts connections for a server
+    that is down.
     """
     server = state.servers.by_name.get(name)
     if server is None or server.report_at > crashed_at:
--- a/packages/turmericweir-core/turmericweir_core/trust/retry.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/retry.py
@@ -1,13 +1,12 @@
-"""The budget that bounds retries to a fraction of first attempts.
+"""The retry budget, which limits retries to a fraction of first attempts.
 
-Without it, a slow cluster gets more load the slower it becomes: every timeout adds an attempt. With
-it, retries add at most `retry_share` to the load, however many requests fail at once.
+Prevents retries from adding more than `retry_share` to the load of a slow cluster, however many
+requests fail at once.
 
-There are two forms. A token bucket is this instance's own affair. A window (`retry_window_s`) keeps
-a bound that holds for the sum over all instances, for each target by itself: in any such window an
-instance makes no more retries than its share of its own first attempts and its part of the burst.
-The part is that of the largest number of instances seen lately, so that two halves which lose sight
-of each other do not both take the whole burst.
+There are two forms. A token bucket limits the retries of this instance. A window (`retry_window_s`)
+limits the retries of all instances together, per target: in any window an instance makes at most
+its share of its own first attempts plus its part of the burst. The part is computed from the
+largest recent number of instances, so a network partition does not double the burst.
 """
 
 from __future__ import annotations
@@ -24,45 +23,45 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# First attempts and retries are counted by this time; the window is longer by one of them.
+# Resolution of the counters; retries count for one bucket longer than the window.
 _BUCKET_S: Final = 0.25
-# A process that has just started knows nobody; it takes the part of so many instances so long.
+# A process that has just started assumes this number of instances for this time.
 _START_INSTANCES: Final = 16
 _START_S: Final = 5.0
-# How long the largest number of instances is remembered: longer than two halves stay parted with
-# requests of one of them still counted in the other's window.
+# How long the largest number of instances is used. Prevents a partition from raising the burst
+# while requests from before it still count in the window.
 _PEAK_KEEP_S: Final = 60.0
-# Between two looks at how many instances live.
-_LOOK_S: Final = 0.5
+# Interval between counts of the live instances.
+_INSTANCES_CHECK_S: Final = 0.5
 
 
 def earn_retry(state: State, now: float, req: Request) -> None:
-    """Count a first attempt, which pays for a fraction of a retry."""
+    """Count a first attempt, which adds a fraction of a retry to the budget."""
     budget, options = state.retries, state.options
     if options.retry_window_s:
         _bucket(budget, now, req.target).firsts += 1
         return
-    earned = _tokens(budget, options) + options.retry_share
-    budget.tokens = min(options.retry_burst, earned)
+    tokens = _tokens_left(budget, options) + options.retry_share
+    budget.tokens = min(options.retry_burst, tokens)
 
 
 def may_retry(state: State, now: float, req: Request) -> bool:
-    """Tell whether a retry could be taken now, without taking it."""
+    """Return whether the budget allows a retry now, without taking it."""
     return left(state, now, req.target) >= 1.0
 
 
 def left(state: State, now: float, target: Target) -> float:
-    """Give the retries that are left for a target now."""
+    """Return the number of retries that are left for a target now."""
     budget, options = state.retries, state.options
     if not options.retry_window_s:
-        return _tokens(budget, options)
-    firsts, retries = _counts(budget, options, now, target)
-    burst = options.retry_burst / _instances(budget, now)
+        return _tokens_left(budget, options)
+    firsts, retries = _window_counts(budget, options, now, target)
+    burst = options.retry_burst / _sharing_instances(budget, now)
     return options.retry_use_share * (options.retry_share * firsts + burst) - retries
 
 
 def spend_retry(state: State, now: float, req: Request) -> bool:
-    """Take one retry from the budget; False means that there is none to take."""
+    """Take one retry from the budget; return False if none is left."""
     budget, options = state.retries, state.options
     if not may_retry(state, now, req):
         budget.refused += 1
@@ -70,16 +69,16 @@
     if options.retry_window_s:
         _bucket(budget, now, req.target).retries += 1
     else:
-        budget.tokens = _tokens(budget, options) - 1.0
+        budget.tokens = _tokens_left(budget, options) - 1.0
     return True
 
 
 def on_tick(state: State, now: float) -> None:
-    """Follow how many instances share the burst."""
+    """Update the number of instances that share the burst."""
     budget = state.retries
     if not state.options.retry_window_s or now < budget.look_due:
         return
-    budget.look_due = now + _LOOK_S
+    budget.look_due = now + _INSTANCES_CHECK_S
     if budget.started_at is None:
         budget.started_at = now
     live = len(membership.live_instances(state, now))
@@ -88,11 +87,11 @@
         budget.peak_at = now
 
 
-def _tokens(budget: RetryBudget, options: Options) -> float:
+def _tokens_left(budget: RetryBudget, options: Options) -> float:
     return options.retry_burst if budget.tokens is None else budget.tokens
 
 
-def _instances(budget: RetryBudget, now: float) -> int:
+def _sharing_instances(budget: RetryBudget, now: float) -> int:
     if budget.started_at is None or now - budget.started_at < _START_S:
         return max(budget.peak, _START_INSTANCES)
     return budget.peak
@@ -105,8 +104,10 @@
     return window[-1]
 
 
-def _counts(budget: RetryBudget, options: Options, now: float, target: Target) -> tuple[int, int]:
-    """Count first attempts and retries in the newest window; a retry counts a bucket longer."""
+def _window_counts(
+    budget: RetryBudget, options: Options, now: float, target: Target
+) -> tuple[int, int]:
+    """Return the first attempts and retries in the window; retries count a bucket longer."""
     window = budget.windows.get(target)
     if window is None:
         return 0, 0
--- a/tests/core/fault_world.py
+++ b/tests/core/fault_world.py
@@ -1,9 +1,8 @@
-"""Instances before servers that crash, in one process and on one clock, for tests of faults.
+"""An in-memory world for tests of faults: instances and servers that crash, on one clock.
 
-Effects are carried out by hand. Messages between instances arrive in the next moment unless the
-test drops them. A server runs what it is sent: it makes a token for each attempt in every moment,
-and crashes when it comes to the first token of a request that is poisoned. Tests judge by what the
-servers ran and by what the callers were told.
+Messages between instances arrive at the next tick unless the test drops or delays them. A server
+generates one token per attempt and tick, and crashes at the first token of a poisoned request.
+Tests check the runs of the servers and the accounts of the requests.
 """
 
 from __future__ import annotations
@@ -53,20 +52,20 @@
 CLASS: Final = ServiceClass("quick", 0, target_s=0.5, deadline_s=60.0)
 DATA_CENTRE: Final = "klein-a"
 REGION: Final = "khomas"
-# A server that crashed is back after this time.
+# Time after which a crashed server is up again.
 DOWN_S: Final = 1.0
-# A probe that is not answered for so long is given up for the next one.
+# Time after which an unanswered probe is replaced by the next one.
 PROBE_S: Final = 0.5
 
 
 @dataclass(slots=True)
 class Run:
-    """An attempt as the server sees it."""
+    """An attempt that a server runs."""
 
     instance: InstanceName
     start: StartAttempt
     fingerprint: str
-    began: float
+    started_at: float
     tokens: int = 0
 
 
@@ -75,20 +74,20 @@
     """One backend server."""
 
     life: int = 1
-    # Until then its reports show the life before.
+    # Until then its reports show the incarnation before the crash.
     life_hidden_until: float = 0.0
     down_until: float = 0.0
     running: dict[AttemptId, Run] = field(default_factory=dict)
-    # It takes requests, and nothing comes of them.
-    mute: bool = False
-    # It stands still, and answers no probe either.
+    # It accepts requests and generates no tokens.
+    stalled: bool = False
+    # It is paused, and does not answer probes either.
     frozen: bool = False
-    # When the probe was sent that it has not answered yet.
+    # Sending time of the unanswered probe.
     probed_at: float | None = None
 
 
 class FaultWorld:
-    """Some instances, the servers before which they stand, and a clock."""
+    """Instances, servers and a clock."""
 
     def __init__(
         self,
@@ -102,48 +101,48 @@
     ) -> None:
         self.now = 100.0
         self.kind = kind
-        # Tokens of each answer.
+        # Number of tokens of each answer.
         self.length = length
         self.options = options or Options()
         self.poison: set[str] = set()
         self.servers = {ServerName(f"s{number}"): FakeServer() for number in range(servers)}
         self.config = _config(list(self.servers), slots, kind)
-        # What the servers report to have loaded.
+        # Loaded models in the servers' reports.
         self.models = (str(TARGET),) if kind is Kind.MODEL else ()
         self.states: dict[InstanceName, State] = {}
         self.accounts: dict[RequestId, Account] = {}
-        self.told: Counter[RequestId] = Counter()
-        # Fingerprint and server of each crash, in order; and of each run that was begun.
+        self.account_counts: Counter[RequestId] = Counter()
+        # Fingerprint and server of each crash and of each started run, in order.
         self.crashes: list[tuple[str, ServerName]] = []
         self.runs: list[tuple[str, ServerName]] = []
         self.probes: list[ServerName] = []
-        # Fingerprints whose connections went silent: nothing comes back over them.
+        # Fingerprints whose connections are lost: no data arrives over them.
         self.lost: set[str] = set()
-        # Servers whose reports count whatever they were sent, also over silent connections.
+        # Servers whose reports also count requests on lost connections.
         self.busy: set[ServerName] = set()
-        # No load report comes at all.
-        self.silent_reports = False
-        # Instances that get none.
-        self.unreported: set[InstanceName] = set()
-        # A middle box takes connections to a server that is down, and breaks them.
-        self.takes_when_down = False
-        # A server that crashes is back before anyone could see it down.
+        # No load reports are delivered.
+        self.no_reports = False
+        # Instances to which no load reports are delivered.
+        self.instances_without_reports: set[InstanceName] = set()
+        # A proxy accepts connections to a server that is down, and breaks them.
+        self.accepts_when_down = False
+        # A crashed server is up again before any instance can find it down.
         self.restarts_at_once = False
-        # Reports show a new life so much later.
+        # Delay until reports show a new incarnation.
         self.reports_lag_s = 0.0
-        # Requests go out over connections that were kept from earlier ones.
+        # Requests are sent over reused connections.
         self.kept_connections = False
-        # Requests that servers report to wait there, beside what they were sent.
+        # Number of waiting requests in the servers' reports.
         self.waiting = 0
-        # Addresses whose open connections are not to be used again.
+        # Addresses whose open connections must not be reused.
         self.distrusted: list[str] = []
-        # Tells which messages are lost.
-        self.loses: Callable[[PeerMessage], bool] = lambda message: False
-        # Tells which messages come a moment later than others.
-        self.delays: Callable[[PeerMessage], bool] = lambda message: False
-        self._late_mail: list[tuple[InstanceName, PeerReceived]] = []
-        self._mail: list[tuple[InstanceName, PeerReceived]] = []
-        self._unheard: dict[AttemptId, Run] = {}
+        # Returns whether a message is lost.
+        self.is_lost: Callable[[PeerMessage], bool] = lambda message: False
+        # Returns whether a message is delayed by one more tick.
+        self.is_delayed: Callable[[PeerMessage], bool] = lambda message: False
+        self._delayed_messages: list[tuple[InstanceName, PeerReceived]] = []
+        self._messages: list[tuple[InstanceName, PeerReceived]] = []
+        self._broken_unnoticed: dict[AttemptId, Run] = {}
         self._seq = 0
         for _ in range(instances):
             self.add_instance()
@@ -151,7 +150,7 @@
     # --- instances -------------------------------------------------------------------------
 
     def add_instance(self) -> InstanceName:
-        """Start an instance that knows nothing yet but its settings."""
+        """Start an instance that has its settings and no other state."""
         name = InstanceName(f"entry-{len(self.states)}")
         identity = Identity(name, DATA_CENTRE, REGION, f"127.0.0.1:{len(self.states)}", "1")
         state = new_state(identity, self.options, seed=len(self.states))
@@ -165,7 +164,7 @@
         return name
 
     def introduce(self) -> None:
-        """Let all instances see each other."""
+        """Make all instances members of each other."""
         for state in self.states.values():
             for other in self.states.values():
                 if other is not state:
@@ -175,7 +174,7 @@
                     state.members.by_name[me.name] = member
 
     def event(self, instance: InstanceName, event: Event) -> None:
-        """Give an instance an event, and carry out what follows from it."""
+        """Pass an event to an instance and carry out its effects."""
         self._carry_out(instance, reduce(self.states[instance], self.now, event))
 
     def _carry_out(self, instance: InstanceName, effects: list[Effect]) -> None:
@@ -187,10 +186,12 @@
                     self._cancel(instance, effect)
                 case FinishRequest(account):
                     self.accounts[RequestId(account.request_id)] = account
-                    self.told[RequestId(account.request_id)] += 1
+                    self.account_counts[RequestId(account.request_id)] += 1
                 case SendPeer(peer, _, message) | SendDatagram(peer, _, message):
-                    if not self.loses(message):
-                        mail = self._late_mail if self.delays(message) else self._mail
+                    if not self.is_lost(message):
+                        mail = (
+                            self._delayed_messages if self.is_delayed(message) else self._messages
+                        )
                         mail.append((peer, PeerReceived(instance, message)))
                 case ProbeServer(server, _):
                     self.probes.append(server)
@@ -204,7 +205,7 @@
 
     def _start(self, instance: InstanceName, start: StartAttempt) -> None:
         server = self.servers[start.server]
-        if self.now < server.down_until and not self.takes_when_down:
+        if self.now < server.down_until and not self.accepts_when_down:
             self._end(instance, start, EndUnsent("refused"))
             return
         kept = self.kept_connections and not start.fresh_connection
@@ -219,7 +220,7 @@
 
     def _cancel(self, instance: InstanceName, effect: CancelAttempt) -> None:
         run = self.servers[effect.server].running.pop(effect.attempt_id, None)
-        run = run or self._unheard.pop(effect.attempt_id, None)
+        run = run or self._broken_unnoticed.pop(effect.attempt_id, None)
         if run is not None:
             self._end(instance, run.start, EndCancelled(run.tokens))
 
@@ -227,7 +228,7 @@
         self.event(instance, AttemptEnded(start.request_id, start.attempt_id, end))
 
     def crash(self, name: ServerName, by: str = "", *, alive: bool = False) -> None:
-        """Let a server crash; `alive` says that it is back before anyone could see it down."""
+        """Crash a server; with `alive` it is up again before any instance can find it down."""
         server = self.servers[name]
         self.crashes.append((by, name))
         server.life += 1
@@ -241,13 +242,13 @@
         self.servers[name].running.clear()
         for run in runs:
             if run.fingerprint in self.lost:
-                # Its instance hears nothing of it until it gives the connection up.
-                self._unheard[run.start.attempt_id] = run
+                # Its instance does not notice this until it cancels the attempt.
+                self._broken_unnoticed[run.start.attempt_id] = run
             else:
                 self._end(run.instance, run.start, EndBroken("reset", server_alive=alive))
 
     def _step_server(self, name: ServerName, server: FakeServer) -> None:
-        if self.now < server.down_until or server.mute or server.frozen:
+        if self.now < server.down_until or server.stalled or server.frozen:
             return
         for run in list(server.running.values()):
             if run.fingerprint in self.poison and run.fingerprint not in self.lost:
@@ -274,16 +275,16 @@
         elif server.probed_at is None or self.now - server.probed_at > PROBE_S:
             server.probed_at = self.now
 
-    def thaw(self, name: ServerName) -> None:
-        """Let a server that was frozen go on, with an answer to the probe that waits there."""
+    def resume(self, name: ServerName) -> None:
+        """Resume a frozen server, which answers the waiting probe."""
         server = self.servers[name]
         server.frozen = False
         self.report(name, self.now if server.probed_at is None else server.probed_at)
 
     def report(self, name: ServerName, asked_at: float = float("-inf")) -> None:
-        """Let every instance have a server's load report, unasked or as the answer to a probe."""
+        """Send a server's load report to every instance, unasked or as the answer to a probe."""
         server = self.servers[name]
-        if self.now < server.down_until or self.silent_reports or server.frozen:
+        if self.now < server.down_until or self.no_reports or server.frozen:
             return
         self._seq += 1
         counted = [
@@ -302,21 +303,21 @@
             asked_at=asked_at,
         )
         for instance in self.states:
-            if instance not in self.unreported:
+            if instance not in self.instances_without_reports:
                 self.event(instance, report)
 
     # --- time ------------------------------------------------------------------------------
 
     def advance(self, seconds: float) -> None:
-        """Let time pass in moments of one tick."""
+        """Advance the time tick by tick."""
         until = self.now + seconds
         while self.now < until - 1e-9:
-            self.moment()
+            self.tick()
 
-    def moment(self) -> None:
-        """Let one tick's time pass: messages arrive, servers work, instances look around."""
+    def tick(self) -> None:
+        """Advance one tick: messages arrive, servers run, and instances handle their tick."""
         self.now += self.options.tick_s
-        mail, self._mail, self._late_mail = self._mail, self._late_mail, []
+        mail, self._messages, self._delayed_messages = self._messages, self._delayed_messages, []
         for peer, event in mail:
             self.event(peer, event)
         for name, server in self.servers.items():
@@ -326,12 +327,12 @@
         for instance in list(self.states):
             self.event(instance, Tick())
 
-    def advance_until_told(self, limit_s: float = 120.0) -> None:
-        """Let time pass until every request in hand has its account."""
+    def advance_until_done(self, limit_s: float = 120.0) -> None:
+        """Advance until every request has its account."""
         until = self.now + limit_s
         while any(state.requests for state in self.states.values()):
             assert self.now < until, "a request has no account"
-            self.moment()
+            self.tick()
 
     # --- callers ---------------------------------------------------------------------------
 
@@ -345,7 +346,7 @@
         deadline_s: float = CLASS.deadline_s,
         service_class: ServiceClass = CLASS,
     ) -> RequestId:
-        """Let a caller send a request to an instance."""
+        """Send a request to an instance."""
         request_id = RequestId(name)
         req = Request(
             request_id=request_id,
@@ -363,11 +364,11 @@
         return request_id
 
     def requests(self) -> list[RequestId]:
-        """List the requests that have no account yet."""
+        """Return the requests that have no account yet."""
         return [request_id for state in self.states.values() for request_id in state.requests]
 
     def attempts(self, fingerprint: str) -> list[Run]:
-        """List the attempts of a request that servers are working on."""
+        """Return the running attempts of a request."""
         return [
             run
             for server in self.servers.values()
@@ -376,12 +377,12 @@
         ]
 
     def outcome(self, name: str) -> tuple[Outcome, str]:
-        """Give the outcome and the reason that a caller was told."""
+        """Return the outcome and the reason of a request's account."""
         account = self.accounts[RequestId(name)]
         return account.outcome, account.reason.value
 
     def crashes_by(self, fingerprint: str) -> int:
-        """Count the crashes that a poisoned request made."""
+        """Return the number of crashes that a poisoned request caused."""
         return sum(1 for by, _ in self.crashes if by == fingerprint)
 
 
--- a/tests/core/trust/test_retry_window.py
+++ b/tests/core/trust/test_retry_window.py
@@ -1,4 +1,4 @@
-"""The budget of retries that holds for the sum over all instances."""
+"""Tests of the retry budget in a window, which limits all instances together."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 from turmericweir_core.trust import retry
 
 
-def with_instances(world: StoreWorld, count: int) -> None:
-    """Have so many live instances, this one included, for long enough to be known."""
+def add_live_instances(world: StoreWorld, count: int) -> None:
+    """Add live instances until there are `count`, and let the budget count them."""
     for number in range(2, count + 1):
         name = InstanceName(f"a-{number}")
         member = Member(name, "dc-a", f"127.0.0.1:{number}", region="home", seq=1)
@@ -26,9 +26,9 @@
 
 @given(st.lists(st.floats(0.0, 0.5), min_size=20, max_size=120), st.integers(1, 9))
 def test_no_window_holds_more_than_the_share(gaps: list[float], instances: int) -> None:
-    """Everything fails at once, and every request wants to be tried again and again."""
+    """Limit the retries of every window even if all requests fail repeatedly."""
     world = StoreWorld()
-    with_instances(world, instances)
+    add_live_instances(world, instances)
     firsts: list[float] = []
     retries: list[float] = []
     for number, gap in enumerate(gaps):
@@ -44,10 +44,10 @@
         assert len(within) <= 0.2 * len(paid) + 56.0 / instances
 
 
-def test_halves_that_lose_sight_of_each_other_do_not_both_take_the_whole_burst() -> None:
-    """Eight instances are parted four from four; each half sees four live ones."""
+def test_partition_does_not_double_the_burst() -> None:
+    """Prevents a partition of eight instances into halves from doubling the burst."""
     world = StoreWorld()
-    with_instances(world, 8)
+    add_live_instances(world, 8)
     for number in range(5, 9):
         del world.state.members.by_name[InstanceName(f"a-{number}")]
     for _ in range(8):
@@ -60,8 +60,8 @@
     assert spent <= 56.0 / 8
 
 
-def test_an_instance_that_has_just_started_takes_a_small_part() -> None:
-    """It knows nobody yet, and is not alone."""
+def test_new_instance_takes_a_small_part() -> None:
+    """Prevents a new instance without known members from using the whole burst."""
     world = StoreWorld()
     retry.on_tick(world.state, world.now)
     req = world.request("1", target=PLAIN)
--- a/tests/core/trust/test_silence.py
+++ b/tests/core/trust/test_silence.py
@@ -1,4 +1,4 @@
-"""Connections that go silent: when an attempt is doubted, and when waiting on is right."""
+"""Tests of the detection of lost connections."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 COMPLETED = (Outcome.COMPLETED, "ok")
 
 
-def mute_first(world: FaultWorld, name: str) -> ServerName:
-    """Let a request arrive, and nothing come back over its connection; return its server."""
+def send_on_lost_connection(world: FaultWorld, name: str) -> ServerName:
+    """Send a request over a connection that is lost, and return its server."""
     before = len(world.runs)
     world.arrive(name)
     server = world.runs[before][1]
@@ -27,27 +27,26 @@
 
 
 def test_first_token_that_does_not_come() -> None:
-    # The request went out on a connection that had gone silent: the server never saw it, and its
-    # report, which counts nothing running, shows so. It is answered by another server long before
-    # its deadline, and the first server goes on being used.
+    # A request on a lost connection, which the server's report does not count, is answered by
+    # another server long before its deadline. The first server stays in use.
     world = FaultWorld(servers=2)
-    world.moment()
-    server = mute_first(world, "one")
+    world.tick()
+    server = send_on_lost_connection(world, "one")
     world.advance(world.options.first_silence_s + 0.5)
     assert len(world.runs) == 2
     assert world.runs[1][1] != server
     assert server in world.probes
     world.lost.clear()
-    world.advance_until_told()
+    world.advance_until_done()
     assert world.outcome("one") == COMPLETED
     state = next(iter(world.states.values()))
     assert state.servers.by_name[server].unreachable_until <= world.now
 
 
 def test_stream_that_goes_silent_is_resumed() -> None:
-    # Tokens stop in the middle. The rest comes from another server, from the next token on.
+    # A stream that stops is resumed on another server from the next token.
     world = FaultWorld(servers=2)
-    world.moment()
+    world.tick()
     world.arrive("one")
     world.advance(1.0)
     delivered = next(iter(world.states.values())).requests[next(iter(world.requests()))].delivered
@@ -55,45 +54,42 @@
     world.advance(world.options.silence_s + 0.3)
     world.lost.clear()
     assert [run.start.resume_from for run in world.attempts("one")] == [delivered]
-    world.advance_until_told()
+    world.advance_until_done()
     assert world.outcome("one") == COMPLETED
     assert world.accounts[next(iter(world.accounts))].tokens == world.length
 
 
-def test_doubts_at_the_same_moment_share_the_budget() -> None:
-    # In a rush several answers are late to begin at the same moment, and the budget pays for one
-    # retry. One goes elsewhere; the others wait on and get their answers. Were all stopped, since
-    # each finds a retry in the budget, the callers of all but one would be told `failed`.
+def test_suspicions_of_one_tick_share_the_budget() -> None:
+    # With budget for one retry, only one of several overdue requests is retried. Prevents the
+    # others from being cancelled and failing.
     world = FaultWorld(servers=2)
-    world.moment()
+    world.tick()
     names = ["one", "two", "three"]
     for name in names:
-        mute_first(world, name)
+        send_on_lost_connection(world, name)
     state = next(iter(world.states.values()))
     state.retries.tokens = 1.5
     world.advance(world.options.first_silence_s + 0.5)
     assert len(world.runs) == len(names) + 1
     world.lost.clear()
-    world.advance_until_told()
+    world.advance_until_done()
     assert [world.outcome(name) for name in names] == [COMPLETED] * len(names)
 
 
 def test_busy_server_is_given_time() -> None:
-    # The server accounts for the request, which waits behind others there. Moving it would cost its
-    # place and a retry, so it is left alone for a while.
+    # The server's report counts the request. Prevents a retry that would lose its place there.
     world = FaultWorld(servers=2)
-    world.moment()
-    server = mute_first(world, "one")
+    world.tick()
+    server = send_on_lost_connection(world, "one")
     world.busy.add(server)
     world.advance(world.options.first_silence_s + 1.0)
     assert len(world.runs) == 1
 
 
-def test_half_of_the_deadline_is_the_limit_of_patience() -> None:
-    # The server seems to account for it, but that is another instance's request. At half of the
-    # time to the deadline it is tried elsewhere all the same.
+def test_half_of_the_deadline_limits_the_wait() -> None:
+    # A request that the report seems to count is retried at half of the time to its deadline.
     world = FaultWorld(servers=2)
-    world.moment()
+    world.tick()
     before = len(world.runs)
     world.arrive("one", deadline_s=10.0)
     world.busy.add(world.runs[before][1])
@@ -101,28 +97,27 @@
     world.advance(5.2)
     assert len(world.runs) == 2
     world.lost.clear()
-    world.advance_until_told()
+    world.advance_until_done()
     assert world.outcome("one") == COMPLETED
 
 
-def test_one_that_came_later_was_served_first() -> None:
-    # The server accounts for as many as it was sent, but it has begun one that came later and is no
-    # more urgent: what it counts is not this request.
+def test_later_request_was_started_first() -> None:
+    # The report counts as many requests as were sent, but the server has started a later request
+    # that is not more urgent, so the first one is retried.
     world = FaultWorld(servers=1)
-    world.moment()
-    server = mute_first(world, "one")
+    world.tick()
+    server = send_on_lost_connection(world, "one")
     world.busy.add(server)
-    world.moment()
+    world.tick()
     world.arrive("two")
     world.advance(world.options.first_silence_s + 0.5)
     assert [fingerprint for fingerprint, _ in world.runs].count("one") == 2
 
 
-def test_call_that_must_not_be_repeated_is_waited_for() -> None:
-    # Nothing comes back, and it may have run. It is not sent again; at its deadline the caller is
-    # told that this is not known.
+def test_call_that_must_not_be_repeated_is_not_retried() -> None:
+    # A call that must not be repeated is not retried, and has an unknown outcome at its deadline.
     world = FaultWorld(servers=2, kind=Kind.PLAIN)
-    world.moment()
+    world.tick()
     world.arrive("reserve", repeatable=False, deadline_s=8.0)
     world.lost.add("reserve")
     world.advance(10.0)
@@ -130,82 +125,84 @@
     assert world.outcome("reserve")[0] is Outcome.UNKNOWN
 
 
-def test_nothing_is_doubted_without_budget_for_a_retry() -> None:
-    # A doubt that cannot be followed by another attempt would turn a late answer into a failure.
+def test_no_suspicion_without_budget_for_a_retry() -> None:
+    # Prevents the cancellation of an attempt that cannot be retried.
     world = FaultWorld(servers=2)
     state = next(iter(world.states.values()))
-    world.moment()
-    mute_first(world, "one")
+    world.tick()
+    send_on_lost_connection(world, "one")
     state.retries.tokens = 0.0
     world.advance(world.options.first_silence_s + 1.0)
     assert len(world.runs) == 1
     world.lost.clear()
-    world.advance_until_told()
+    world.advance_until_done()
     assert world.outcome("one") == COMPLETED
 
 
 def test_report_from_before_the_attempt_proves_nothing() -> None:
-    # The newest report counts requests that ran before this one was sent.
+    # Prevents a report from before the attempt from counting as evidence that the server has it.
     world = FaultWorld(servers=1)
     name = ServerName("s0")
     report = ServerReport(name, "1", 1, running=5, waiting=5, slots=8, models=world.models)
     for instance in world.states:
         world.event(instance, report)
-    world.silent_reports = True
-    world.moment()
-    mute_first(world, "one")
+    world.no_reports = True
+    world.tick()
+    send_on_lost_connection(world, "one")
     world.advance(world.options.first_silence_s + 0.5)
     assert len(world.runs) == 2
 
 
-# --- signs that let a silence be noticed soon --------------------------------------------------
+# --- early evidence --------------------------------------------------------------------------
 
 LOWER: Final = ServiceClass("draft", 2, target_s=5.0, deadline_s=60.0)
-# Longer than the signs take, at one token for each tick, and shorter than any wait without them.
-SOON_S: Final = 1.1
+# Longer than the early detection at one token per tick, and shorter than the long waits.
+EARLY_DETECTION_S: Final = 1.1
 
 
 @dataclass(frozen=True, slots=True)
-class SignCase:
-    """Streams that stop on some servers, and whether they soon go on elsewhere."""
+class StreamCase:
+    """Streams that stop on some servers, and whether they are retried early."""
 
-    # What happens to the servers: their connections are lost, or they are mute, or frozen.
+    # Whether the connections are lost or the servers frozen.
     stops: str
-    # Of three servers with a stream each, how many stop.
+    # Number of stopped streams, of three servers with a stream each.
     stopped: int
     moved: bool
     service_class: ServiceClass = CLASS
-    # Requests that wait at the engines, by their reports.
+    # Number of waiting requests in the engines' reports.
     waiting: int = 0
-    # Retries that are left.
+    # Number of retries in the budget.
     budget: float = 20.0
 
 
-SIGN_CASES: Final = {
-    # Several servers at once, while all answer new connections: the connections are lost.
-    "lost_together": SignCase("lost", 3, moved=True),
-    # The same for a lower tier, at engines with room, where nothing is preempted.
-    "lower_tier_with_room": SignCase("lost", 3, moved=True, service_class=LOWER),
-    # At full engines the streams may have been preempted, and go on later.
-    "lower_tier_at_full_engines": SignCase("lost", 3, moved=False, service_class=LOWER, waiting=9),
+STREAM_CASES: Final = {
+    # Streams of several servers stop while all servers answer new connections.
+    "lost_together": StreamCase("lost", 3, moved=True),
+    # Engines with free slots do not preempt a lower tier.
+    "lower_tier_with_room": StreamCase("lost", 3, moved=True, service_class=LOWER),
+    # Full engines may have preempted the streams.
+    "lower_tier_at_full_engines": StreamCase(
+        "lost", 3, moved=False, service_class=LOWER, waiting=9
+    ),
     # Frozen engines answer no probe.
-    "frozen": SignCase("frozen", 3, moved=False),
-    # Each doubt is a retry: without budget the streams are waited for.
-    "no_budget": SignCase("lost", 3, moved=False, budget=0.0),
+    "frozen": StreamCase("frozen", 3, moved=False),
+    # Without retries in the budget no attempt is suspected.
+    "no_budget": StreamCase("lost", 3, moved=False, budget=0.0),
 }
 
 
-@pytest.mark.parametrize("case", SIGN_CASES.values(), ids=SIGN_CASES)
-def test_streams_that_stop(case: SignCase) -> None:
+@pytest.mark.parametrize("case", STREAM_CASES.values(), ids=STREAM_CASES)
+def test_streams_that_stop(case: StreamCase) -> None:
     world = FaultWorld(servers=3, length=60, options=Options(retry_share=0.0))
     world.config.classes[LOWER.name] = LOWER
     state = next(iter(world.states.values()))
-    world.moment()
+    world.tick()
     names = ["one", "two", "three"]
     for name in names:
         world.arrive(name, service_class=case.service_class)
     world.advance(1.0)
-    began = len(world.runs)
+    runs_before = len(world.runs)
     assert len({server for _, server in world.runs}) == 3
     state.retries.tokens = case.budget
     world.waiting = case.waiting
@@ -216,13 +213,13 @@
         world.busy.add(run.start.server)
         world.servers[run.start.server].frozen = case.stops == "frozen"
     delivered = [run.tokens for run in stopped]
-    world.advance(SOON_S)
+    world.advance(EARLY_DETECTION_S)
     for name in world.servers:
-        # Where a server thaws, it answers a probe before it makes the next token.
-        world.thaw(name)
-    world.moment()
-    assert len(world.runs) - began == (case.stopped if case.moved else 0)
-    # Where they were moved, each goes on after the last token that its caller has.
+        # A resumed server answers a probe before it generates the next token.
+        world.resume(name)
+    world.tick()
+    assert len(world.runs) - runs_before == (case.stopped if case.moved else 0)
+    # A retried stream resumes after the last delivered token.
     for run, token in zip(stopped, delivered, strict=True):
         moved = [each.start for each in world.attempts(run.fingerprint)]
         expected = [token] if case.moved else [0]
@@ -230,56 +227,53 @@
         assert [start.fresh_connection for start in moved] == [case.moved]
 
 
-def test_server_that_stands_still_for_a_moment() -> None:
-    # One server makes no tokens for a while, but answers probes; it may be loading an adapter. Its
-    # stream is given longer than one of several that stop together, and goes on there.
+def test_server_that_stalls_briefly() -> None:
+    # Prevents a retry when a single server generates no tokens for a short time but answers probes.
     world = FaultWorld(servers=3, length=60)
-    world.moment()
+    world.tick()
     for name in ("one", "two", "three"):
         world.arrive(name)
     world.advance(1.0)
     server = world.attempts("one")[0].start.server
-    world.servers[server].mute = True
+    world.servers[server].stalled = True
     world.advance(0.6)
     assert world.probes.count(server) > 0
-    world.servers[server].mute = False
-    world.advance_until_told()
+    world.servers[server].stalled = False
+    world.advance_until_done()
     assert len(world.runs) == 3
 
 
 def test_servers_that_all_become_slow() -> None:
-    # In a rush every server takes three times as long for a token. Nothing is moved.
+    # Prevents retries when all servers become slower under peak load.
     world = FaultWorld(servers=3, length=30)
-    world.moment()
+    world.tick()
     for name in ("one", "two", "three"):
         world.arrive(name)
     world.advance(1.0)
     while world.requests():
         for server in world.servers.values():
-            server.mute = True
+            server.stalled = True
         world.advance(0.2)
         for server in world.servers.values():
-            server.mute = False
-        world.moment()
+            server.stalled = False
+        world.tick()
     assert len(world.runs) == 3
 
 
 @pytest.mark.parametrize("kept", [True, False])
 def test_plain_call_that_its_server_does_not_count(kept: bool) -> None:
-    # The call went out over a connection that had gone silent while it was idle; its server never
-    # saw it, and says so at once when asked over a new one. The call is repeated over a new one,
-    # and no kept connection to that server is used for others meanwhile. One that went out over a
-    # new connection has reached its server, whatever a report says, and is waited for.
+    # A call on a lost reused connection, which its server does not count, is retried over a new
+    # connection. A call on a new connection has reached its server and is not retried.
     world = FaultWorld(servers=2, kind=Kind.PLAIN, length=1)
     for name in ("first", "second"):
         world.arrive(name)
-        world.moment()
+        world.tick()
     world.kept_connections = kept
-    server = mute_first(world, "one")
-    world.advance(SOON_S)
+    server = send_on_lost_connection(world, "one")
+    world.advance(EARLY_DETECTION_S)
     assert [run.start.fresh_connection for run in world.attempts("one")] == [kept]
     assert (world.config.servers[server].address in world.distrusted) == kept
     world.lost.clear()
-    world.advance_until_told()
+    world.advance_until_done()
     assert world.outcome("one") == COMPLETED
     assert len(world.runs) == (4 if kept else 3)
