--- a/packages/turmericweir-core/turmericweir_core/settings/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Follow the log of settings and put accepted changes in force. Only the own interface uses it."""
+"""The settings: reads their log, writes operators' changes to it, and puts them in force."""
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
@@ -1,9 +1,9 @@
-"""Carry operators' changes into the log, and tell what became of them.
+"""Append operators' changes to the log, and report their verdicts.
 
-A submitted change is appended, and settled when its own record is read back: the verdict comes from
-the fold, so it is the same one that every other instance comes to. While no verdict has come the
-append is made again under the same change id, which the fold counts once. A change that certainly
-never reached the log is given up after a while; one that may have is pursued until the log tells.
+A submitted change is settled when its record is read back from the log, so all instances reach the
+same verdict. Until then the append is repeated with the same change id, which counts only once. A
+change that certainly did not reach the log is given up after `change_give_up_s`; one that may have
+reached it is appended until the log has the verdict.
 """
 
 from __future__ import annotations
@@ -45,59 +45,59 @@
 from turmericweir_core.state.settings_state import Seen, settings_version
 from turmericweir_core.state.settings_sync import PendingChange, SettingsSync, settings_read_offset
 
-# Operators of the process file are named with this prefix, which no path below `/operators` can
-# have: nobody can be given their authority by a setting.
+# Prefix of the operators in the process file. No path below `/operators` can have it. Prevents
+# settings from granting their authority.
 BOOTSTRAP_PREFIX: Final = "bootstrap/"
 _UUID_VERSION_WITH_TIME: Final = 7
 
 
-# --- submitting ------------------------------------------------------------------------------
+# --- submission ------------------------------------------------------------------------------
 
 
 def on_change_submitted(
     sync: SettingsSync, options: Options, now: float, event: ChangeSubmitted
 ) -> list[Effect]:
-    """Append a change, unless its id was judged before or is under way."""
+    """Append a change, unless its id already has a verdict or is pending."""
     if event.change_id in sync.pending:
         return []
-    result = _change_of(sync, event)
+    result = _build_record(sync, event)
     if not is_successful(result):
-        return [_refuse(event, result.failure())]
+        return [_rejection(event, result.failure())]
     change = result.unwrap()
     seen = sync.settings.seen.get(event.change_id)
     if seen is not None:
-        return [SettleChange(event.change_id, _repeated(change, seen))]
+        return [SettleChange(event.change_id, _repeated_verdict(change, seen))]
     if len(sync.pending) >= options.change_pending_max:
-        return [_refuse(event, "too many changes wait for the log; send it again later")]
+        return [_rejection(event, "too many changes wait for the log; send it again later")]
     sync.pending[event.change_id] = PendingChange(change, submitted_at=now, tried_at=now)
     return [_append(change)]
 
 
-def _refuse(event: ChangeSubmitted, reason: str) -> Effect:
+def _rejection(event: ChangeSubmitted, reason: str) -> Effect:
     return SettleChange(event.change_id, NotAppended(event.change_id, event.path, reason))
 
 
-def _change_of(sync: SettingsSync, event: ChangeSubmitted) -> Result[ChangeRecord, str]:
-    """Build the record of a change, or say why it cannot be one.
+def _build_record(sync: SettingsSync, event: ChangeSubmitted) -> Result[ChangeRecord, str]:
+    """Return the record of a change, or the reason why it is malformed.
 
-    A change without an expected version gets the one that this instance knows. Every record is
-    conditional: one that was appended twice could otherwise undo a change made in between.
+    A change without an expected version gets the current one. Prevents a record that is appended
+    twice from undoing a change in between.
     """
     expected = event.expected_version
     if expected is None:
         expected = settings_version(sync.settings, event.path)
-    bootstrap = event.operator.startswith(BOOTSTRAP_PREFIX)
-    raw = {
+    is_bootstrap = event.operator.startswith(BOOTSTRAP_PREFIX)
+    record = {
         "type": "change",
         "change_id": event.change_id,
         "path": event.path,
         "expected_version": expected,
         "value": event.value,
         "operator": event.operator,
-        "authority": "bootstrap" if bootstrap else "operator",
-        "at": _time_of(event.change_id),
+        "authority": "bootstrap" if is_bootstrap else "operator",
+        "at": _uuid_time_s(event.change_id),
     }
-    return read_record(raw).map(_as_change)
+    return read_record(record).map(_as_change)
 
 
 def _as_change(record: SettingsRecord) -> ChangeRecord:
@@ -105,10 +105,10 @@
     return record
 
 
-def _time_of(change_id: str) -> float:
-    """Read the time, seconds since the epoch, out of a UUIDv7; 0 for any other id.
+def _uuid_time_s(change_id: str) -> float:
+    """Return the time of a UUIDv7 in seconds since the epoch, or 0 for any other id.
 
-    The reducer has no wall clock, and `at` is only shown.
+    The reducer has no wall clock, and `at` is only displayed.
     """
     try:
         uuid = UUID(change_id)
@@ -122,7 +122,7 @@
 
 
 def on_append_done(sync: SettingsSync, event: AppendDone) -> list[Effect]:
-    """Note where a change stands, and read on to it at once."""
+    """Record the offset of a change, and read the log up to it at once."""
     pending = sync.pending.get(event.token)
     if pending is None:
         return []
@@ -134,7 +134,7 @@
 
 
 def on_append_failed(sync: SettingsSync, now: float, event: AppendFailed) -> list[Effect]:
-    """Note that an append failed or lost its acknowledgement; it is made again on a later tick."""
+    """Record a failed or unacknowledged append, which a later tick repeats."""
     pending = sync.pending.get(event.token)
     if pending is None:
         return []
@@ -151,30 +151,30 @@
     return [Log("settings_append_failed", fields), Count("settings.append_failed")]
 
 
-def pursue_changes(sync: SettingsSync, options: Options, now: float) -> list[Effect]:
-    """Append again, or give up, the changes that have waited for it."""
+def retry_changes(sync: SettingsSync, options: Options, now: float) -> list[Effect]:
+    """Append the pending changes again, or give them up, if due."""
     effects: list[Effect] = []
     for pending in list(sync.pending.values()):
-        effects += _pursue(sync, options, now, pending)
+        effects += _retry_change(sync, options, now, pending)
     return effects
 
 
-def _pursue(
+def _retry_change(
     sync: SettingsSync, options: Options, now: float, pending: PendingChange
 ) -> list[Effect]:
-    """Append a change again, or give it up.
+    """Append a pending change again, or give it up, if due.
 
-    An acknowledgement may be lost while the record stands in the log, so no answer is no proof.
-    Appending the same id again settles it: if the first append took effect, the fold skips the
-    second, and either way reading on brings the one verdict.
+    If an unacknowledged append did reach the log, the second record with the same id has no effect.
     """
     if pending.in_flight or now - pending.tried_at < options.change_retry_s:
         return []
     change = pending.record
     if not pending.maybe_in_log and now - pending.submitted_at >= options.change_give_up_s:
         reason = "the platform's log did not take it"
-        return _answer(sync, change.change_id, NotAppended(change.change_id, change.path, reason))
-    # It stands in the log at a known offset, which is yet to be read.
+        return _settle_pending(
+            sync, change.change_id, NotAppended(change.change_id, change.path, reason)
+        )
+    # The record is in the log at a known offset that has not been read yet.
     if pending.offset is not None and sync.settings.offset <= pending.offset:
         return []
     pending.in_flight = True
@@ -182,32 +182,32 @@
     return [_append(change), Count("settings.append_again")]
 
 
-# --- settling --------------------------------------------------------------------------------
+# --- settlement ------------------------------------------------------------------------------
 
 
 def settle(sync: SettingsSync, verdict: Verdict) -> list[Effect]:
-    """Tell the operator who waits for a change, if any, what became of it."""
+    """Report a verdict to the operator who waits for it, if any."""
     if isinstance(verdict, Malformed | SnapshotMatched | SnapshotMismatched | SnapshotUnchecked):
         return []
-    return _answer(sync, verdict.subject.change_id, verdict)
+    return _settle_pending(sync, verdict.subject.change_id, verdict)
 
 
-def _answer(sync: SettingsSync, change_id: str, verdict: Settlement) -> list[Effect]:
+def _settle_pending(sync: SettingsSync, change_id: str, verdict: Settlement) -> list[Effect]:
     if sync.pending.pop(change_id, None) is None:
         return []
     return [SettleChange(change_id, verdict)]
 
 
-def settle_seen(sync: SettingsSync) -> list[Effect]:
-    """Settle the changes whose records a snapshot has covered, by what it says of their ids."""
+def settle_from_snapshot(sync: SettingsSync) -> list[Effect]:
+    """Settle the pending changes whose ids a loaded snapshot contains."""
     effects: list[Effect] = []
     for change_id, pending in list(sync.pending.items()):
         seen = sync.settings.seen.get(change_id)
         if seen is not None:
-            effects += _answer(sync, change_id, _repeated(pending.record, seen))
+            effects += _settle_pending(sync, change_id, _repeated_verdict(pending.record, seen))
     return effects
 
 
-def _repeated(change: ChangeRecord, seen: Seen) -> Repeated:
+def _repeated_verdict(change: ChangeRecord, seen: Seen) -> Repeated:
     subject = Subject(change.change_id, change.path, change.operator, change.at, seen.offset)
     return Repeated(subject, seen.offset, seen.kind)
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
@@ -1,6 +1,6 @@
-"""Join the settings to the rest of the state: who the peers are, and what a new `Config` touches.
+"""Connects the settings to the rest of the state: the list of peers, and the use of a new `Config`.
 
-`settings_reducer` decides on the `SettingsSync` alone; the one reducer calls the functions here.
+The main reducer calls these functions; `settings_reducer` works on the `SettingsSync` alone.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 
 
 def on_log(state: State, now: float, event: LogRead | LogExpired | LogFailed) -> list[Effect]:
-    """Take what a read of the settings stream gave."""
+    """Handle the result of a read of the settings stream."""
     sync = state.settings
     match event:
         case LogRead():
@@ -36,12 +36,12 @@
             effects = settings_reducer.on_log_expired(sync, now, event)
         case LogFailed():
             effects = settings_reducer.on_log_failed(sync, now, event)
-    _adopt(state)
+    _update_config(state)
     return effects
 
 
 def on_append(state: State, now: float, event: AppendDone | AppendFailed) -> list[Effect]:
-    """Take how an append to the settings stream ended."""
+    """Handle the result of an append to the settings stream."""
     match event:
         case AppendDone():
             return settings_changes.on_append_done(state.settings, event)
@@ -50,14 +50,14 @@
 
 
 def on_submitted(state: State, now: float, event: ChangeSubmitted) -> list[Effect]:
-    """Carry an operator's change to the log."""
+    """Append an operator's change to the log."""
     return settings_changes.on_change_submitted(state.settings, state.options, now, event)
 
 
 def on_message(
     state: State, now: float, sender: InstanceName, message: SettingsAsk | SettingsSend
 ) -> list[Effect]:
-    """Take a peer's question or answer."""
+    """Handle a peer's request for settings, or its answer."""
     sync = state.settings
     match message:
         case SettingsAsk():
@@ -68,7 +68,7 @@
             return settings_reducer.on_settings_ask(sync, state.options, sender, address, message)
         case SettingsSend():
             effects = settings_reducer.on_settings_send(sync, state.options, now, message)
-            _adopt(state)
+            _update_config(state)
             return effects
 
 
@@ -78,18 +78,18 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Do what is due."""
+    """Run the periodic work, and use a new `Config`."""
     effects = settings_reducer.on_tick(
-        state.settings, state.options, now, state.me.name, lambda: _peers(state, now)
+        state.settings, state.options, now, state.me.name, lambda: _peer_settings(state, now)
     )
-    _adopt(state)
+    _update_config(state)
     return effects
 
 
-def _peers(state: State, now: float) -> Sequence[PeerSettings]:
-    """Give where the other live instances stand.
+def _peer_settings(state: State, now: float) -> Sequence[PeerSettings]:
+    """Return the settings offsets of the other live instances.
 
-    Of another data centre only the lowest offset of its live instances is known, by its relays.
+    For another data centre only the lowest offset of its live instances is known, from its relays.
     """
     centres = membership.data_centres(state, now)
     lowest = {centre.name: centre.settings_offset for centre in centres if centre.reachable}
@@ -105,20 +105,20 @@
 
 
 def where_in_force(state: State, now: float, offset: int) -> list[CentreReach]:
-    """Say of each data centre whether all settings before an offset are in force there."""
+    """Return for each data centre whether all settings before an offset are in force there."""
     members = state.members.by_name.values()
     return in_force(
         now,
         offset,
         centres=membership.data_centres(state, now),
         not_live=[each for each in members if not membership.is_live(state, now, each)],
-        # A data centre may be known only by its servers: no instance there was ever heard of.
+        # Includes data centres that are known only by their servers.
         named={server.entry.data_centre for server in state.servers.by_name.values()},
     )
 
 
-def _adopt(state: State) -> None:
-    """Put a new `Config` in force."""
+def _update_config(state: State) -> None:
+    """Use a new `Config`."""
     sync = state.settings
     state.has_settings = sync.ready
     if sync.config is not state.config:
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_inforce.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_inforce.py
@@ -1,9 +1,8 @@
-"""Say in which data centres a change is in force, and of which that cannot be said.
+"""Determine in which data centres a change is in force.
 
-The evidence is what instances say of themselves: each heartbeat carries the offset of the settings
-by which its sender serves, and relays pass on the lowest one of their data centre. Settings never
-go back, so an old word that says enough still holds. Of an instance that was never heard from
-nothing is known, and of a silent one no more than its last word.
+Each heartbeat carries the offset of the settings that its sender uses, and relays report the lowest
+offset of their data centre. Settings never move back, so an old report of a sufficient offset is
+still valid. Of an unresponsive instance only the last report is known, if any.
 """
 
 from __future__ import annotations
@@ -20,36 +19,36 @@
 class Reach(StrEnum):
     """Whether a change is in force somewhere."""
 
-    # Every known instance has said that it serves by settings at least as new.
+    # Every known instance has reported settings that are at least as new.
     IN_FORCE = "in_force"
-    # Some instance that is heard from still serves by older ones.
+    # A responsive instance still uses older settings.
     BEHIND = "behind"
-    # Some instance is not heard from, and its last word, if any, was of older ones.
+    # An instance is unresponsive, and its last report, if any, was of older settings.
     OUT_OF_REACH = "out_of_reach"
 
 
 @dataclass(frozen=True, slots=True)
-class SilentInstance:
-    """A known instance that is not heard from and has not said that the change is in force."""
+class UnresponsiveInstance:
+    """An unresponsive instance that has not reported the change as in force."""
 
     name: InstanceName
-    # The offset that it spoke of last, and how long ago; None if it was never heard from.
+    # Its last reported offset, and the age of that report; None if there was none.
     offset: int
     age_s: float | None
 
 
 @dataclass(frozen=True, slots=True)
 class CentreReach:
-    """What is known of one data centre."""
+    """Whether a change is in force in one data centre."""
 
     data_centre: str
     reach: Reach
-    # The lowest offset that its live instances spoke of, and how many they are.
+    # The lowest reported offset of its live instances, and their number.
     offset: int
     live: int
-    # How old the newest word from there is; None if there was none.
+    # Age of the newest report from there; None if there was none.
     age_s: float | None
-    silent: tuple[SilentInstance, ...]
+    silent: tuple[UnresponsiveInstance, ...]
 
 
 def in_force(
@@ -59,41 +58,49 @@
     not_live: Iterable[Member],
     named: Iterable[str],
 ) -> list[CentreReach]:
-    """Say of each data centre whether all records before an offset are in force there.
+    """Return for each data centre whether all records before an offset are in force there.
 
-    `not_live` are the known instances that are not heard from; `named` are data centres that are
-    known by name only, such as those of the servers in the settings.
+    `not_live` are the known unresponsive instances; `named` are data centres that are known by name
+    only, such as those of the servers in the settings.
     """
-    silent = [it for it in not_live if not it.leaving and it.settings_offset < offset]
-    reaches = {it.name: _reach_of(now, offset, it, silent) for it in centres}
-    for name in (*(it.data_centre for it in silent), *named):
+    unresponsive = [it for it in not_live if not it.leaving and it.settings_offset < offset]
+    reaches = {it.name: _reach_of(now, offset, it, unresponsive) for it in centres}
+    for name in (*(it.data_centre for it in unresponsive), *named):
         if name and name not in reaches:
-            # Nobody's word from there was ever heard.
-            unheard = tuple(_silent_of(now, it) for it in silent if it.data_centre == name)
-            reaches[name] = CentreReach(name, Reach.OUT_OF_REACH, 0, 0, None, unheard)
+            # No report has been received from there.
+            instances = tuple(
+                _unresponsive_instance(now, it) for it in unresponsive if it.data_centre == name
+            )
+            reaches[name] = CentreReach(name, Reach.OUT_OF_REACH, 0, 0, None, instances)
     return [reaches[name] for name in sorted(reaches)]
 
 
-def _reach_of(now: float, offset: int, centre: CentreView, silent: list[Member]) -> CentreReach:
-    missing = tuple(_silent_of(now, it) for it in silent if it.data_centre == centre.name)
-    heard = isfinite(centre.heard_at) and centre.live > 0
-    if heard and centre.settings_offset >= offset:
-        reach = Reach.OUT_OF_REACH if missing else Reach.IN_FORCE
+def _reach_of(
+    now: float, offset: int, centre: CentreView, unresponsive_members: list[Member]
+) -> CentreReach:
+    unresponsive = tuple(
+        _unresponsive_instance(now, it)
+        for it in unresponsive_members
+        if it.data_centre == centre.name
+    )
+    has_report = isfinite(centre.heard_at) and centre.live > 0
+    if has_report and centre.settings_offset >= offset:
+        reach = Reach.OUT_OF_REACH if unresponsive else Reach.IN_FORCE
     else:
-        reach = Reach.BEHIND if heard and centre.reachable else Reach.OUT_OF_REACH
+        reach = Reach.BEHIND if has_report and centre.reachable else Reach.OUT_OF_REACH
     return CentreReach(
         data_centre=centre.name,
         reach=reach,
         offset=centre.settings_offset,
         live=centre.live,
-        age_s=_age(now, centre.heard_at),
-        silent=missing,
+        age_s=_age_s(now, centre.heard_at),
+        silent=unresponsive,
     )
 
 
-def _silent_of(now: float, member: Member) -> SilentInstance:
-    return SilentInstance(member.name, member.settings_offset, _age(now, member.heard_at))
+def _unresponsive_instance(now: float, member: Member) -> UnresponsiveInstance:
+    return UnresponsiveInstance(member.name, member.settings_offset, _age_s(now, member.heard_at))
 
 
-def _age(now: float, heard_at: float) -> float | None:
+def _age_s(now: float, heard_at: float) -> float | None:
     return max(0.0, now - heard_at) if isfinite(heard_at) else None
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
@@ -1,13 +1,11 @@
-"""Keep the settings in step with the log and the peers.
+"""Keep the settings synchronised with the log and the peers.
 
-Records come from the platform's log or from a peer and are applied in offset order, whichever
-brings them first. What the log no longer keeps is bridged by a snapshot, found in the log or had
-from a peer; the state only ever moves to a larger offset.
+Records from the platform's log or from a peer are applied in the order of their offsets. Expired
+records are replaced by a snapshot from the log or from a peer. The state only moves to larger
+offsets.
 
-Operators' changes are carried into the log by `settings_changes`, snapshots are written by
-`settings_snapshots`.
-
-All functions take the `SettingsSync`, change it in place and return effects.
+`settings_changes` appends operators' changes, and `settings_snapshots` writes snapshots. All
+functions here change the given `SettingsSync` in place and return effects.
 """
 
 from __future__ import annotations
@@ -36,7 +34,7 @@
     describe,
     kind_of,
 )
-from turmericweir_core.settings.settings_changes import pursue_changes, settle, settle_seen
+from turmericweir_core.settings.settings_changes import retry_changes, settle, settle_from_snapshot
 from turmericweir_core.settings.settings_snapshots import write_snapshot
 from turmericweir_core.state.settings_state import (
     apply,
@@ -56,21 +54,21 @@
 
 
 def on_log_read(sync: SettingsSync, options: Options, now: float, event: LogRead) -> list[Effect]:
-    """Take records that the platform's log gave."""
-    effects = _note_log_works(sync, now)
+    """Apply the records of a read of the platform's log."""
+    effects = _record_log_reachable(sync, now)
     sync.log_read = True
     sync.known_end = max(sync.known_end, event.end)
-    effects += _watch_end(sync, options, now, event.end)
-    effects += _take(sync, options, now, event.records)
-    return effects + _publish(sync, options, now)
+    effects += _check_log_end(sync, options, now, event.end)
+    effects += _apply_records(sync, options, now, event.records)
+    return effects + _put_in_force(sync, options, now)
 
 
 def on_log_expired(sync: SettingsSync, now: float, event: LogExpired) -> list[Effect]:
-    """Go on reading where the log begins, to find a snapshot there."""
-    effects = _note_log_works(sync, now)
+    """Continue reading at the oldest record of the log, to find a snapshot there."""
+    effects = _record_log_reachable(sync, now)
     sync.known_end = max(sync.known_end, event.end)
     if settings_read_offset(sync) >= event.oldest:
-        # The read set out before a peer had brought this instance further.
+        # The read is older than newer records that a peer sent.
         return effects
     sync.resume_at = event.oldest
     sync.ahead.clear()
@@ -79,7 +77,7 @@
 
 
 def on_log_failed(sync: SettingsSync, now: float, event: LogFailed) -> list[Effect]:
-    """Note that the log cannot be read; from now on the peers are asked without delay."""
+    """Record that the log is unreadable; from now on peers are asked without delay."""
     if sync.log_failed_since is not None:
         return []
     sync.log_failed_since = now
@@ -87,18 +85,18 @@
     return [Log("settings_log_unreachable", fields), Count("settings.log_unreachable")]
 
 
-def _note_log_works(sync: SettingsSync, now: float) -> list[Effect]:
+def _record_log_reachable(sync: SettingsSync, now: float) -> list[Effect]:
     if sync.log_failed_since is None:
         return []
-    seconds = now - sync.log_failed_since
+    after_s = now - sync.log_failed_since
     sync.log_failed_since = None
-    return [Log("settings_log_reachable", {"after_s": round(seconds, 3)})]
+    return [Log("settings_log_reachable", {"after_s": round(after_s, 3)})]
 
 
-def _watch_end(sync: SettingsSync, options: Options, now: float, end: int) -> list[Effect]:
-    """Report a log that was cut short: new changes would never get beyond this instance's offset.
+def _check_log_end(sync: SettingsSync, options: Options, now: float, end: int) -> list[Effect]:
+    """Report a truncated log, in which new changes would get offsets that were already read.
 
-    One such answer proves nothing, as a read may have set out before a peer brought newer records.
+    A single answer is not enough, as the read may be older than newer records that a peer sent.
     """
     if end >= sync.settings.offset:
         sync.log_shorter_since = None
@@ -113,28 +111,28 @@
     return [Log("settings_log_shorter", fields), Count("settings.log_shorter")]
 
 
-def _take(
+def _apply_records(
     sync: SettingsSync, options: Options, now: float, records: Iterable[LogRecord]
 ) -> list[Effect]:
-    """Apply the records that come next; hold those beyond a gap."""
+    """Apply the next records, and hold those beyond a gap."""
     effects: list[Effect] = []
     beyond: list[LogRecord] = []
     for record in records:
         if record.offset == sync.settings.offset:
             verdict = apply(sync.settings, record)
             keep_record(sync, options, record)
-            effects += _report(sync, now, verdict) + settle(sync, verdict)
+            effects += _report_verdict(sync, now, verdict) + settle(sync, verdict)
         elif record.offset > sync.settings.offset:
             beyond.append(record)
     if beyond:
-        effects += _take_beyond(sync, options, now, beyond)
+        effects += _hold_beyond_gap(sync, options, now, beyond)
     return effects
 
 
-def _take_beyond(
+def _hold_beyond_gap(
     sync: SettingsSync, options: Options, now: float, records: list[LogRecord]
 ) -> list[Effect]:
-    """Hold records beyond a gap, and cross it as soon as a snapshot among them allows it."""
+    """Hold records beyond a gap, and apply them if a snapshot among them covers the gap."""
     if sync.ahead:
         records = [it for it in records if it.offset > sync.ahead[-1].offset]
     if sync.ahead and records and sync.ahead[-1].offset + 1 != records[0].offset:
@@ -144,55 +142,55 @@
         sync.ahead.popleft()
     effects: list[Effect] = []
     for record in records:
-        effects += _try_snapshot(sync, record)
+        effects += _load_if_covered(sync, record)
         if sync.settings.offset >= sync.ahead[0].offset:
             held = list(sync.ahead)
             sync.ahead.clear()
-            return effects + _take(sync, options, now, held)
+            return effects + _apply_records(sync, options, now, held)
     return effects
 
 
-def _try_snapshot(sync: SettingsSync, record: LogRecord) -> list[Effect]:
-    """Load a snapshot found beyond a gap, if the records after its own offset are all held."""
+def _load_if_covered(sync: SettingsSync, record: LogRecord) -> list[Effect]:
+    """Load a snapshot beyond a gap if all records after its offset are held."""
     result = read_record(record.value)
     if not is_successful(result):
         return []
     snapshot = result.unwrap()
     if not isinstance(snapshot, SnapshotRecord) or snapshot.offset < sync.ahead[0].offset:
         return []
-    return _load(sync, snapshot, "log")
+    return _load_snapshot(sync, snapshot, "log")
 
 
-def _load(sync: SettingsSync, snapshot: SnapshotRecord, source: str) -> list[Effect]:
-    """Move on to a snapshot; one that is damaged or not newer changes nothing."""
-    before = sync.settings.offset
+def _load_snapshot(sync: SettingsSync, snapshot: SnapshotRecord, source: str) -> list[Effect]:
+    """Load a snapshot, unless it is damaged or not newer."""
+    offset_before = sync.settings.offset
     result = load_snapshot(sync.settings, snapshot)
-    fields = {"source": source, "snapshot_offset": snapshot.offset, "offset": before}
+    fields = {"source": source, "snapshot_offset": snapshot.offset, "offset": offset_before}
     if not is_successful(result):
-        refused = Log("settings_snapshot_refused", {**fields, "reason": result.failure()})
-        return [refused, Count("settings.snapshot_refused")]
+        refusal = Log("settings_snapshot_refused", {**fields, "reason": result.failure()})
+        return [refusal, Count("settings.snapshot_refused")]
     sync.kept.clear()
     loaded = Log("settings_snapshot_loaded", fields)
-    return [loaded, Count("settings.snapshot_loaded"), *settle_seen(sync)]
+    return [loaded, Count("settings.snapshot_loaded"), *settle_from_snapshot(sync)]
 
 
 # --- verdicts --------------------------------------------------------------------------------
 
 
-def _report(sync: SettingsSync, now: float, verdict: Verdict) -> list[Effect]:
-    """Count and log what became of a record, and note snapshots."""
+def _report_verdict(sync: SettingsSync, now: float, verdict: Verdict) -> list[Effect]:
+    """Count and log the verdict on a record, and record the offset of snapshots."""
     kind = kind_of(verdict)
     match verdict:
         case SnapshotMatched() | SnapshotUnchecked():
             sync.snapshot_offset = verdict.snapshot_offset
-            # The age of one that a starting instance reads is not known.
+            # The age of a snapshot is unknown while the instance starts.
             sync.snapshot_seen_at = now if sync.ready else None
             sync.snapshot_due_since = None
             return []
         case Malformed() | SnapshotMismatched():
             return [Log(f"settings_{kind}", describe(verdict)), Count(f"settings.{kind}")]
         case Accepted() | Conflict() | Invalid() | Forbidden() | Repeated():
-            # A starting instance reads the whole log again: that is no news.
+            # Prevents a starting instance from reporting the whole log again.
             if not sync.ready:
                 return []
             subject = verdict.subject
@@ -205,9 +203,9 @@
             return [Log(f"settings_{kind}", fields), Count(f"settings.{kind}")]
 
 
-def _publish(sync: SettingsSync, options: Options, now: float) -> list[Effect]:
-    """Put the settings in force, once they have been whole."""
-    if not sync.ready and not _is_whole(sync, options, now):
+def _put_in_force(sync: SettingsSync, options: Options, now: float) -> list[Effect]:
+    """Put the settings in force once they are complete."""
+    if not sync.ready and not _is_complete(sync, options, now):
         return []
     effects: list[Effect] = []
     if not sync.ready:
@@ -218,28 +216,27 @@
     return effects
 
 
-def _is_whole(sync: SettingsSync, options: Options, now: float) -> bool:
-    """Tell whether a starting instance may serve by what it has.
+def _is_complete(sync: SettingsSync, options: Options, now: float) -> bool:
+    """Return whether a starting instance has all known settings.
 
-    Halfway through the log it would serve by settings that were replaced long ago: to callers, an
-    accepted change would seem to have been taken back.
+    Prevents it from using outdated settings while it reads the log.
     """
     offset = sync.settings.offset
     if offset < sync.known_end or not (sync.log_read or offset):
         return False
-    waited = sync.started_at is not None and now - sync.started_at > options.settings_wait_s
-    return waited or sync.newer_peer is None or sync.newer_peer.offset <= offset
+    has_waited = sync.started_at is not None and now - sync.started_at > options.settings_wait_s
+    return has_waited or sync.newer_peer is None or sync.newer_peer.offset <= offset
 
 
 # --- peers -----------------------------------------------------------------------------------
 
 
 def on_heartbeat(sync: SettingsSync, sender: InstanceName, beat: Heartbeat) -> list[Effect]:
-    """Report a peer whose hash differs at an offset of this instance: one of the two is damaged."""
-    own = sync.settings.digests.get(beat.settings_offset)
+    """Report a peer with a different hash at the same offset, which means that one is damaged."""
+    own_digest = sync.settings.digests.get(beat.settings_offset)
     if beat.settings_offset == sync.settings.offset:
-        own = state_digest(sync.settings)
-    if not beat.settings_hash or own is None or own == beat.settings_hash:
+        own_digest = state_digest(sync.settings)
+    if not beat.settings_hash or own_digest is None or own_digest == beat.settings_hash:
         return []
     if sync.diverged.get(sender) == beat.settings_offset:
         return []
@@ -247,16 +244,16 @@
     fields = {
         "peer": sender,
         "offset": beat.settings_offset,
-        "own_hash": own,
+        "own_hash": own_digest,
         "peer_hash": beat.settings_hash,
     }
     return [Log("settings_diverged", fields), Count("settings.diverged")]
 
 
-def _follow_peers(
+def _ask_newest_peer(
     sync: SettingsSync, options: Options, now: float, peers: Sequence[PeerSettings]
 ) -> list[Effect]:
-    """Ask the peer with the newest settings while this instance is behind it."""
+    """Ask the peer with the newest settings if this instance is behind it."""
     sync.peers_checked_at = now
     newest = max(peers, key=lambda peer: (peer.offset, peer.name), default=None)
     if newest is None or newest.offset <= sync.settings.offset:
@@ -265,10 +262,10 @@
     sync.newer_peer = newest
     if sync.behind_since is None:
         sync.behind_since = now
-    waited = now - sync.behind_since >= options.settings_ask_after_s
-    log_is_no_help = sync.log_failed_since is not None or not sync.log_read or _has_gap(sync)
-    asked = sync.asked_at is not None and now - sync.asked_at < options.settings_ask_s
-    if asked or not (waited or log_is_no_help):
+    has_waited = now - sync.behind_since >= options.settings_ask_after_s
+    is_log_unusable = sync.log_failed_since is not None or not sync.log_read or _has_gap(sync)
+    is_asked = sync.asked_at is not None and now - sync.asked_at < options.settings_ask_s
+    if is_asked or not (has_waited or is_log_unusable):
         return []
     sync.asked_at = now
     ask = SendPeer(newest.name, newest.address, SettingsAsk(sync.settings.offset))
@@ -286,14 +283,14 @@
     address: str,
     message: SettingsAsk,
 ) -> list[Effect]:
-    """Send a peer the records that it lacks, or the whole state where they are gone."""
-    # While it is not whole itself, an instance would pass on settings that were replaced long ago.
+    """Send a peer the records that it lacks, or a snapshot if they are no longer kept."""
+    # Prevents a starting instance from sending outdated settings.
     if not sync.ready or message.offset >= sync.settings.offset:
         return []
-    return [SendPeer(sender, address, _answer_ask(sync, options, message.offset))]
+    return [SendPeer(sender, address, _build_answer(sync, options, message.offset))]
 
 
-def _answer_ask(sync: SettingsSync, options: Options, offset: int) -> SettingsSend:
+def _build_answer(sync: SettingsSync, options: Options, offset: int) -> SettingsSend:
     if sync.kept and offset >= sync.kept[0].offset:
         start = offset - sync.kept[0].offset
         stop = min(len(sync.kept), start + options.settings_send_max)
@@ -304,43 +301,45 @@
 def on_settings_send(
     sync: SettingsSync, options: Options, now: float, message: SettingsSend
 ) -> list[Effect]:
-    """Take records, or a whole state, from a peer."""
-    before = sync.settings.offset
+    """Apply records or a snapshot from a peer."""
+    offset_before = sync.settings.offset
     effects: list[Effect] = []
     if message.snapshot is not None:
-        effects += _load_sent(sync, message)
-    records = [LogRecord(message.first + at, it) for at, it in enumerate(message.records)]
-    # Records beyond a gap are of no use here: the peer is asked for those before them.
+        effects += _load_peer_snapshot(sync, message)
+    records = [
+        LogRecord(message.first + index, value) for index, value in enumerate(message.records)
+    ]
+    # Records beyond a gap are ignored, as the peer is asked for those before them.
     if records and records[0].offset <= sync.settings.offset:
-        effects += _take(sync, options, now, records)
-    if sync.settings.offset == before:
+        effects += _apply_records(sync, options, now, records)
+    if sync.settings.offset == offset_before:
         return effects
-    effects += _take_held(sync, options, now)
+    effects += _apply_held(sync, options, now)
     effects.append(Count("settings.from_peer"))
-    # The next part is asked for as soon as the peers are looked at again.
+    # Makes the next tick ask for the next part.
     sync.asked_at = sync.peers_checked_at = None
-    return effects + _publish(sync, options, now)
+    return effects + _put_in_force(sync, options, now)
 
 
-def _take_held(sync: SettingsSync, options: Options, now: float) -> list[Effect]:
-    """Go on with records held beyond a gap, once a peer has bridged it."""
+def _apply_held(sync: SettingsSync, options: Options, now: float) -> list[Effect]:
+    """Apply the held records once a peer has sent those before them."""
     if not sync.ahead or sync.ahead[0].offset > sync.settings.offset:
         return []
-    held = list(sync.ahead)
+    records = list(sync.ahead)
     sync.ahead.clear()
-    return _take(sync, options, now, held)
+    return _apply_records(sync, options, now, records)
 
 
-def _load_sent(sync: SettingsSync, message: SettingsSend) -> list[Effect]:
+def _load_peer_snapshot(sync: SettingsSync, message: SettingsSend) -> list[Effect]:
     result = read_record(message.snapshot)
     snapshot = result.unwrap() if is_successful(result) else None
     if isinstance(snapshot, SnapshotRecord):
-        return _load(sync, snapshot, "peer")
-    refused = Log("settings_snapshot_refused", {"source": "peer", "reason": "it is malformed"})
-    return [refused, Count("settings.snapshot_refused")]
+        return _load_snapshot(sync, snapshot, "peer")
+    refusal = Log("settings_snapshot_refused", {"source": "peer", "reason": "it is malformed"})
+    return [refusal, Count("settings.snapshot_refused")]
 
 
-# --- time ------------------------------------------------------------------------------------
+# --- timers ----------------------------------------------------------------------------------
 
 
 def on_tick(
@@ -350,13 +349,13 @@
     me: InstanceName,
     list_peers: Callable[[], Sequence[PeerSettings]],
 ) -> list[Effect]:
-    """Do what is due; the peers are listed only when it is time to look at them."""
+    """Run the periodic work; `list_peers` is called only when a check of the peers is due."""
     if sync.started_at is None:
         sync.started_at = now
-    effects = pursue_changes(sync, options, now)
-    checked = sync.peers_checked_at
-    if checked is None or now - checked >= options.settings_check_s:
+    effects = retry_changes(sync, options, now)
+    checked_at = sync.peers_checked_at
+    if checked_at is None or now - checked_at >= options.settings_check_s:
         peers = list_peers()
-        effects += _follow_peers(sync, options, now, peers)
+        effects += _ask_newest_peer(sync, options, now, peers)
         effects += write_snapshot(sync, options, now, me, peers)
-    return effects + _publish(sync, options, now)
+    return effects + _put_in_force(sync, options, now)
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_snapshots.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_snapshots.py
@@ -1,7 +1,7 @@
-"""Write the settings into the log as a snapshot, before the records that make them up expire.
+"""Write snapshots of the settings to the log before the underlying records expire.
 
-One instance does it, without an election: the lowest name first, and each next one a while later,
-so that one that cannot reach the log does not keep the others from writing.
+There is no election: the instance with the lowest name writes first, and each next one after a
+further `snapshot_step_s`, in case the ones before it cannot reach the log.
 """
 
 from __future__ import annotations
@@ -26,20 +26,20 @@
     me: InstanceName,
     peers: Sequence[PeerSettings],
 ) -> list[Effect]:
-    """Append a snapshot when one is due and it is this instance's turn.
+    """Append a snapshot if one is due and the delay of this instance's rank is over.
 
-    Two writers are harmless: readers check either against their own state.
+    Two snapshots do no harm, as readers check each against their own state.
     """
-    if not sync.ready or not sync.settings.offset or not _snapshot_is_due(sync, options, now):
+    if not sync.ready or not sync.settings.offset or not _is_snapshot_due(sync, options, now):
         sync.snapshot_due_since = None
         return []
     if sync.snapshot_due_since is None:
         sync.snapshot_due_since = now
-    turn = sum(1 for peer in peers if peer.name < me)
-    tried = sync.snapshot_tried_at
-    if now - sync.snapshot_due_since < turn * options.snapshot_step_s:
+    rank = sum(1 for peer in peers if peer.name < me)
+    tried_at = sync.snapshot_tried_at
+    if now - sync.snapshot_due_since < rank * options.snapshot_step_s:
         return []
-    if tried is not None and now - tried < options.snapshot_retry_s:
+    if tried_at is not None and now - tried_at < options.snapshot_retry_s:
         return []
     if sync.log_failed_since is not None:
         return []
@@ -48,7 +48,7 @@
     return [AppendRecords(STREAM, _SNAPSHOT_TOKEN, (record,)), Count("settings.snapshot_written")]
 
 
-def _snapshot_is_due(sync: SettingsSync, options: Options, now: float) -> bool:
+def _is_snapshot_due(sync: SettingsSync, options: Options, now: float) -> bool:
     if sync.settings.offset - sync.snapshot_offset >= options.snapshot_every:
         return True
     if sync.snapshot_seen_at is not None:
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_trial.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_trial.py
@@ -1,4 +1,4 @@
-"""Try changes on a copy of the settings, without the log: what would become of them just now?"""
+"""Dry runs: apply changes to a copy of the settings to get the verdicts that they would have."""
 
 from __future__ import annotations
 
@@ -17,25 +17,25 @@
 )
 
 
-# Any: values are whatever an operator wrote; the fold validates them.
+# Any: operators may submit any values, and `apply` validates them.
 def try_changes(state: SettingsState, values: Mapping[str, Any]) -> list[Verdict]:
-    """Apply values by path in their order, None for a deletion; say what becomes of each.
+    """Apply values by path in order, None for a deletion, and return the verdict on each.
 
-    A later value may name an earlier one. Whether the operator holds the paths is not looked at.
+    A later value may refer to an earlier one. The operator's authority is not checked.
     """
-    scratch = read_snapshot(take_snapshot(state)).unwrap()
-    return [_try(scratch, path, value) for path, value in values.items()]
+    state_copy = read_snapshot(take_snapshot(state)).unwrap()
+    return [_dry_run_change(state_copy, path, value) for path, value in values.items()]
 
 
-def _try(scratch: SettingsState, path: str, value: Any) -> Verdict:
+def _dry_run_change(state_copy: SettingsState, path: str, value: Any) -> Verdict:
     change = ChangeRecord(
-        # The offset makes it unlike every id that is remembered.
-        change_id=f"trial/{scratch.offset}",
+        # The offset makes the id unique.
+        change_id=f"trial/{state_copy.offset}",
         path=path,
-        expected_version=settings_version(scratch, path),
+        expected_version=settings_version(state_copy, path),
         value=value,
         operator="trial",
         at=0.0,
         authority="bootstrap",
     )
-    return apply(scratch, LogRecord(scratch.offset, log_form(change)))
+    return apply(state_copy, LogRecord(state_copy.offset, log_form(change)))
--- a/tests/core/settings/test_settings.py
+++ b/tests/core/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""The fold over settings records: cases from `cases/settings.test`, and properties."""
+"""Tests of applying settings records: cases from `cases/settings.test`, and properties."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
 
 
 def fold(state: SettingsState, *values: Any) -> list[Verdict]:
-    """Apply record values at the offsets that come next."""
+    """Apply record values at the next offsets."""
     return [apply(state, LogRecord(state.offset, value)) for value in values]
 
 
 def snapshot_value(state: SettingsState, damage: str) -> dict[str, Any]:
-    """Give the record of a snapshot, damaged where the case says so."""
+    """Return the record of a snapshot, damaged as the case says."""
     value = log_form(take_snapshot(state))
     if damage == "wrong-hash":
         value["hash"] = "0" * 32
@@ -45,9 +45,9 @@
 
 
 def run_line(state: SettingsState, line: str) -> str:
-    """Apply the record of a line and describe its verdict in one line."""
-    word, _, rest = line.partition(" ")
-    value = snapshot_value(state, rest) if word == "snapshot" else record_of(line)
+    """Apply the record of a line and return its verdict as one line."""
+    keyword, _, rest = line.partition(" ")
+    value = snapshot_value(state, rest) if keyword == "snapshot" else record_of(line)
     (verdict,) = fold(state, value)
     fields = describe(verdict)
     kind = fields.pop("verdict")
@@ -62,7 +62,7 @@
 
 
 def state_lines(state: SettingsState) -> list[str]:
-    """Describe the entries, one a line."""
+    """Return the entries, one per line."""
     return [
         f"{path} @{entry.version} {json.dumps(entry.written)}"
         for path, entry in sorted(state.entries.items())
@@ -90,7 +90,7 @@
 
 @st.composite
 def change_records(draw: st.DrawFn) -> dict[str, Any]:
-    """Draw a change that is often accepted, with few ids so that they repeat."""
+    """Draw a change that is often accepted, from few ids that repeat."""
     path = draw(st.sampled_from(PATHS))
     return change(
         f"id-{draw(st.integers(0, 40))}",
@@ -120,8 +120,8 @@
 logs = st.lists(st.one_of(change_records(), change_records(), noise), max_size=40)
 
 
-def same(one: SettingsState, other: SettingsState) -> bool:
-    """Tell whether two states are equal in everything that readers agree on."""
+def are_equal(one: SettingsState, other: SettingsState) -> bool:
+    """Return whether two states are equal in everything that readers agree on."""
     return (
         state_digest(one) == state_digest(other)
         and one.offset == other.offset
@@ -136,50 +136,45 @@
 def test_reader_that_starts_from_a_snapshot_agrees_with_one_that_read_all(
     values: list[Any], cut: int
 ) -> None:
-    """A reader that missed the first records loads a snapshot and reads on.
-
-    Whatever the log holds, it must come to the state of a reader that saw every record, or the two
-    would serve the same customer by different settings.
-    """
+    """Prevents a reader that starts from a snapshot from reaching another state."""
     whole = SettingsState()
     fold(whole, *values[:cut])
     sent = json.loads(json.dumps(log_form(take_snapshot(whole))))
-    late = SettingsState()
+    late_reader = SettingsState()
     snapshot = read_record(sent).unwrap()
     assert isinstance(snapshot, SnapshotRecord)
     if whole.offset:
-        load_snapshot(late, snapshot).unwrap()
+        load_snapshot(late_reader, snapshot).unwrap()
     rest = values[cut:]
-    assert [describe(it) for it in fold(whole, *rest)] == [describe(it) for it in fold(late, *rest)]
-    assert same(whole, late)
+    assert [describe(it) for it in fold(whole, *rest)] == [
+        describe(it) for it in fold(late_reader, *rest)
+    ]
+    assert are_equal(whole, late_reader)
 
 
 @settings(max_examples=200, deadline=None)
 @given(values=logs, copies=st.lists(st.integers(0, 39), max_size=20))
 def test_records_appended_twice_count_once(values: list[Any], copies: list[int]) -> None:
-    """An append whose acknowledgement was lost is made again, so its record stands twice.
-
-    The second must not change anything, or a change made in between would be undone.
-    """
+    """Prevents a record that was appended twice from undoing a change in between."""
     state = SettingsState()
     fold(state, *values)
     entries = dict(state.entries)
     for copy in copies:
-        if copy < len(values) and read_is_change(values[copy]):
+        if copy < len(values) and is_change_record(values[copy]):
             (verdict,) = fold(state, values[copy])
             assert kind_of(verdict) is VerdictKind.REPEATED
     assert state.entries == entries
 
 
-def read_is_change(value: Any) -> bool:
-    """Tell whether a value is a well-formed change record."""
+def is_change_record(value: Any) -> bool:
+    """Return whether a value is a well-formed change record."""
     result = read_record(value)
     return bool(result.map(lambda record: record.type == "change").value_or(False))
 
 
 @settings(max_examples=200, deadline=None)
 @given(values=logs)
-def test_every_accepted_state_gives_a_config_whose_references_hold(values: list[Any]) -> None:
+def test_every_config_has_valid_references(values: list[Any]) -> None:
     state = SettingsState()
     for value in values:
         fold(state, value)
@@ -205,13 +200,13 @@
         return
     snapshot = read_record(damaged[damage]).unwrap()
     assert isinstance(snapshot, SnapshotRecord)
-    late = SettingsState()
-    assert "hash" in load_snapshot(late, snapshot).failure()
-    assert same(late, SettingsState())
+    late_reader = SettingsState()
+    assert "hash" in load_snapshot(late_reader, snapshot).failure()
+    assert are_equal(late_reader, SettingsState())
 
 
 def test_snapshot_that_is_not_newer_is_refused() -> None:
-    """A reader that took an older snapshot would take accepted changes back."""
+    """Prevents an older snapshot from undoing accepted changes."""
     state = SettingsState()
     value = {"priority": 0, "latency_target_ms": 100}
     fold(state, change("one", "/classes/a", value))
@@ -222,7 +217,7 @@
     assert state_digest(state) == before
 
 
-def test_seen_ids_are_bounded_alike_for_all_readers() -> None:
+def test_seen_ids_are_limited_alike_for_all_readers() -> None:
     value = {"requests_s": 1}
     state = SettingsState()
     fold(state, change("first", "/limits/default", value))
@@ -230,16 +225,16 @@
         fold(state, change(f"id-{number}", "/limits/default", value))
     assert len(state.seen) == SEEN_KEEP
     assert "first" not in state.seen
-    # Forgotten, but its expected version is long gone: it still changes nothing.
+    # The id was dropped, but the outdated expected version prevents a change.
     (verdict,) = fold(state, change("first", "/limits/default", {"requests_s": 9}))
     assert kind_of(verdict) is VerdictKind.CONFLICT
     reread = read_snapshot(take_snapshot(state)).unwrap()
-    assert same(reread, state)
+    assert are_equal(reread, state)
 
 
-def test_digest_does_not_depend_on_how_a_codec_writes_numbers() -> None:
-    """One JSON library gives 1.0 back as 1: the reader behind it must not come to another hash."""
+def test_digest_does_not_depend_on_number_encoding() -> None:
+    """Prevents another hash at a reader whose JSON library decodes 1.0 as 1."""
     one, other = SettingsState(), SettingsState()
     fold(one, change("a", "/limits/default", {"requests_s": 1}))
     fold(other, change("a", "/limits/default", {"requests_s": 1.0}))
-    assert same(one, other)
+    assert are_equal(one, other)
--- a/tests/core/settings/test_settings_inforce.py
+++ b/tests/core/settings/test_settings_inforce.py
@@ -1,4 +1,4 @@
-"""What is said of a data centre after a change, by what was heard from there."""
+"""Tests of whether a change counts as in force in a data centre, from the reports received."""
 
 from __future__ import annotations
 
@@ -17,12 +17,12 @@
 def centre(
     offset: int, *, heard_at: float = NOW, reachable: bool = True, live: int = 2
 ) -> CentreView:
-    """Build the newest word from the data centre `b`."""
+    """Return the newest report from the data centre `b`."""
     return CentreView("b", "region", heard_at, reachable, live, offset)
 
 
-def silent(offset: int, *, heard_at: float = NEVER, leaving: bool = False) -> Member:
-    """Build an instance there that is not heard from."""
+def unresponsive(offset: int, *, heard_at: float = NEVER, leaving: bool = False) -> Member:
+    """Return an unresponsive instance of that data centre."""
     return Member(
         InstanceName("b-9"),
         "b",
@@ -37,33 +37,33 @@
     "all said so": (centre(7), [], Reach.IN_FORCE),
     "one is older": (centre(6), [], Reach.BEHIND),
     "cut off before the change": (centre(6, heard_at=1.0, reachable=False), [], Reach.OUT_OF_REACH),
-    # Settings never go back, so its last word still holds.
+    # Settings never move back, so the last report is still valid.
     "cut off after the change": (centre(7, heard_at=1.0, reachable=False), [], Reach.IN_FORCE),
     "never heard": (centre(9, heard_at=NEVER, reachable=False), [], Reach.OUT_OF_REACH),
     "no live instance": (centre(9, live=0), [], Reach.OUT_OF_REACH),
-    "one never heard": (centre(7), [silent(0)], Reach.OUT_OF_REACH),
-    "one silent since before": (centre(7), [silent(6, heard_at=50.0)], Reach.OUT_OF_REACH),
-    "one silent since after": (centre(7), [silent(7, heard_at=50.0)], Reach.IN_FORCE),
-    "one that left": (centre(7), [silent(6, leaving=True)], Reach.IN_FORCE),
-    "one older and one silent": (centre(6), [silent(0)], Reach.BEHIND),
+    "one never heard": (centre(7), [unresponsive(0)], Reach.OUT_OF_REACH),
+    "one silent since before": (centre(7), [unresponsive(6, heard_at=50.0)], Reach.OUT_OF_REACH),
+    "one silent since after": (centre(7), [unresponsive(7, heard_at=50.0)], Reach.IN_FORCE),
+    "one that left": (centre(7), [unresponsive(6, leaving=True)], Reach.IN_FORCE),
+    "one older and one silent": (centre(6), [unresponsive(0)], Reach.BEHIND),
 }
 
 
 @pytest.mark.parametrize(("view", "not_live", "reach"), CASES.values(), ids=CASES)
 def test_reach(view: CentreView, not_live: list[Member], reach: Reach) -> None:
-    (found,) = in_force(NOW, OFFSET, [view], not_live, named=[])
-    assert found.reach is reach
+    (reaches,) = in_force(NOW, OFFSET, [view], not_live, named=[])
+    assert reaches.reach is reach
 
 
 def test_data_centre_known_by_name_only_is_out_of_reach() -> None:
-    found = in_force(NOW, OFFSET, [centre(7)], [silent(0)], named=["c", "b", ""])
-    assert [(it.data_centre, it.reach) for it in found] == [
+    reaches = in_force(NOW, OFFSET, [centre(7)], [unresponsive(0)], named=["c", "b", ""])
+    assert [(it.data_centre, it.reach) for it in reaches] == [
         ("b", Reach.OUT_OF_REACH),
         ("c", Reach.OUT_OF_REACH),
     ]
-    assert found[1].age_s is None
+    assert reaches[1].age_s is None
 
 
-def test_silent_instance_is_named_with_its_last_word() -> None:
-    (found,) = in_force(NOW, OFFSET, [centre(7)], [silent(3, heard_at=60.0)], named=[])
-    assert [(it.name, it.offset, it.age_s) for it in found.silent] == [("b-9", 3, 40.0)]
+def test_unresponsive_instance_is_listed_with_its_last_report() -> None:
+    (reaches,) = in_force(NOW, OFFSET, [centre(7)], [unresponsive(3, heard_at=60.0)], named=[])
+    assert [(it.name, it.offset, it.age_s) for it in reaches.silent] == [("b-9", 3, 40.0)]
--- a/tests/core/settings/test_settings_sync.py
+++ b/tests/core/settings/test_settings_sync.py
@@ -1,19 +1,19 @@
-"""The settings reducer: cases from `cases/settings_sync.test`, and properties under random faults.
+"""Tests of the settings reducer: `cases/settings_sync.test`, and properties under random faults.
 
-The cases speak of one instance and of a log that it may or may not be able to read:
+The cases describe one instance and its log:
 
-    now SECONDS                  the time from here on
-    log RECORD                   a record enters the log, unread; see `settings_script`
-    log snapshot N               a snapshot of the state before offset N enters it
-    read [N]                     the log gives its records from where the instance reads, N at most
-    ended N                      the log gives nothing, and says that it ends at N
-    expired OLDEST               the log answers that it begins there
+    now SECONDS                  set the time
+    log RECORD                   append an unread record to the log; see `settings_script`
+    log snapshot N               append a snapshot of the state before offset N
+    read [N]                     read at most N records from the instance's offset
+    ended N                      read no records, from a log that ends at N
+    expired OLDEST               the log answers that its oldest record is OLDEST
     failed                       the log cannot be read
-    submit ID PATH @VERSION JSON an operator's change; `@-` names no version
+    submit ID PATH @VERSION JSON submit an operator's change; `@-` is no version
     done ID / lost ID / refused ID   the append took effect / may have / has not
-    peers NAME=OFFSET ...        the live peers, for the next ticks
-    tick                         time passes
-    ask OFFSET                   the peer `p` asks
+    peers NAME=OFFSET ...        set the live peers for the next ticks
+    tick                         handle a tick
+    ask OFFSET                   the peer `p` asks for records
     send FIRST N / send snapshot N   a peer sends N records, or the state before offset N
     show                         describe the instance
 """
@@ -65,7 +65,7 @@
 
 
 def fold(values: Sequence[Any]) -> SettingsState:
-    """Give the state of a reader that has read all of these."""
+    """Return the state of a reader that has read all values."""
     state = SettingsState()
     for offset, value in enumerate(values):
         apply(state, LogRecord(offset, value))
@@ -73,13 +73,13 @@
 
 
 def records(values: Sequence[Any], first: int, stop: int) -> tuple[LogRecord, ...]:
-    """Give a part of the log as it is read."""
+    """Return a part of the log as records."""
     return tuple(LogRecord(at, values[at]) for at in range(first, min(stop, len(values))))
 
 
 @dataclass(slots=True)
 class Play:
-    """One instance, and the world that a case makes for it."""
+    """One instance with its log and peers."""
 
     sync: SettingsSync = field(default_factory=SettingsSync)
     options: Options = OPTIONS
@@ -88,17 +88,17 @@
     peers: list[PeerSettings] = field(default_factory=list)
 
     def run(self, line: str) -> list[str]:
-        """Do what a line says, and give the line and the effects where there are any."""
-        word, _, rest = line.partition(" ")
-        if word == "show":
+        """Run a line, and return the line with its effects, if any."""
+        command, _, rest = line.partition(" ")
+        if command == "show":
             return [self.show()]
-        effects = self.do(word, rest)
+        effects = self.do(command, rest)
         shown = [f"    {show_effect(effect)}" for effect in effects]
         return [line, *shown] if shown else []
 
-    def do(self, word: str, rest: str) -> list[Effect]:
-        """Do one thing."""
-        match word:
+    def do(self, command: str, rest: str) -> list[Effect]:
+        """Run one command and return its effects."""
+        match command:
             case "now":
                 self.now = float(rest)
                 return []
@@ -129,7 +129,7 @@
             case "done":
                 return self.done(rest)
             case "lost" | "refused":
-                lost = AppendFailed(STREAM, rest, "timed out", maybe=word == "lost")
+                lost = AppendFailed(STREAM, rest, "timed out", maybe=command == "lost")
                 return settings_changes.on_append_failed(self.sync, self.now, lost)
             case "ask":
                 ask = SettingsAsk(int(rest))
@@ -137,17 +137,17 @@
             case "send":
                 return self.take(self.message(rest))
             case _:
-                raise AssertionError(f"unknown word {word!r}")
+                raise AssertionError(f"unknown word {command!r}")
 
     def record(self, text: str) -> Any:
-        """Build a record for the log."""
-        word, _, at = text.partition(" ")
-        if word == "snapshot":
+        """Return a record for the log."""
+        command, _, at = text.partition(" ")
+        if command == "snapshot":
             return log_form(take_snapshot(fold(self.log[: int(at)])))
         return record_of(text)
 
     def message(self, text: str) -> SettingsSend:
-        """Build what a peer sends."""
+        """Return the message that a peer sends."""
         first, _, rest = text.partition(" ")
         if first == "snapshot":
             snapshot = log_form(take_snapshot(fold(self.log[: int(rest)])))
@@ -156,34 +156,34 @@
         return SettingsSend(at, self.log[at : at + int(rest)])
 
     def take(self, message: SettingsSend) -> list[Effect]:
-        """Hand over what a peer sends."""
+        """Handle a message of a peer."""
         return settings_reducer.on_settings_send(self.sync, self.options, self.now, message)
 
     def tick(self) -> list[Effect]:
-        """Let time pass."""
+        """Handle a tick."""
         return settings_reducer.on_tick(self.sync, self.options, self.now, ME, lambda: self.peers)
 
-    def read(self, most: int) -> list[Effect]:
-        """Let the log give records."""
+    def read(self, count_max: int) -> list[Effect]:
+        """Read at most a number of records from the log."""
         first = settings_read_offset(self.sync)
-        event = LogRead(STREAM, records(self.log, first, first + most), len(self.log))
+        event = LogRead(STREAM, records(self.log, first, first + count_max), len(self.log))
         return settings_reducer.on_log_read(self.sync, self.options, self.now, event)
 
     def submit(self, change_id: str, path: str, version: str, value: str) -> list[Effect]:
-        """Let an operator of the process file ask for a change."""
+        """Submit a change as an operator of the process file."""
         expected = None if version == "@-" else int(version[1:])
         operator = settings_changes.BOOTSTRAP_PREFIX + ROOT
         event = ChangeSubmitted(change_id, path, expected, json.loads(value), operator)
         return settings_changes.on_change_submitted(self.sync, self.options, self.now, event)
 
     def done(self, change_id: str) -> list[Effect]:
-        """Acknowledge an append of a record that stands in the log."""
+        """Acknowledge the append of a record that is in the log."""
         at = max(n for n, it in enumerate(self.log) if it.get("change_id") == change_id)
         event = AppendDone(STREAM, change_id, at, at + 1)
         return settings_changes.on_append_done(self.sync, event)
 
     def show(self) -> str:
-        """Describe the instance in one line."""
+        """Return a description of the instance in one line."""
         paths = " ".join(f"{path}@{it.version}" for path, it in self.sync.settings.entries.items())
         ready = "ready" if self.sync.ready else "not ready"
         config = self.sync.config.offset
@@ -191,19 +191,19 @@
 
 
 def show_effect(effect: Effect) -> str:
-    """Describe an effect in one line."""
+    """Return a description of an effect in one line."""
     match effect:
         case AppendRecords():
             (value,) = effect.records
-            what = value.get("change_id", f"state before {value.get('offset')}")
-            return f"append {effect.token} {what} expecting {value.get('expected_version')}"
+            content = value.get("change_id", f"state before {value.get('offset')}")
+            return f"append {effect.token} {content} expecting {value.get('expected_version')}"
         case ReadLog():
             return f"read from {effect.offset}"
         case SendPeer(peer, _, SettingsAsk(offset)):
             return f"to {peer}: ask from {offset}"
         case SendPeer(peer, _, SettingsSend() as sent):
-            what = f"{len(sent.records)} records" if sent.snapshot is None else "snapshot"
-            return f"to {peer}: {what} from {sent.first}"
+            content = f"{len(sent.records)} records" if sent.snapshot is None else "snapshot"
+            return f"to {peer}: {content} from {sent.first}"
         case SettleChange():
             fields = describe(effect.verdict)
             shown = [f"{key}={it}" for key, it in fields.items() if key in SETTLED_FIELDS]
@@ -230,7 +230,7 @@
 
 @st.composite
 def logs(draw: st.DrawFn) -> list[Any]:
-    """Draw a log of changes, noise and snapshots, sound and damaged."""
+    """Draw a log of changes, noise, and valid and damaged snapshots."""
     values: list[Any] = []
     for number in range(draw(st.integers(1, 24))):
         kind = draw(st.sampled_from(("change", "change", "change", "noise", "snapshot", "bad")))
@@ -263,14 +263,14 @@
 
 
 def step(play: Play, kind: str, at: int, count: int) -> None:
-    """Let one thing happen to an instance."""
+    """Apply one step to an instance."""
     play.now += 0.25
     at = min(at, len(play.log))
     match kind:
         case "read":
             play.read(count)
         case "old_read":
-            # A read that set out long ago, or of a log that was since trimmed: any part of it.
+            # Any part of the log, as from a delayed read or a log that was truncated since.
             event = LogRead(STREAM, records(play.log, at, at + count), max(at, 1))
             settings_reducer.on_log_read(play.sync, play.options, play.now, event)
         case "expired":
@@ -288,18 +288,16 @@
 
 
 @settings(max_examples=400, deadline=None)
-@given(log=logs(), happenings=steps)
-def test_any_order_of_sources_leads_to_the_one_state_of_the_log(
-    log: list[Any], happenings: list[tuple[str, int, int]]
+@given(log=logs(), steps_taken=steps)
+def test_any_order_of_sources_leads_to_the_same_state(
+    log: list[Any], steps_taken: list[tuple[str, int, int]]
 ) -> None:
-    """Records come late, twice, out of order, from the log and from peers, with gaps.
+    """Prevents a state that differs from the records before its offset, or that moves back.
 
-    Whatever is read when, an instance is at all times in exactly the state that the records before
-    its offset give, and never goes back. Otherwise two instances would serve one customer by
-    different settings, or an accepted change would be taken back.
+    Records arrive delayed, repeated, out of order and with gaps, from the log and from peers.
     """
     play = Play(log=log)
-    for kind, at, count in happenings:
+    for kind, at, count in steps_taken:
         before = play.sync.settings.offset
         published = play.sync.config.offset
         step(play, kind, at, count)
@@ -312,7 +310,7 @@
 
 
 def check_answers(play: Play) -> None:
-    """Check that what a peer would be sent stands so in the log."""
+    """Check that answers to peers agree with the log."""
     for offset in range(play.sync.settings.offset):
         for effect in play.do("ask", str(offset)):
             assert isinstance(effect, SendPeer)
@@ -327,22 +325,20 @@
 
 @dataclass(slots=True)
 class Operator:
-    """An operator who asks one instance for a change, and what came of it."""
+    """An operator who submits a change to one instance."""
 
     play: Play
     change_id: str
-    # What the operator was told; None while nothing was.
-    told: VerdictKind | None = None
+    # The reported verdict; None until there is one.
+    verdict: VerdictKind | None = None
 
 
 @settings(max_examples=300, deadline=None)
 @given(data=st.data())
-def test_operators_are_told_what_the_log_decided(data: st.DataObject) -> None:
-    """Several operators change one path through several instances at once, and acks are lost.
+def test_operators_receive_the_verdicts_of_the_log(data: st.DataObject) -> None:
+    """Prevents a reported verdict that differs from the log when acknowledgements are lost.
 
-    An append may take effect and fail all the same, so it is made again and its record stands
-    twice. Each operator must be told what every reader of the log comes to: accepted at most once
-    for each version, and never accepted for a change that lost.
+    Several operators change one path through several instances at once.
     """
     log: list[Any] = []
     operators = [Operator(Play(log=log), f"c{number}") for number in range(4)]
@@ -359,37 +355,37 @@
         handle(data, operator, operator.play.do(kind, ""))
     for operator in operators:
         settle(operator)
-    verdicts = judge(log)
-    told = {operator.change_id: operator.told for operator in operators}
-    assert {change_id: told[change_id] for change_id in verdicts} == verdicts
-    assert all(it is VerdictKind.NOT_APPENDED for key, it in told.items() if key not in verdicts)
-    assert sum(1 for it in told.values() if it is VerdictKind.ACCEPTED) == min(1, len(verdicts))
+    verdicts = verdicts_of(log)
+    verdict = {operator.change_id: operator.verdict for operator in operators}
+    assert {change_id: verdict[change_id] for change_id in verdicts} == verdicts
+    assert all(it is VerdictKind.NOT_APPENDED for key, it in verdict.items() if key not in verdicts)
+    assert sum(1 for it in verdict.values() if it is VerdictKind.ACCEPTED) == min(1, len(verdicts))
 
 
-def judge(log: list[Any]) -> dict[str, VerdictKind]:
-    """Say what a reader of the whole log makes of each change."""
+def verdicts_of(log: list[Any]) -> dict[str, VerdictKind]:
+    """Return the verdict of a reader of the whole log on each change."""
     return {change_id: seen.kind for change_id, seen in fold(log).seen.items()}
 
 
 def handle(data: st.DataObject, operator: Operator, effects: list[Effect]) -> None:
-    """Carry out what an instance wants, with an append that ends in any of the possible ways."""
+    """Carry out effects; appends end in any of the possible ways."""
     for effect in effects:
         if isinstance(effect, SettleChange):
-            assert operator.told is None
-            operator.told = kind_told(effect)
+            assert operator.verdict is None
+            operator.verdict = reported_kind(effect)
         if isinstance(effect, AppendRecords):
             end = data.draw(st.sampled_from(("done", "ack lost", "not taken", "refused")))
             append(operator, effect, end)
 
 
-def kind_told(effect: SettleChange) -> VerdictKind:
-    """Say which verdict an operator was told, whether by a record or by its repetition."""
+def reported_kind(effect: SettleChange) -> VerdictKind:
+    """Return the verdict that was reported, by the record or by its repetition."""
     fields = describe(effect.verdict)
     return VerdictKind(fields.get("first", fields["verdict"]))
 
 
 def append(operator: Operator, effect: AppendRecords, end: str) -> None:
-    """Let an append end."""
+    """End an append in the given way."""
     play = operator.play
     if end in ("done", "ack lost"):
         play.log += effect.records
@@ -402,13 +398,13 @@
 
 
 def settle(operator: Operator) -> None:
-    """Let the faults end, and go on until the operator is told."""
+    """Run without faults until the operator has a verdict."""
     play = operator.play
     for _ in range(4):
         play.now += play.options.change_give_up_s
         for effect in (*play.do("read", ""), *play.tick()):
             if isinstance(effect, SettleChange):
-                operator.told = kind_told(effect)
+                operator.verdict = reported_kind(effect)
             if isinstance(effect, AppendRecords):
                 append(operator, effect, "done")
-    assert operator.told is not None
+    assert operator.verdict is not None
--- a/tests/core/settings_script.py
+++ b/tests/core/settings_script.py
@@ -1,10 +1,10 @@
-"""The small language in which cases write records of the settings stream.
+"""The language in which cases write records of the settings stream.
 
     set ID OPERATOR PATH @VERSION JSON     a change that sets a path
     delete ID OPERATOR PATH @VERSION       a change that deletes one
     raw JSON                               anything else
 
-The operator `root` stands for one of the process file.
+The operator `root` is one of the process file.
 """
 
 from __future__ import annotations
@@ -16,16 +16,16 @@
 
 
 def record_of(line: str) -> Any:
-    """Build the record that a line stands for."""
-    word, _, rest = line.partition(" ")
-    if word == "raw":
+    """Return the record that a line describes."""
+    keyword, _, rest = line.partition(" ")
+    if keyword == "raw":
         return json.loads(rest)
     change_id, operator, path, version, *value = rest.split(" ", 4)
-    assert word in ("set", "delete"), f"unknown word in {line!r}"
+    assert keyword in ("set", "delete"), f"unknown word in {line!r}"
     return change(
         change_id,
         path,
-        json.loads(value[0]) if word == "set" else None,
+        json.loads(value[0]) if keyword == "set" else None,
         expected_version=int(version.removeprefix("@")),
         operator=operator,
     )
@@ -34,7 +34,7 @@
 def change(
     change_id: str, path: str, value: Any, *, expected_version: int = 0, operator: str = ROOT
 ) -> dict[str, Any]:
-    """Build a change record."""
+    """Return a change record."""
     return {
         "type": "change",
         "change_id": change_id,
