--- a/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
@@ -32,7 +32,7 @@
 
 
 def _is_drawn(state: State, now: float) -> bool:
-    """Return whether a random draw selects this instance, one of all instances every few ticks."""
+    """Return whether a random draw selects this instance; one is drawn every few ticks."""
     others = len(live_instances(state, now))
     return state.rng.random() * max(1, others) < state.options.claim_lot
 
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
@@ -44,7 +44,7 @@
 
 
 def _apply_operator_epoch(state: State) -> list[Effect]:
-    """End the view that an operator declares ended in the settings."""
+    """End the view whose epoch an operator has set in `claim_replace_epoch`."""
     epoch = state.options.claim_replace_epoch
     if epoch > NO_VIEW:
         state.claims.ledger.views.current = View(epoch, ())
@@ -97,7 +97,7 @@
 
 
 def _is_drawn(state: State, now: float, view: View) -> bool:
-    """Return whether a draw selects this instance, one of all members every few ticks.
+    """Return whether a draw selects this instance; one member is selected every few ticks.
 
     Uses a hash instead of the state's random generator. Prevents view changes from altering the
     random numbers of other decisions.
--- a/packages/turmericweir-core/turmericweir_core/credits/credit.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit.py
@@ -179,5 +179,5 @@
     if server.entry.name not in state.subsets.used:
         return False
     # A server that was unreachable from this instance is probed before it is used again.
-    cut_off = server.unreachable_until > 0.0
-    return cut_off or credit_holder.goes_by_counts(state, now, server)
+    was_unreachable = server.unreachable_until > 0.0
+    return was_unreachable or credit_holder.goes_by_counts(state, now, server)
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -150,7 +150,7 @@
 
 
 def _displacements_by_server(
-    options: Options, now: float, queue: queue_state.ClassQueue, ready: int, servers: int
+    options: Options, now: float, queue: queue_state.ClassQueue, ready: int, server_count: int
 ) -> list[int]:
     """Return the number of requests for which each dispatcher is to displace lower attempts.
 
@@ -160,9 +160,10 @@
     wait = displacement_wait(options, queue.service_class.target_s)
     steps = int((now - queue.oldest_at() - wait) / options.credit_press_s)
     # The exponent is bounded because the waiting time is not.
-    displacements = ready * options.credit_ask ** max(0, min(3, steps))
+    reached_servers = ready * options.credit_ask ** max(0, min(3, steps))
     return [
-        len(range(index, ready, servers)) or int(index < displacements) for index in range(servers)
+        len(range(index, ready, server_count)) or int(index < reached_servers)
+        for index in range(server_count)
     ]
 
 
@@ -281,14 +282,14 @@
         # The dispatcher waits for this message to grant the slot to another instance.
         return True
     since_demand_s = now - credit.asked_at
-    falls_back = now < credit.fallback_until
-    if not credit.sent_at and not falls_back and _has_more_urgent_wait(tiers, credit.asked):
+    is_fallback = now < credit.fallback_until
+    if not credit.sent_at and not is_fallback and _has_more_urgent_wait(tiers, credit.asked):
         # The last demand was answered and did not contain this tier.
         return True
-    if since_demand_s < (options.credit_answer_s if falls_back else options.credit_demand_gap_s):
+    if since_demand_s < (options.credit_answer_s if is_fallback else options.credit_demand_gap_s):
         return False
-    waits = any(each.waiting for each in tiers)
-    if waits and now >= credit.valid_until and not credit.sent_at:
+    has_waiting = any(each.waiting for each in tiers)
+    if has_waiting and now >= credit.valid_until and not credit.sent_at:
         return True
     if _has_more_demand(tiers, credit.asked) or _has_unneeded_slots(credit, tiers):
         return True
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
@@ -84,12 +84,12 @@
     if _grant_from_free(state.options, now, ledger, holding, capacity):
         return [_outgoing(state, now, server, ledger, sender, holding)]
     ledger.unsettled = True
-    called_back = _recall_if_idle(state.options, now, ledger, holding, capacity)
-    if called_back:
+    recalled_from = _recall_if_idle(state.options, now, ledger, holding, capacity)
+    if recalled_from:
         # The answers to the recall trigger the settlement.
         return [
             _outgoing(state, now, server, ledger, name, ledger.holdings[name])
-            for name in (*called_back, sender)
+            for name in (*recalled_from, sender)
         ]
     changed = settle_if_due(state, now, server, ledger)
     if any(each.instance == sender for each in changed):
@@ -275,9 +275,9 @@
     )
     if is_short:
         ledger.contended_until = now + options.credit_contended_s
-    has_contended = any(each.contended for each in holdings)
+    was_contended = any(each.contended for each in holdings)
     has_lapsed = any(now - each.heard_at > options.credit_ttl_s for each in holdings)
-    if is_short or has_contended or has_lapsed or ledger.assured:
+    if is_short or was_contended or has_lapsed or ledger.assured:
         ledger.unsettled = True
 
 
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
@@ -144,9 +144,9 @@
     for record in records:
         effects += _load_if_covered(sync, record)
         if sync.settings.offset >= sync.ahead[0].offset:
-            held = list(sync.ahead)
+            held_records = list(sync.ahead)
             sync.ahead.clear()
-            return effects + _apply_records(sync, options, now, held)
+            return effects + _apply_records(sync, options, now, held_records)
     return effects
 
 
--- a/packages/turmericweir-core/turmericweir_core/trust/crash_records.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/crash_records.py
@@ -111,9 +111,9 @@
     if existing == key or is_named(existing) or (not is_named(key) and existing < key):
         return existing
     quarantine.crashes[key] = quarantine.crashes.pop(existing)
-    sendings = quarantine.unsent.pop(existing, None)
-    if sendings is not None:
-        quarantine.unsent[key] = sendings
+    sends_left = quarantine.unsent.pop(existing, None)
+    if sends_left is not None:
+        quarantine.unsent[key] = sends_left
     return key
 
 
@@ -124,6 +124,7 @@
 
 
 def update_counts(quarantine: QuarantineState, now: float, keep_s: float) -> None:
+    """Count the crashes at which each fingerprint was in flight and not cleared."""
     counts: Counter[str] = Counter()
     for crash in quarantine.crashes.values():
         if now - crash.at <= keep_s:
--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -46,7 +46,7 @@
 _RESEND_S: Final = 1.0
 # A server that restarts fast answers a new connection before its report shows a new incarnation.
 _BREAK_KEEP_S: Final = 10.0
-# A report that was sent before the crash can arrive this late.
+# A report from before a crash can arrive this late.
 _REPORT_DELAY_S: Final = 1.0
 # The same on a busy machine.
 _REPORT_DELAY_MAX_S: Final = 2.5
@@ -194,18 +194,18 @@
 # --- verdicts --------------------------------------------------------------------------------
 
 
-def judge(state: State, now: float) -> list[Effect]:
-    """Give the pending verdicts: refuse fingerprints, or retract earlier verdicts."""
+def give_verdicts(state: State, now: float) -> list[Effect]:
+    """Give the pending verdicts: refuse fingerprints, or withdraw earlier verdicts."""
     effects: list[Effect] = []
     for key, crash in state.quarantine.crashes.items():
         if crash.judged or now - crash.changed_at < state.options.verdict_wait_s:
             continue
         crash.judged = True
-        effects += _judge_crash(state, now, key, crash)
+        effects += _give_verdict(state, now, key, crash)
     return effects
 
 
-def _judge_crash(state: State, now: float, key: CrashKey, crash: Crash) -> list[Effect]:
+def _give_verdict(state: State, now: float, key: CrashKey, crash: Crash) -> list[Effect]:
     quarantine = state.quarantine
     if crash.retracted:
         _withdraw_verdicts(state, crash)
@@ -234,7 +234,7 @@
 def on_tick(state: State, now: float) -> list[Effect]:
     """Expire old records, give pending verdicts, and exchange records with other instances."""
     _expire(state, now)
-    return [*judge(state, now), *_send_updates(state, now), *_request_records(state, now)]
+    return [*give_verdicts(state, now), *_send_updates(state, now), *_request_records(state, now)]
 
 
 def _expire(state: State, now: float) -> None:
--- a/tests/core/claims/test_claim_ledger.py
+++ b/tests/core/claims/test_claim_ledger.py
@@ -95,14 +95,14 @@
         return tuple(Withdrawal(key, request_id) for key, request_id in claimed)
 
     def _ended(self, sending: Sending, ledger: Ledger) -> tuple[EndRecord, ...]:
-        held = [
+        held_claims = [
             (key, request_id)
             for key, request_id in sending.claimed
             if key in ledger.claims and ledger.claims[key].claim.request_id == request_id
         ]
-        for each in held:
-            sending.claimed.remove(each)
-        return tuple(EndRecord(key, request_id, OK) for key, request_id in held)
+        for claim in held_claims:
+            sending.claimed.remove(claim)
+        return tuple(EndRecord(key, request_id, OK) for key, request_id in held_claims)
 
     def land(self, index: int, *, late: bool) -> None:
         """Land a record of a writer."""
@@ -289,8 +289,8 @@
     """Return the request that truly holds key a."""
     truth = Ledger()
     script.read(truth)
-    found = holder_of(truth, OPTIONS, "a")
-    return found.claim.request_id if found else None
+    true_holder = holder_of(truth, OPTIONS, "a")
+    return true_holder.claim.request_id if true_holder else None
 
 
 def sure_holder_of_a(ledger: Ledger) -> str | None:
--- a/tests/core/claims/test_claim_vote.py
+++ b/tests/core/claims/test_claim_vote.py
@@ -19,13 +19,13 @@
 from turmericweir_core.messages.events import StopRequested
 
 
-def world_in_outage(options: Options = VOTES, *, known: bool = True) -> World:
+def world_in_outage(options: Options = VOTES, *, is_detected: bool = True) -> World:
     """Return a world with a view whose log has just failed."""
     world = World(options)
     for _ in range(3):
         world.start()
     begin_outage(world)
-    if not known:
+    if not is_detected:
         for instance in world.instances:
             instance.state.claims.outbox.failures = 0
     return world
@@ -71,7 +71,7 @@
 
 def restore_log(world: World) -> None:
     """Restore the log and run without failures."""
-    world.up = True
+    world.is_log_up = True
     world.run_normally(4.0)
 
 
@@ -88,8 +88,8 @@
     assert world.accounts[other].reason is Reason.KEY_REUSED
     records = len(world.records)
     restore_log(world)
-    held = [claim for record in world.records[records:] for claim in record["claims"]]
-    assert [claim[2] for claim in held] == [request_1]
+    claims = [claim for record in world.records[records:] for claim in record["claims"]]
+    assert [claim[2] for claim in claims] == [request_1]
     check_runs(world)
 
 
@@ -124,7 +124,7 @@
 
 def test_claim_on_its_way_to_the_log_prevents_agreement() -> None:
     """Prevents a second run by agreement while the first claim is on its way to the log."""
-    world = world_in_outage(known=False)
+    world = world_in_outage(is_detected=False)
     first, second, _ = world.instances
     request_1 = world.call(first, "k", deadline_s=60.0)
     perform_all_of(world, first, AppendRecords, Delivery.LATE)
@@ -135,7 +135,7 @@
         perform_all_of(world, second, StartAttempt)
         world.tick(0.1)
     assert world.accounts[request_2].outcome is Outcome.NOT_RUN
-    world.up = True
+    world.is_log_up = True
     world.land_late(0)
     world.run_normally(4.0)
     assert [run.request_id for run in world.runs] == [request_1]
@@ -150,7 +150,7 @@
     (start,) = (each for each in first.pending if isinstance(each, StartAttempt))
     first.pending.remove(start)
     world.pause(0, paused=True)
-    world.up = True
+    world.is_log_up = True
     new_instance = world.start()
     run_until(world, lambda: member_names(new_instance) == {"i1", "i2", "i3"})
     request_2 = world.call(new_instance, "k", deadline_s=1.0)
@@ -166,7 +166,7 @@
 def test_no_agreement_during_an_unconfirmed_view_change() -> None:
     """Prevents agreements that are missing from an unconfirmed view change, as a new member would
     not know them and run the key a second time."""
-    world = world_in_outage(known=False)
+    world = world_in_outage(is_detected=False)
     first, second, _ = world.instances
     world.start()
     while not any(
@@ -192,17 +192,17 @@
 def test_delayed_claim_of_a_former_member_is_void() -> None:
     """Prevents a second run by a removed member whose delayed claim lands before the claim that the
     others agreed to."""
-    world = world_in_outage(known=False)
+    world = world_in_outage(is_detected=False)
     first = world.instances[0]
     world.call(first, "k", deadline_s=600.0)
     perform_all_of(world, first, AppendRecords, Delivery.LATE)
     (late,) = world.late
     world.late.clear()
     world.pause(0, paused=True)
-    world.up = True
+    world.is_log_up = True
     others = world.instances[1:]
     run_until(world, lambda: all(member_names(each) == {"i1", "i2"} for each in others))
-    world.up = False
+    world.is_log_up = False
     for each in others:
         each.state.claims.outbox.failures = 1
     request_2 = world.call(others[0], "k")
@@ -247,7 +247,7 @@
 def test_claim_on_its_way_does_not_yield() -> None:
     """Prevents a claim that is on its way to the log from yielding to another, as it can still land
     and run."""
-    world = world_in_outage(known=False)
+    world = world_in_outage(is_detected=False)
     first, second, _ = world.instances
     calls = [world.call(each, "k", deadline_s=60.0) for each in (first, second)]
     for each in (first, second):
@@ -256,7 +256,7 @@
         exchange_messages(world)
         perform_all_of(world, first, StartAttempt)
         world.tick(0.1)
-    world.up = True
+    world.is_log_up = True
     world.land_late(1)
     world.run_normally(4.0)
     assert {world.accounts[each].outcome for each in calls} == {Outcome.COMPLETED}
@@ -266,10 +266,10 @@
 def test_no_agreement_under_an_older_view() -> None:
     """Prevents agreement with an instance that asks under an older view, as a newer member may have
     run the key."""
-    world = world_in_outage(replace(VOTES, claim_view_quiet_s=600.0), known=False)
+    world = world_in_outage(replace(VOTES, claim_view_quiet_s=600.0), is_detected=False)
     first, second, third = world.instances
     world.pause(0, paused=True)
-    world.up = True
+    world.is_log_up = True
     new_instance = world.start()
     run_until(
         world, lambda: all(len(member_names(each)) == 4 for each in (second, third, new_instance))
@@ -278,7 +278,7 @@
     world.work_on(new_instance)
     assert world.accounts[request_2].outcome is Outcome.COMPLETED
     world.pause(0, paused=False)
-    world.up = False
+    world.is_log_up = False
     first.state.claims.outbox.failures = 1
     world.tick(0.0)
     request_1 = world.call(first, "k", deadline_s=0.5)
@@ -294,7 +294,7 @@
     """After the loss of all members, keys are refused until an operator declares the view ended."""
     world = world_in_outage()
     replace_all(world)
-    world.up = True
+    world.is_log_up = True
     world.run_normally(2.0)
     request_1 = world.call(world.instances[0], "k", deadline_s=1.0)
     world.run_normally(2.0)
@@ -319,7 +319,7 @@
     exchange_messages(world)
     perform_all_of(world, first, StartAttempt, Delivery.UNACKNOWLEDGED)
     replace_all(world)
-    world.up = True
+    world.is_log_up = True
     world.late.clear()
     for _ in range(24):
         world.run_normally(1.0)
@@ -333,7 +333,7 @@
 def test_last_instance_to_stop_leaves_an_empty_view() -> None:
     """After an orderly stop of all instances, new instances can claim at once."""
     world = world_in_outage()
-    world.up = True
+    world.is_log_up = True
     for instance in world.instances:
         world.handle(instance, StopRequested())
     run_until(
@@ -374,11 +374,11 @@
     world.start()
     world.run_normally(5.0)
     assert member_names(world.instances[0]) == {"i0"}
-    new_instance = [world.start() for _ in range(3)]
+    new_instances = [world.start() for _ in range(3)]
     for _ in range(3):
         world.tick(0.1)
         world.perform_all()
     world.pause(0, paused=True)
-    calls = [world.call(each, f"k{index}") for index, each in enumerate(new_instance)]
+    calls = [world.call(each, f"k{index}") for index, each in enumerate(new_instances)]
     run_until(world, lambda: all(each in world.accounts for each in calls))
     assert {world.accounts[each].outcome for each in calls} == {Outcome.COMPLETED}
--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -75,7 +75,7 @@
 class Outage:
     """The log goes down or comes back."""
 
-    up: bool
+    is_log_up: bool
 
 
 @dataclass(frozen=True, slots=True)
@@ -176,8 +176,8 @@
             world.run_normally(1.0)
             world.tick(wait_s)
             world.run_normally(1.0)
-        case Outage(up):
-            world.up = up
+        case Outage(is_log_up):
+            world.is_log_up = is_log_up
         case LandLate(index):
             world.land_late(index)
             world.deliver_late(index)
@@ -313,7 +313,7 @@
 def begin_outage(world: World) -> None:
     """Let the instances discover each other, then fail the log."""
     world.run_normally(2.0)
-    world.up = False
+    world.is_log_up = False
     for instance in world.instances:
         instance.state.claims.outbox.failures = 1
 
@@ -403,7 +403,7 @@
     first, second = world.instances
     request_1 = world.call(first, "k", deadline_s=0.3)
     world.perform(first, 0, Delivery.LATE)
-    world.up = False
+    world.is_log_up = False
     for _ in range(10):
         world.tick(0.1)
     assert world.accounts[request_1].reason is Reason.CLAIM_UNAVAILABLE
@@ -451,7 +451,7 @@
     first, second = world.instances
     world.call(first, "k")
     world.run_normally(2.0)
-    world.up = False
+    world.is_log_up = False
     request_2 = world.call(second, "k")
     world.perform_all()
     assert world.accounts[request_2].outcome is Outcome.COMPLETED
--- a/tests/core/claims_world.py
+++ b/tests/core/claims_world.py
@@ -105,7 +105,7 @@
 
     options: Options
     now: float = 0.0
-    up: bool = True
+    is_log_up: bool = True
     # All records of the log; those before `oldest` have expired.
     records: list[Any] = field(default_factory=list)
     oldest: int = 0
@@ -197,9 +197,9 @@
                 or not (instance.has_heartbeats and other.has_heartbeats)
             ):
                 continue
-            heard = Member(me.name, "dc", me.peer_address, "home", me.incarnation, 1, self.now)
-            heard.leaving = other.state.stopping_since is not None
-            members.by_name[me.name] = heard
+            member = Member(me.name, "dc", me.peer_address, "home", me.incarnation, 1, self.now)
+            member.leaving = other.state.stopping_since is not None
+            members.by_name[me.name] = member
 
     def pause(self, index: int, paused: bool) -> None:
         """Pause or resume a process."""
@@ -257,7 +257,7 @@
         stream, token = effect.stream, effect.token
         if delivery is Delivery.LATE:
             self.late += effect.records
-        if delivery in (Delivery.LATE, Delivery.FAILED) or not self.up:
+        if delivery in (Delivery.LATE, Delivery.FAILED) or not self.is_log_up:
             maybe = delivery is not Delivery.FAILED
             self.handle(instance, AppendFailed(stream, token, "lost", maybe))
             return
@@ -280,15 +280,15 @@
             self.land(self.late.pop(index % len(self.late)))
 
     def _read(self, instance: Instance, effect: ReadLog, delivery: Delivery) -> None:
-        if delivery is not Delivery.DONE or not self.up:
+        if delivery is not Delivery.DONE or not self.is_log_up:
             self.handle(instance, LogFailed(effect.stream, "lost"))
             return
         end = len(self.records)
         if effect.offset < self.oldest:
             self.handle(instance, LogExpired(effect.stream, self.oldest, end))
             return
-        found = enumerate(self.records[effect.offset :], effect.offset)
-        records = tuple(LogRecord(offset, value) for offset, value in found)
+        numbered_values = enumerate(self.records[effect.offset :], effect.offset)
+        records = tuple(LogRecord(offset, value) for offset, value in numbered_values)
         self.handle(instance, LogRead(effect.stream, records, end))
 
     def _send(self, instance: Instance, effect: SendPeer, delivery: Delivery) -> None:
@@ -339,16 +339,16 @@
 
     def expire_records(self) -> None:
         """Expire the records before the oldest live claim, as operators are allowed to."""
-        kept = [
+        offsets = [
             claim.kept_at
             for key, claim in self.truth.claims.items()
             if holder_of(self.truth, self.options, key) is not None
         ]
-        self.oldest = max(self.oldest, min(kept, default=len(self.records)))
+        self.oldest = max(self.oldest, min(offsets, default=len(self.records)))
 
     def run_normally(self, seconds: float = 20.0, step_s: float = 0.1) -> None:
         """Run without failures for some time."""
-        self.up = True
+        self.is_log_up = True
         for index, instance in enumerate(self.instances):
             instance.has_heartbeats = True
             if instance.paused:
--- a/tests/core/credits/test_credit.py
+++ b/tests/core/credits/test_credit.py
@@ -294,8 +294,8 @@
     for seq in range(1, 16):
         for sender, wanted in ((one, 5), (two, 3)):
             tier = TierDemand(1, 0, wanted) if seq == 1 else TierDemand(1, 1, seq % 2)
-            known = ledger.holdings[sender].number if seq > 1 else 0
-            demand = CreditDemand(S0, seq, known, 4, [tier])
+            grant_number = ledger.holdings[sender].number if seq > 1 else 0
+            demand = CreditDemand(S0, seq, grant_number, 4, [tier])
             world.event(dispatcher, PeerReceived(sender, demand))
         world.advance(0.3)
         if seq == 1:
--- a/tests/core/fault_world.py
+++ b/tests/core/fault_world.py
@@ -73,9 +73,9 @@
 class FakeServer:
     """One backend server."""
 
-    life: int = 1
+    incarnation: int = 1
     # Until then its reports show the incarnation before the crash.
-    life_hidden_until: float = 0.0
+    incarnation_hidden_until: float = 0.0
     down_until: float = 0.0
     running: dict[AttemptId, Run] = field(default_factory=dict)
     # It accepts requests and generates no tokens.
@@ -208,8 +208,8 @@
         if self.now < server.down_until and not self.accepts_when_down:
             self._end(instance, start, EndUnsent("refused"))
             return
-        kept = self.kept_connections and not start.fresh_connection
-        self.event(instance, AttemptSent(start.request_id, start.attempt_id, kept))
+        is_reused = self.kept_connections and not start.fresh_connection
+        self.event(instance, AttemptSent(start.request_id, start.attempt_id, is_reused))
         if self.now < server.down_until:
             self._end(instance, start, EndBroken("reset", server_alive=False))
             return
@@ -231,8 +231,8 @@
         """Crash a server; with `alive` it is up again before any instance can find it down."""
         server = self.servers[name]
         self.crashes.append((by, name))
-        server.life += 1
-        server.life_hidden_until = self.now + self.reports_lag_s
+        server.incarnation += 1
+        server.incarnation_hidden_until = self.now + self.reports_lag_s
         server.down_until = self.now if alive else self.now + DOWN_S
         self.break_all(name, alive=alive)
 
@@ -294,7 +294,7 @@
         ]
         report = ServerReport(
             name,
-            str(server.life - (self.now < server.life_hidden_until)),
+            str(server.incarnation - (self.now < server.incarnation_hidden_until)),
             self._seq,
             len(counted),
             self.waiting,
--- a/tests/core/settings/test_settings_inforce.py
+++ b/tests/core/settings/test_settings_inforce.py
@@ -51,8 +51,8 @@
 
 @pytest.mark.parametrize(("view", "not_live", "reach"), CASES.values(), ids=CASES)
 def test_reach(view: CentreView, not_live: list[Member], reach: Reach) -> None:
-    (reaches,) = in_force(NOW, OFFSET, [view], not_live, named=[])
-    assert reaches.reach is reach
+    (centre_reach,) = in_force(NOW, OFFSET, [view], not_live, named=[])
+    assert centre_reach.reach is reach
 
 
 def test_data_centre_known_by_name_only_is_out_of_reach() -> None:
@@ -65,5 +65,5 @@
 
 
 def test_unresponsive_instance_is_listed_with_its_last_report() -> None:
-    (reaches,) = in_force(NOW, OFFSET, [centre(7)], [unresponsive(3, heard_at=60.0)], named=[])
-    assert [(it.name, it.offset, it.age_s) for it in reaches.silent] == [("b-9", 3, 40.0)]
+    (centre_reach,) = in_force(NOW, OFFSET, [centre(7)], [unresponsive(3, heard_at=60.0)], named=[])
+    assert [(it.name, it.offset, it.age_s) for it in centre_reach.silent] == [("b-9", 3, 40.0)]
--- a/tests/core/settings/test_settings_sync.py
+++ b/tests/core/settings/test_settings_sync.py
@@ -356,10 +356,12 @@
     for operator in operators:
         settle(operator)
     verdicts = verdicts_of(log)
-    verdict = {operator.change_id: operator.verdict for operator in operators}
-    assert {change_id: verdict[change_id] for change_id in verdicts} == verdicts
-    assert all(it is VerdictKind.NOT_APPENDED for key, it in verdict.items() if key not in verdicts)
-    assert sum(1 for it in verdict.values() if it is VerdictKind.ACCEPTED) == min(1, len(verdicts))
+    reported = {operator.change_id: operator.verdict for operator in operators}
+    assert {change_id: reported[change_id] for change_id in verdicts} == verdicts
+    assert all(
+        it is VerdictKind.NOT_APPENDED for key, it in reported.items() if key not in verdicts
+    )
+    assert sum(1 for it in reported.values() if it is VerdictKind.ACCEPTED) == min(1, len(verdicts))
 
 
 def verdicts_of(log: list[Any]) -> dict[str, VerdictKind]:
--- a/tests/core/trust/test_quarantine.py
+++ b/tests/core/trust/test_quarantine.py
@@ -208,7 +208,7 @@
     name = world.runs[0][1]
     world.break_all(name, alive=True)
     world.advance(2.0)
-    world.servers[name].life += 1
+    world.servers[name].incarnation += 1
     state = world.states[next(iter(world.states))]
     world.tick()
     assert state.quarantine.counts == {"one": 1}
@@ -239,8 +239,8 @@
     server = world.servers[ServerName("s0")]
     run = world.attempts("one")[0]
     del server.running[run.start.attempt_id]
-    server.life += 1
-    server.life_hidden_until = world.now + 0.6
+    server.incarnation += 1
+    server.incarnation_hidden_until = world.now + 0.6
     world.arrive("next")
     world.now += 0.01
     world.event(run.instance, AttemptEnded(RequestId("one"), run.start.attempt_id, BROKEN))
--- a/tests/core/trust/test_silence.py
+++ b/tests/core/trust/test_silence.py
@@ -260,20 +260,20 @@
     assert len(world.runs) == 3
 
 
-@pytest.mark.parametrize("kept", [True, False])
-def test_plain_call_that_its_server_does_not_count(kept: bool) -> None:
+@pytest.mark.parametrize("is_reused", [True, False])
+def test_plain_call_that_its_server_does_not_count(is_reused: bool) -> None:
     # A call on a lost reused connection, which its server does not count, is retried over a new
     # connection. A call on a new connection has reached its server and is not retried.
     world = FaultWorld(servers=2, kind=Kind.PLAIN, length=1)
     for name in ("first", "second"):
         world.arrive(name)
         world.tick()
-    world.kept_connections = kept
+    world.kept_connections = is_reused
     server = send_on_lost_connection(world, "one")
     world.advance(EARLY_DETECTION_S)
-    assert [run.start.fresh_connection for run in world.attempts("one")] == [kept]
-    assert (world.config.servers[server].address in world.distrusted) == kept
+    assert [run.start.fresh_connection for run in world.attempts("one")] == [is_reused]
+    assert (world.config.servers[server].address in world.distrusted) == is_reused
     world.lost.clear()
     world.advance_until_done()
     assert world.outcome("one") == COMPLETED
-    assert len(world.runs) == (4 if kept else 3)
+    assert len(world.runs) == (4 if is_reused else 3)
