--- a/packages/turmericweir-core/turmericweir_core/state/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/state/__init__.py
@@ -1,5 +1,5 @@
-"""Hold what an instance knows: a module for each concern, put together in `state`.
+"""State of an instance: one module for each concern, combined in `state`.
 
-Functions here read and change the data of their own module alone. Whatever needs two concerns at
-once stands in a package above.
+A function here reads and changes only the data of its own module. Code that needs two concerns at
+once is in a package above this one.
 """
--- a/packages/turmericweir-core/turmericweir_core/state/claim_clock.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_clock.py
@@ -1,10 +1,10 @@
-"""The time of the `claims` stream, which all readers compute alike from its records.
+"""The clock of the `claims` stream, computed identically by all readers from its records.
 
-Claims expire after a retention, and every reader must agree when, so no reader's own clock may
-count. Each record brings its writer's wall clock. The time of the stream is the second latest of
-the latest clocks of all instances: one instance whose clock runs far ahead can't make the claims
-of the others expire, which would let their keys run a second time. With a single instance the time
-stands still and nothing expires.
+Claims expire after a retention time, and all readers must agree when, so no reader may use its own
+clock. Each record carries the wall clock of its writer. The stream's time is the second-highest of
+the latest clocks of all instances. A single instance whose clock runs ahead therefore cannot expire
+the claims of other instances, which would let their keys run twice. With only one instance the time
+does not advance and nothing expires.
 """
 
 from __future__ import annotations
@@ -13,19 +13,19 @@
 
 from msgspec import Struct, field
 
-# How many instances' clocks decide.
+# Number of instances whose clocks determine the stream time.
 LEADERS: Final = 2
 
 
 class StreamClock(Struct):
-    """The two latest clocks seen, by instance, and the time that follows from them."""
+    """The two latest clocks, by instance, and the stream time derived from them."""
 
     leaders: dict[str, int] = field(default_factory=dict)
     now_ms: int = 0
 
 
 def note_clock(clock: StreamClock, instance: str, at_ms: int) -> None:
-    """Take the wall clock of an instance from a record."""
+    """Update the stream time from the wall clock in a record."""
     leaders = clock.leaders
     leaders[instance] = max(at_ms, leaders.get(instance, 0))
     if len(leaders) > LEADERS:
@@ -35,5 +35,5 @@
 
 
 def told_clocks(clock: StreamClock) -> tuple[tuple[str, int], ...]:
-    """List the leading clocks for a record, so that a new reader's time agrees with others'."""
+    """Return the leading clocks for a record, so that a new reader computes the same time."""
     return tuple(sorted(clock.leaders.items()))
--- a/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
@@ -1,27 +1,29 @@
-"""The ledger of claims: a pure fold over the `claims` stream, in which the first claim holds.
-
-Every reader folds the same records in the order of their offsets, so all agree who holds a key. A
-claim of a free key holds it; any other claim of that key loses. A holder that never ran withdraws,
-and the key is free again. A claim expires when its retention has passed by the stream's own clock.
-
-Late records. An append whose acknowledgement was lost may land much later. Each writer sends one
-append at a time and numbers them; whatever an append may have failed to say, the next one says
-again. So a record with a number not above its writer's last is void for every reader. A record
-that was composed more than half a carry distance before it landed is void as well, which bounds
-how late anything can be.
-
-Readers that start late. The log keeps records for a limited time only. Before a record that holds
-live claims goes, somebody *carries* them: writes them again (`claim_carry`). Each record tells its
-writer's *floor*: no live claim stands in a record below it. A reader that starts at an offset above
-0 may be ignorant of live claims until it reads a floor at or above its start; from then on it is
-*whole*: every live claim has an entry in its ledger. What it entered before may be wrong, since the
-true holder may stand in a record that it never saw. Such entries are *unsure*. They block their key
-(never a second run), and they go when a carried claim replaces them or a floor passes them: a
-holder that is live then stands in a later record, which this reader has read.
-
-A reader runs a call only on a sure claim of its own, made while it was whole. The argument for why
-this is enough is in docs/design/claims.md; `test_claim_ledger` checks it against a reader that has
-read every record since offset 0.
+"""The ledger of claims: a pure fold over the `claims` stream, in which the first claim wins.
+
+All readers fold the same records in the order of their offsets, so they agree on the holder of each
+key. A claim of a free key makes its writer the holder; any other claim of that key loses. A holder
+that never ran its call withdraws the claim, which frees the key. A claim expires after its
+retention time, measured by the stream's clock (`claim_clock`).
+
+Delayed records. An append whose acknowledgement was lost may be written to the log much later. Each
+writer has one append in flight at a time and numbers its appends; each append repeats everything
+that an earlier one may have failed to deliver. A record whose number is not above its writer's last
+number is therefore void for every reader. A record that was composed more than half a carry
+distance before it reached the log is void as well, which bounds the delay of valid records.
+
+Readers that start at an offset above 0. The log retains records for a limited time. Before a record
+with live claims is deleted, an instance *carries* them forward, i.e. writes them again
+(`claim_carry`). Each record contains its writer's *floor*: no record below it holds a live claim. A
+reader that starts above 0 may lack live claims until it reads a floor at or above its start. From
+then on it is *whole*: its ledger has an entry for every live claim. Entries made earlier may be
+wrong, because the true holder may be in a record that this reader never read. Such entries are
+*unsure*. They block their key, which prevents a second run, and are removed when a carried claim
+replaces them or a floor passes them: a holder that is still live is then in a later record, which
+this reader has read.
+
+An instance runs a call only if the ledger has a sure claim of its own for the key, entered while
+the ledger was whole. docs/design/claims.md explains why this is sufficient; `test_claim_ledger`
+checks it against a reader that has read every record since offset 0.
 """
 
 from __future__ import annotations
@@ -61,83 +63,83 @@
 
 
 class Claim(Struct):
-    """Who holds a key."""
+    """The claim that holds a key."""
 
     claim: NewClaim
     holder: Writer
-    # Offset of the record in which it was claimed.
+    # Offset of the record that made the claim.
     claimed_at: int
-    # Newest record that holds it, its own or one that carried it; for an unsure entry, the oldest
-    # record in which its true holder may stand.
+    # Offset of the newest record that contains it: the original one or one that carried it. For an
+    # unsure entry, the oldest record that may contain the true holder.
     kept_at: int
-    # Newest record that touched the key while the entry was unsure; a floor beyond it ends it.
+    # Offset of the newest record about the key while the entry was unsure. A floor above it removes
+    # the entry.
     seen_at: int
-    # Time from which the retention counts.
+    # Start of the retention time, by the stream's clock.
     at_ms: int
     unsure: bool = False
     end: ClaimEnd | None = None
 
 
 class Ledger(Struct):
-    """Everything that the records read so far say."""
+    """The result of folding all records read so far."""
 
     # Offset of the next record to fold.
     offset: int = 0
-    # Where this reader began; above 0 it began amid the stream.
+    # Offset at which this reader started.
     start: int = 0
-    # Every live claim has an entry here.
+    # Every live claim has an entry in this ledger.
     whole: bool = True
-    # Holders by key, by the offset of the record that keeps them, oldest first.
+    # Holders by key, ordered by `kept_at`, oldest first.
     claims: OrderedDict[str, Claim] = field(default_factory=OrderedDict)
     # Keys of the unsure entries.
     unsure: set[str] = field(default_factory=set)
-    # The last number of each incarnation, and the stream's time when it was read.
+    # The last append number of each incarnation, and the stream time when it was read.
     numbers: dict[tuple[str, str], tuple[int, int]] = field(default_factory=dict)
     clock: StreamClock = field(default_factory=StreamClock)
-    # Who may claim.
     views: ViewLedger = field(default_factory=ViewLedger)
-    # Offset of the last record that withdrew anything, whether or not this reader knew the claim.
+    # Offset of the last record with a withdrawal, whether or not the claim was in this ledger.
     withdrawn_at: int = NO_RECORD
-    # Offset of the last record whose writer could tell no floor and so asks for one.
+    # Offset of the last record whose writer did not know the floor and thereby requests one.
     floor_asked_at: int = NO_FLOOR
     malformed: int = 0
     void: int = 0
 
 
 class Folded(Struct):
-    """What folding one record did."""
+    """The result of folding one record."""
 
-    # None where the record was malformed.
+    # None if the record was malformed.
     batch: Batch | None = None
-    # The record counts; a void one changed nothing.
+    # False for a void record, which changed nothing.
     valid: bool = False
-    # Keys whose holder, or its end, may have changed.
+    # Keys whose holder, or whose call's end, may have changed.
     touched: set[str] = field(default_factory=set)
 
 
 def holder_of(ledger: Ledger, options: Options, key: str) -> Claim | None:
-    """Find who holds a key, if anybody does."""
-    found = ledger.claims.get(key)
-    if found is None or _is_expired(ledger, options, found):
+    """Return the claim that holds a key, or None."""
+    claim = ledger.claims.get(key)
+    if claim is None or _is_expired(ledger, options, claim):
         return None
-    return found
+    return claim
 
 
 def floor_of(ledger: Ledger) -> int:
-    """Give the offset below which no live claim stands."""
+    """Return the offset below which no record holds a live claim."""
     if not ledger.whole:
         return NO_FLOOR
-    kept = [ledger.claims[key].kept_at for key in ledger.unsure]
-    # Sure entries are ordered by it, so the first is the least of them.
-    kept += [claim.kept_at for claim in islice(ledger.claims.values(), 1)]
+    record_offsets = [ledger.claims[key].kept_at for key in ledger.unsure]
+    # Sure entries are ordered by `kept_at`, so the first has the lowest.
+    record_offsets += [claim.kept_at for claim in islice(ledger.claims.values(), 1)]
     if epoch_of(ledger.views) > NO_VIEW:
-        # Who reads from the floor on learns the view, too.
-        kept.append(ledger.views.kept_at)
-    return min(kept, default=ledger.offset)
+        # Readers that start at the floor must also learn the view.
+        record_offsets.append(ledger.views.kept_at)
+    return min(record_offsets, default=ledger.offset)
 
 
 def restart(ledger: Ledger, oldest: int) -> None:
-    """Go on from a later offset, because the log let go of the records between."""
+    """Continue from a later offset because the log has deleted the records before it."""
     if oldest <= ledger.offset:
         return
     ledger.offset = oldest
@@ -145,20 +147,20 @@
     ledger.whole = False
     lose_view(ledger.views)
     for key, claim in ledger.claims.items():
-        # What is known may have changed in the gap, so it may only block, not allow.
+        # A skipped record may have changed the holder, so the entry may only block the key.
         claim.unsure = True
         claim.seen_at = oldest
         ledger.unsure.add(key)
 
 
 def vouch_for(ledger: Ledger, writer: Writer) -> None:
-    """Note a writer of which no record can stand before this reader's start: the reader itself."""
-    name = (writer.instance, writer.incarnation)
-    ledger.numbers.setdefault(name, (0, ledger.clock.now_ms))
+    """Record that a writer has no records below this reader's start: the reader itself."""
+    writer_id = (writer.instance, writer.incarnation)
+    ledger.numbers.setdefault(writer_id, (0, ledger.clock.now_ms))
 
 
 def fold(ledger: Ledger, options: Options, offset: int, value: Any) -> Folded:
-    """Fold the next record."""
+    """Fold the next record into the ledger."""
     ledger.offset = offset + 1
     batch = decode(value)
     if batch is None:
@@ -169,12 +171,12 @@
         ledger.void += 1
         return result
     result.valid = True
-    vouched = _note_number(ledger, options, offset, batch)
-    for name, at_ms in (*batch.clocks, (batch.writer.instance, batch.at_ms)):
-        note_clock(ledger.clock, name, at_ms)
+    is_number_certain = _note_number(ledger, options, offset, batch)
+    for instance, at_ms in (*batch.clocks, (batch.writer.instance, batch.at_ms)):
+        note_clock(ledger.clock, instance, at_ms)
     note_told(ledger.views, offset, batch)
     _note_floor(ledger, offset, batch, result)
-    sure = ledger.whole and vouched
+    sure = ledger.whole and is_number_certain
     for carried in batch.carried:
         _fold_carried(ledger, offset, batch, carried, result)
     if batch.withdrawn:
@@ -186,13 +188,13 @@
     if fold_view(ledger.views, offset, batch) and batch.change is not None:
         for agreed in batch.change.agreed:
             _fold_agreed(ledger, options, offset, agreed, sure, result)
-    counts = may_claim(ledger.views, batch.writer)
+    is_eligible = may_claim(ledger.views, batch.writer)
     for claim in batch.claims:
-        if counts:
+        if is_eligible:
             at_ms = max(ledger.clock.now_ms, batch.at_ms)
             _fold_claim(ledger, options, offset, at_ms, claim, batch.writer, sure, result)
         else:
-            # Its writer looks at the key again, and claims it once it is in the view.
+            # The writer evaluates the key again and claims it once it is in the view.
             result.touched.add(claim.key)
     _purge(ledger, options)
     return result
@@ -205,18 +207,18 @@
 def _is_void(ledger: Ledger, options: Options, offset: int, batch: Batch) -> bool:
     if offset - batch.upto > options.claim_carry_records // 2:
         return True
-    writer = (batch.writer.instance, batch.writer.incarnation)
-    last, _ = ledger.numbers.get(writer, (0, 0))
-    return batch.number <= last
+    writer_id = (batch.writer.instance, batch.writer.incarnation)
+    last_number, _ = ledger.numbers.get(writer_id, (0, 0))
+    return batch.number <= last_number
 
 
 def _note_number(ledger: Ledger, options: Options, offset: int, batch: Batch) -> bool:
-    """Note a writer's number; False where a later one may stand before this reader's start."""
-    writer = (batch.writer.instance, batch.writer.incarnation)
-    known = writer in ledger.numbers or ledger.start == 0
-    ledger.numbers[writer] = (batch.number, ledger.clock.now_ms)
-    # Later than this, a record that is late against one before the start is void by its age.
-    return known or offset >= ledger.start + options.claim_carry_records // 2
+    """Record a writer's number; return False if a higher one may be below this reader's start."""
+    writer_id = (batch.writer.instance, batch.writer.incarnation)
+    is_known_writer = writer_id in ledger.numbers or ledger.start == 0
+    ledger.numbers[writer_id] = (batch.number, ledger.clock.now_ms)
+    # From this offset on, a record older than one below the start is void by its age.
+    return is_known_writer or offset >= ledger.start + options.claim_carry_records // 2
 
 
 def _note_floor(ledger: Ledger, offset: int, batch: Batch, result: Folded) -> None:
@@ -231,7 +233,7 @@
         return
     ledger.whole = True
     for key in [key for key in ledger.unsure if ledger.claims[key].seen_at < batch.floor]:
-        _drop(ledger, key)
+        _remove_entry(ledger, key)
         result.touched.add(key)
 
 
@@ -239,42 +241,43 @@
     ledger: Ledger, offset: int, batch: Batch, carried: CarriedClaim, result: Folded
 ) -> None:
     key = carried.claim.key
-    known = ledger.claims.get(key)
-    if known is not None and not known.unsure:
-        if known.claim.request_id == carried.claim.request_id:
-            _keep(ledger, known, offset)
+    entry = ledger.claims.get(key)
+    if entry is not None and not entry.unsure:
+        if entry.claim.request_id == carried.claim.request_id:
+            _refresh_entry(ledger, entry, offset)
         return
-    if known is None and ledger.whole:
-        # It has seen the claim withdrawn, or expire.
+    if entry is None and ledger.whole:
+        # A whole ledger without the entry means that the claim was withdrawn or has expired.
         return
-    settled = _settles(ledger, batch, known, carried)
-    if known is None or settled:
-        _enter(ledger, _claim_carried(carried, offset, unsure=not settled))
+    is_settled = _is_settled_by(ledger, batch, entry, carried)
+    if entry is None or is_settled:
+        _add_entry(ledger, _claim_from_carried(carried, offset, unsure=not is_settled))
         result.touched.add(key)
         return
-    # Still unsure: block for as long as any of the claims in question would hold the key.
-    known.at_ms = max(known.at_ms, carried.at_ms)
-    known.seen_at = offset
-    # What touched the key after the writer composed this may stand in no carried claim yet.
-    known.kept_at = max(known.kept_at, batch.upto)
+    # Still unsure: block the key for as long as any of the possible holders would hold it.
+    entry.at_ms = max(entry.at_ms, carried.at_ms)
+    entry.seen_at = offset
+    # Records about the key after `upto` may not be reflected in any carried claim yet.
+    entry.kept_at = max(entry.kept_at, batch.upto)
     ledger.claims.move_to_end(key)
 
 
-def _settles(ledger: Ledger, batch: Batch, known: Claim | None, carried: CarriedClaim) -> bool:
-    """Tell whether a carried claim is the truth about a key that this reader is not sure of.
+def _is_settled_by(
+    ledger: Ledger, batch: Batch, entry: Claim | None, carried: CarriedClaim
+) -> bool:
+    """Return whether a carried claim determines the holder of a key that is unsure here.
 
-    Its writer knew who held the key at `upto`. That is the holder still if nothing has freed the
-    key since, and this reader has read all records since. It need not be whole for that: were it
-    to wait until then, and the key not carried again for long, its callers would get `unknown` for
-    a call of which the end is known.
+    Its writer knew the holder of the key at `upto`. That claim still holds the key if no later
+    record freed it and this reader has read all of them. The ledger need not be whole for this.
+    Prevents callers from getting `unknown` for a call whose end is known.
     """
     if carried.unsure or batch.upto < ledger.start:
         return False
-    touched_at = ledger.withdrawn_at if known is None else known.seen_at
-    return touched_at < batch.upto
+    last_changed_offset = ledger.withdrawn_at if entry is None else entry.seen_at
+    return last_changed_offset < batch.upto
 
 
-def _claim_carried(carried: CarriedClaim, offset: int, *, unsure: bool) -> Claim:
+def _claim_from_carried(carried: CarriedClaim, offset: int, *, unsure: bool) -> Claim:
     return Claim(
         claim=carried.claim,
         holder=carried.holder,
@@ -290,28 +293,28 @@
 def _fold_withdrawal(
     ledger: Ledger, offset: int, writer: Writer, withdrawn: Withdrawal, result: Folded
 ) -> None:
-    known = ledger.claims.get(withdrawn.key)
-    if known is None:
+    entry = ledger.claims.get(withdrawn.key)
+    if entry is None:
         return
-    if known.unsure:
-        # Another holder may stand where this reader never read, so the key stays blocked.
-        known.seen_at = offset
+    if entry.unsure:
+        # A record that this reader skipped may name another holder, so the key stays blocked.
+        entry.seen_at = offset
         return
-    if _is_by(known, writer, withdrawn.request_id):
-        _drop(ledger, withdrawn.key)
+    if _is_claimed_by(entry, writer, withdrawn.request_id):
+        _remove_entry(ledger, withdrawn.key)
         result.touched.add(withdrawn.key)
 
 
 def _fold_end(ledger: Ledger, writer: Writer, record: EndRecord, result: Folded) -> None:
-    known = ledger.claims.get(record.key)
-    if known is not None and _is_by(known, writer, record.request_id):
-        known.end = record.end
+    entry = ledger.claims.get(record.key)
+    if entry is not None and _is_claimed_by(entry, writer, record.request_id):
+        entry.end = record.end
         result.touched.add(record.key)
 
 
-def _is_by(known: Claim, writer: Writer, request_id: str) -> bool:
-    same_process = known.holder.incarnation == writer.incarnation
-    return same_process and known.claim.request_id == request_id
+def _is_claimed_by(entry: Claim, writer: Writer, request_id: str) -> bool:
+    is_same_process = entry.holder.incarnation == writer.incarnation
+    return is_same_process and entry.claim.request_id == request_id
 
 
 def _fold_agreed(
@@ -322,7 +325,7 @@
     sure: bool,
     result: Folded,
 ) -> None:
-    """Enter a claim that may have been carried out before it was in the log."""
+    """Enter a claim that may have run before it was in the log, by agreement of the members."""
     at_ms = max(ledger.clock.now_ms, agreed.at_ms)
     _fold_claim(ledger, options, offset, at_ms, agreed.claim, agreed.holder, sure, result)
 
@@ -338,42 +341,42 @@
     result: Folded,
 ) -> None:
     result.touched.add(claim.key)
-    known = ledger.claims.get(claim.key)
-    if known is not None and not _is_expired(ledger, options, known):
-        if known.unsure:
-            # It may be this claim that holds the key in truth: block as long as it would.
-            known.seen_at = offset
-            known.at_ms = max(known.at_ms, at_ms)
+    entry = ledger.claims.get(claim.key)
+    if entry is not None and not _is_expired(ledger, options, entry):
+        if entry.unsure:
+            # This claim may be the true holder: block the key for as long as it would hold it.
+            entry.seen_at = offset
+            entry.at_ms = max(entry.at_ms, at_ms)
         return
-    _enter(ledger, Claim(claim, holder, offset, offset, offset, at_ms, unsure=not sure))
+    _add_entry(ledger, Claim(claim, holder, offset, offset, offset, at_ms, unsure=not sure))
 
 
-def _enter(ledger: Ledger, entry: Claim) -> None:
+def _add_entry(ledger: Ledger, entry: Claim) -> None:
     key = entry.claim.key
-    _drop(ledger, key)
+    _remove_entry(ledger, key)
     ledger.claims[key] = entry
     if entry.unsure:
         ledger.unsure.add(key)
 
 
-def _keep(ledger: Ledger, known: Claim, offset: int) -> None:
-    known.kept_at = offset
-    known.seen_at = offset
-    ledger.claims.move_to_end(known.claim.key)
+def _refresh_entry(ledger: Ledger, entry: Claim, offset: int) -> None:
+    entry.kept_at = offset
+    entry.seen_at = offset
+    ledger.claims.move_to_end(entry.claim.key)
 
 
-def _drop(ledger: Ledger, key: str) -> None:
+def _remove_entry(ledger: Ledger, key: str) -> None:
     ledger.claims.pop(key, None)
     ledger.unsure.discard(key)
 
 
 def _purge(ledger: Ledger, options: Options) -> None:
-    """Let go of what has expired; carrying moves live claims away from the front."""
+    """Delete expired claims; live ones are moved away from the front when they are carried."""
     while ledger.claims:
         key, claim = next(iter(ledger.claims.items()))
         if not _is_expired(ledger, options, claim):
             break
-        _drop(ledger, key)
+        _remove_entry(ledger, key)
     if len(ledger.numbers) > options.claim_writers_max:
         _purge_numbers(ledger, options)
 
--- a/packages/turmericweir-core/turmericweir_core/state/claim_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_state.py
@@ -1,7 +1,7 @@
-"""What an instance holds for idempotency keys, each part changed by its own `claim_*` module.
+"""State of an instance for idempotency keys; each part is changed by its own `claim_*` module.
 
-The ledger is what the log says. The outbox is what this instance has to say and has not yet read
-back from the log. The rest follows the requests that this instance took from callers.
+The ledger is the result of reading the log. The outbox has the records that this instance has to
+write and has not yet read back from the log. The rest tracks requests received from callers.
 """
 
 from __future__ import annotations
@@ -22,39 +22,39 @@
 
 
 class Outbox(Struct):
-    """What is to be said in the log, until it has been read back from there."""
+    """Items to append to the log, until they have been read back from it."""
 
     claims: dict[RequestId, NewClaim] = field(default_factory=dict)
     withdrawn: dict[RequestId, Withdrawal] = field(default_factory=dict)
     ends: dict[RequestId, EndRecord] = field(default_factory=dict)
-    # When withdrawals and ends have to go at the latest; a claim takes them along before.
+    # Latest time to append withdrawals and ends; an append with a claim includes them earlier.
     quiet_due: float | None = None
-    # The oldest claims are to be carried forward.
+    # The oldest claims have to be carried forward.
     carry: bool = False
-    # A record is to be written for its floor alone.
+    # A record has to be written only to publish its floor.
     floor: bool = False
-    # This instance is to ask to be in the view.
+    # This instance has to request to join the view.
     join: bool = False
-    # Members of the view that is to replace the current one.
+    # Members of the view that shall replace the current one.
     members: tuple[Writer, ...] | None = None
-    # An operator vouches for the end of the current one.
+    # An operator confirmed that the current view has ended.
     replaces: bool = False
     # Number of the newest append.
     number: int = 0
-    # The append that is out; one at a time, so that a later one proves an earlier one late.
+    # The unacknowledged append. Only one at a time, so that a later one invalidates an earlier one.
     in_flight: Batch | None = None
     in_flight_at: float = 0.0
-    # For how long it has been out, by the ticks since.
+    # Time for which it has been in flight, counted by ticks.
     out_s: float = 0.0
-    # Appends that were acknowledged and not read back yet, by number.
+    # Appends that were acknowledged but not read back yet, by number.
     landed: dict[int, Batch] = field(default_factory=dict)
-    # Appends that may be made now, and when that was computed; None before the first.
+    # Rate limit: appends allowed now, and when that was computed; None before the first append.
     tokens: float | None = None
     tokens_at: float = 0.0
-    # Failures in a row, and when to try again after the last.
+    # Consecutive failures, and when to retry.
     failures: int = 0
     retry_at: float = 0.0
-    # Latest wall clock that an own request's id brought, milliseconds.
+    # Latest wall clock in the id of a request of this instance, milliseconds.
     clock_ms: int = 0
 
 
@@ -63,37 +63,37 @@
 
     request_id: RequestId
     key: str
-    # Its claim went out at least once, so it may stand in the log or land there yet.
+    # Its claim was sent at least once, so it may be in the log or still arrive there.
     sent: bool = False
-    # When the holder's instance is asked next.
+    # When the holder's instance is queried next.
     ask_due: float = 0.0
-    # Streams to the holder's instance that failed in a row.
+    # Consecutive failed streams to the holder's instance.
     failures: int = 0
-    # The holder whose instance is gone, or knows nothing of it.
+    # The holder, if its instance is gone or has no record of it.
     lost_holder: str = ""
-    # The view under which members were asked to agree, those that have, by incarnation, and when
-    # the others are asked again.
+    # The view under which members were asked for their votes, the incarnations that have agreed,
+    # and when the others are asked again.
     vote_epoch: int = NO_VIEW
     voters: set[str] = field(default_factory=set)
     vote_due: float = 0.0
-    # Since when they are asked, and streams to them that failed.
+    # When they were first asked, and the number of failed streams to them.
     vote_since: float = 0.0
     vote_failures: int = 0
-    # One of them does not agree, so that only the log can tell.
+    # A member did not agree, so only the log can decide.
     denied: bool = False
-    # It has made way for another that asked for the same key.
+    # It has yielded to another claim for the same key.
     yielded: bool = False
 
 
 class Vote(Struct, frozen=True):
-    """A claim that this instance has agreed to, its own or another's."""
+    """A claim that this instance has agreed to, made by itself or by another instance."""
 
     claim: NewClaim
     holder: Writer
 
 
 class Asker(Struct, frozen=True):
-    """Another instance, a request of which waits for the end of one that runs here."""
+    """Another instance with a request that waits for the end of a call that runs here."""
 
     peer: InstanceName
     address: str
@@ -101,62 +101,63 @@
 
 
 class ClaimState(Struct):
-    """Everything about idempotency keys at this instance."""
+    """State of idempotency keys at this instance."""
 
     ledger: Ledger = field(default_factory=Ledger)
     outbox: Outbox = field(default_factory=Outbox)
     answers: AnswerStore = field(default_factory=AnswerStore)
     waits: dict[RequestId, Wait] = field(default_factory=dict)
-    # Requests that wait, by key.
+    # Waiting requests by key.
     waiting: dict[str, list[RequestId]] = field(default_factory=dict)
-    # Keys of the requests that hold theirs and have no account yet.
+    # Keys held by requests that have no account yet.
     held: dict[RequestId, str] = field(default_factory=dict)
-    # Holders of this instance that are being withdrawn and still stand in the ledger.
+    # Holders of this instance that are being withdrawn but are still in the ledger.
     withdrawing: set[str] = field(default_factory=set)
     askers: dict[str, list[Asker]] = field(default_factory=dict)
-    # Keys whose waiting requests are to be looked at again.
+    # Keys whose waiting requests have to be evaluated again.
     due: set[str] = field(default_factory=set)
-    # What was agreed to and is not in the ledger yet, by key; and the view for which that holds.
+    # Claims agreed to that are not in the ledger yet, by key, and the view in which they are valid.
     votes: dict[str, Vote] = field(default_factory=dict)
     vote_epoch: int = NO_VIEW
-    # Number of an own append that changes the view, while it is not known whether it counts.
+    # Number of this instance's append that changes the view, until its result is known.
     sealed: int | None = None
-    # Last number of each member that is not live, and since when it stands, by incarnation.
+    # Last append number of each member that is not live, and since when it is unchanged, by
+    # incarnation.
     quiet: dict[str, tuple[int, float]] = field(default_factory=dict)
     join_due: float = 0.0
-    # Incarnations that were live at some time, of those in the view.
+    # Incarnations in the view that have been live at some time.
     met: set[str] = field(default_factory=set)
-    # Incarnations that were live when the first view was last thought of, and since when.
+    # Incarnations that were live when the first view was last considered, and since when.
     live_seen: frozenset[str] = frozenset()
     live_since: float = 0.0
-    # Since when a read of the stream is out; None while none is.
+    # When the pending read of the stream was sent; None if none is pending.
     reading_since: float | None = None
     # The last read failed.
     read_failed: bool = False
-    # When the stream is read next, if nothing else asks for it.
+    # When the stream is read next, unless an event causes an earlier read.
     read_due: float = 0.0
     # Since when the ledger is not whole; None while it is.
     blind_since: float | None = None
-    # Records below this offset have grown old and are carried; see `claim_carry`.
+    # Claims in records below this offset are old and have to be carried; see `claim_carry`.
     carry_below: int = 0
-    # Where the stream stood at the last mark, and when the next is set.
+    # Offset of the stream at the last age mark, and when the next mark is set.
     mark: int = 0
     mark_due: float = 0.0
 
 
 def add_wait(claims: ClaimState, wait: Wait) -> None:
-    """Let a request wait for its key."""
+    """Add a request that waits for its key."""
     claims.waits[wait.request_id] = wait
     claims.waiting.setdefault(wait.key, []).append(wait.request_id)
 
 
 def drop_wait(claims: ClaimState, request_id: RequestId) -> Wait | None:
-    """Take a request out of those that wait."""
+    """Remove a waiting request and return its wait, if any."""
     wait = claims.waits.pop(request_id, None)
     if wait is None:
         return None
-    others = claims.waiting[wait.key]
-    others.remove(request_id)
-    if not others:
+    waiting_ids = claims.waiting[wait.key]
+    waiting_ids.remove(request_id)
+    if not waiting_ids:
         del claims.waiting[wait.key]
     return wait
--- a/packages/turmericweir-core/turmericweir_core/state/concurrency.py
+++ b/packages/turmericweir-core/turmericweir_core/state/concurrency.py
@@ -1,16 +1,17 @@
-"""Adapt how many requests a server is given at once, as a share of its slots.
+"""Adaptive limits on the requests that a server is given at once, as a share of its slots.
 
-A server's own number of slots is what it can hold, not what it can serve in time. Two rules:
+The slots of a server are the number of requests that it can hold, which may be more than it can
+serve in time. Two rules:
 
-- Plain services, by gradient: the long-term latency is set against the short-term one. While they
-  agree the limit grows by its square root; when the newest calls take longer, the limit shrinks in
-  proportion, down to a floor.
-- Engines, against what the classes were promised: when the time between tokens or the time to the
-  first token is over the target of the most urgent class that has one, the limit steps back by a
-  factor, otherwise it grows slowly up to the slots.
+- Plain services use a gradient of latencies: the long-term average is compared with the short-term
+  one. While they agree, the limit grows by its square root; when recent calls take longer, it
+  shrinks in proportion, down to a floor.
+- Engines use the targets of the service classes: when the time between tokens or the time to the
+  first token exceeds the target of the most urgent class that has one, the limit is reduced by a
+  factor; otherwise it grows slowly up to the slots.
 
-The limit is for the server as a whole, not for this instance: it takes the place of the slots in
-every policy. Only the instance's own observations count.
+The limit applies to the server as a whole, not to this instance's part of it: it replaces the slots
+in every policy. It is computed only from this instance's observations.
 """
 
 from __future__ import annotations
@@ -31,9 +32,9 @@
     # Short-term and long-term latency of plain calls, seconds.
     short_s: float | None = None
     long_s: float | None = None
-    # Averaged time to the first token of the most urgent class seen, over its target.
+    # Averaged ratio of the time to the first token to its target, for the most urgent class.
     first_token_ratio: float = 0.0
-    # Calls or first tokens since the last adjustment: without any there is nothing to learn.
+    # Calls or first tokens observed since the last adjustment.
     fresh: int = 0
     adjust_due: float = 0.0
 
@@ -45,14 +46,14 @@
 
 
 def limited_slots(state: LimitState, server: ServerName, slots: int) -> int:
-    """Give the number of requests that a server with so many slots is given at once."""
+    """Return how many requests a server with this number of slots may be given at once."""
     limit = state.by_server.get(server)
     if limit is None:
         return slots
     return max(1, round(slots * limit.share))
 
 
-def _limit(state: LimitState, server: ServerName) -> ServerLimit:
+def _get_or_create_limit(state: LimitState, server: ServerName) -> ServerLimit:
     limit = state.by_server.get(server)
     if limit is None:
         limit = state.by_server[server] = ServerLimit()
@@ -65,27 +66,27 @@
 def note_latency(
     state: LimitState, options: Options, now: float, server: ServerName, slots: int, latency: float
 ) -> None:
-    """Learn from a plain call that completed, and adjust where it is time."""
-    limit = _limit(state, server)
+    """Record the latency of a completed plain call and adjust the limit if it is time to."""
+    limit = _get_or_create_limit(state, server)
     if limit.short_s is None or limit.long_s is None:
         limit.short_s = limit.long_s = latency
     limit.short_s += options.limit_short_weight * (latency - limit.short_s)
     limit.long_s += options.limit_long_weight * (latency - limit.long_s)
-    # A long rush must not become the norm that later latencies are measured by.
+    # Prevents a long peak load from becoming the baseline for later latencies.
     limit.long_s = min(limit.long_s, 2.0 * limit.short_s)
     limit.fresh += 1
     if now >= limit.adjust_due:
         limit.adjust_due = now + options.limit_adjust_s
-        _follow_gradient(limit, options, slots, limit.short_s, limit.long_s)
+        _adjust_by_gradient(limit, options, slots, limit.short_s, limit.long_s)
 
 
-def _follow_gradient(
-    limit: ServerLimit, options: Options, slots: int, short: float, long: float
+def _adjust_by_gradient(
+    limit: ServerLimit, options: Options, slots: int, short_s: float, long_s: float
 ) -> None:
-    gradient = min(1.0, max(0.5, options.limit_tolerance * long / max(short, 1e-6)))
-    wanted = limit.share * slots
-    grown = wanted * gradient + sqrt(wanted) * (gradient == 1.0)
-    _set_share(limit, options, grown / slots)
+    gradient = min(1.0, max(0.5, options.limit_tolerance * long_s / max(short_s, 1e-6)))
+    old_limit = limit.share * slots
+    new_limit = old_limit * gradient + sqrt(old_limit) * (gradient == 1.0)
+    _set_share(limit, options, new_limit / slots)
     limit.fresh = 0
 
 
@@ -95,8 +96,8 @@
 def note_first_token(
     state: LimitState, options: Options, server: ServerName, waited: float, target_s: float
 ) -> None:
-    """Learn from the time to the first token of an attempt, against its class's target."""
-    limit = _limit(state, server)
+    """Record the time to the first token of an attempt relative to the target of its class."""
+    limit = _get_or_create_limit(state, server)
     ratio = waited / max(target_s, 1e-6)
     limit.first_token_ratio += options.limit_short_weight * (ratio - limit.first_token_ratio)
     limit.fresh += 1
@@ -110,19 +111,19 @@
     gap_s: float,
     gap_target_s: float | None,
 ) -> None:
-    """Step an engine's limit back or forth by what was promised."""
-    limit = _limit(state, server)
+    """Raise or lower the limit of an engine according to the targets of the classes."""
+    limit = _get_or_create_limit(state, server)
     if now < limit.adjust_due:
         return
     limit.adjust_due = now + options.limit_adjust_s
-    slow = gap_target_s is not None and gap_s > gap_target_s
-    late = limit.fresh > 0 and limit.first_token_ratio > 1.0
-    if slow or late:
+    is_gap_slow = gap_target_s is not None and gap_s > gap_target_s
+    is_first_token_slow = limit.fresh > 0 and limit.first_token_ratio > 1.0
+    if is_gap_slow or is_first_token_slow:
         _set_share(limit, options, limit.share * options.limit_backoff)
     else:
         _set_share(limit, options, limit.share + options.limit_growth)
     if not limit.fresh:
-        # Nothing began since the last time, so what was seen then says less and less.
+        # No answer began since the last adjustment: decay the old ratio.
         limit.first_token_ratio *= options.limit_backoff
     limit.fresh = 0
 
@@ -132,5 +133,5 @@
 
 
 def forget_server(state: LimitState, server: ServerName) -> None:
-    """Begin afresh with a server that restarted or is gone."""
+    """Discard the limit of a server that restarted or is gone."""
     state.by_server.pop(server, None)
--- a/packages/turmericweir-core/turmericweir_core/state/credit_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/credit_state.py
@@ -1,6 +1,6 @@
-"""What the credit policy keeps: credit held at servers, and credit given out as a dispatcher.
+"""State of the credit policy: credit held at servers, and credit granted as a dispatcher.
 
-See `credit` for how it works. Tiers are the numbers of the service classes, 0 the most urgent.
+`credit` describes the policy. Tiers are the numbers of the service classes, 0 the most urgent.
 """
 
 from __future__ import annotations
@@ -18,88 +18,90 @@
 class HeldCredit(Struct):
     """The credit that this instance holds at one server."""
 
-    # Whom the demands go to; a change of it is a change of dispatcher.
+    # The instance to which demands are sent.
     dispatcher: InstanceName
     # Number of the newest demand.
     seq: int = 0
-    # When the demands were sent that no grant has answered yet, by number.
+    # When each demand that no grant has answered yet was sent, by number.
     sent_at: dict[int, float] = field(default_factory=dict)
-    # The newest demand that was answered, and when it had been sent.
+    # The newest demand that was answered, and when it was sent.
     answered_seq: int = 0
     answered_at: float = NEVER
-    # What the newest demand said.
+    # Content of the newest demand, and when it was made.
     asked: tuple[TierDemand, ...] = ()
     asked_at: float = NEVER
-    # Slots by tier, and those of them that only their own tier may use.
+    # Slots by tier, and how many of them only that tier may use.
     slots: dict[int, int] = field(default_factory=dict)
     assured: dict[int, int] = field(default_factory=dict)
-    # Number of the newest grant; the demands confirm it.
+    # Number of the newest grant received; demands confirm it.
     grant_number: int = 0
-    # Counted from when the demand was sent that the grant answers.
+    # Counted from the time when the answered demand was sent.
     valid_until: float = NEVER
-    # The dispatcher wants to hear of every change of what this instance needs.
+    # The dispatcher requests a report of every change of this instance's demand.
     contended: bool = False
-    # The dispatcher has called credit back and waits to hear that this instance saw it.
+    # The dispatcher has recalled credit and waits for this instance's confirmation.
     confirm: bool = False
-    # Attempts of tiers above the number make way until this many are left; None for none. How many
-    # are left, and not how many go, so that a grant that is repeated stops nothing more.
+    # Attempts of tiers above `displace_above` are displaced until this many are left; None for no
+    # displacement. A number of remaining attempts makes a repeated grant idempotent.
     keep: int | None = None
     displace_above: int = 0
-    # Until then the instance goes by its own counts.
+    # Until then the instance uses only its local counts.
     fallback_until: float = NEVER
-    # When a request last ran there or waited for it.
+    # When a request last ran on the server or waited for it.
     used_at: float = NEVER
 
 
 class Holding(Struct):
-    """What the dispatcher of a server knows of one instance that uses it."""
+    """The dispatcher's record of one instance that uses a server."""
 
     seq: int
     heard_at: float
     demand: dict[int, TierDemand] = field(default_factory=dict)
-    # What was granted last, by tier.
+    # Slots of the newest grant, by tier.
     granted: dict[int, int] = field(default_factory=dict)
     assured: dict[int, int] = field(default_factory=dict)
     number: int = 0
     # Number of the newest grant that the instance confirmed.
     confirmed: int = 0
-    # Slots at the most of all grants that are newer than the confirmed one.
+    # Maximum number of slots in any grant newer than the confirmed one.
     unconfirmed: int = 0
-    # The server's limit, as the instance observes it.
+    # The server's concurrency limit, as computed by that instance.
     limit: int = 0
-    # What the newest grant said of contention, and the newest load report passed on.
+    # The contention flag of the newest grant, and the newest load report passed on.
     contended: bool = False
     load_seq: int = -1
     load_at: float = NEVER
     load_leaving: bool = False
-    # What it was told of attempts that make way; see `HeldCredit.keep`.
+    # Displacement sent with the newest grant; see `HeldCredit.keep`.
     keep: int | None = None
     displace_above: int = 0
-    # Slot seconds that it used of late; who used least comes first among equals.
+    # Recent use, slot seconds; among equal demands the instance with the least use comes first.
     used_s: float = 0.0
-    # Up to when that is counted.
+    # Time up to which the use is counted.
     used_at: float = 0.0
 
     def total(self) -> int:
-        """Sum the slots that were granted last."""
+        """Return the number of slots in the newest grant."""
         return sum(self.granted.values())
 
     def running(self) -> int:
-        """Sum what it said to run."""
-        return sum(each.running for each in self.demand.values())
+        """Return the number of running attempts that the instance reported."""
+        return sum(demand.running for demand in self.demand.values())
 
     def usable(self) -> int:
-        """Give the slots that it may use, whichever of its grants it knows of."""
+        """Return the slots that the instance may use, whichever of its grants it has received."""
         return max(self.total(), self._unconfirmed())
 
     def committed(self) -> int:
-        """Give the slots that may be in use, with or without a grant for them."""
+        """Return the slots that may be in use, granted or not."""
         return max(self.usable(), self.running())
 
     def committed_below(self, most_urgent: int) -> int:
-        """Give the slots that tiers below the most urgent one may have in use."""
+        """Return the slots that may be in use by all tiers but the most urgent one."""
         granted = sum(slots for tier, slots in self.granted.items() if tier != most_urgent)
-        running = sum(each.running for each in self.demand.values() if each.tier != most_urgent)
+        running = sum(
+            demand.running for demand in self.demand.values() if demand.tier != most_urgent
+        )
         unconfirmed = self._unconfirmed() - self.granted.get(most_urgent, 0)
         return max(granted, running, unconfirmed)
 
@@ -108,48 +110,48 @@
 
 
 class Ledger(Struct):
-    """Credit for one server, given out by this instance as its dispatcher."""
+    """Credit for one server, granted by this instance as its dispatcher."""
 
     holdings: dict[InstanceName, Holding] = field(default_factory=dict)
-    # Slot seconds saved up by crowded-out tiers; negative while they are paid back.
+    # Slot seconds accrued by tiers that wait without a slot; negative while they are repaid.
     saved: dict[int, float] = field(default_factory=dict)
-    # Tiers that have a slot of their own at present.
+    # Tiers that currently have an assured slot.
     assured: set[int] = field(default_factory=set)
-    # Since when somebody wants more than was granted; None while nobody does.
+    # Since when some instance's demand exceeds its grant; None if none does.
     short_since: float | None = None
-    # Demand was above the capacity so recently that instances report every change.
+    # Until then instances report every change, because demand recently exceeded capacity.
     contended_until: float = NEVER
     settled_at: float = NEVER
     # Settlements since the last tick.
     settlements: int = 0
-    # When lapsed credit and a changed capacity are looked for next.
+    # When expired credit and changes of capacity are checked next.
     look_due: float = NEVER
-    # A settlement was put off because the last one was a moment ago.
+    # A settlement was postponed because the last one was very recent.
     unsettled: bool = False
 
 
 class CreditState(Struct):
-    """Both sides of the credit policy."""
+    """State of both sides of the credit policy."""
 
     held: dict[ServerName, HeldCredit] = field(default_factory=dict)
     given: dict[ServerName, Ledger] = field(default_factory=dict)
-    # Live instances by data centre, as of the last tick; who is leaving is left out.
+    # Live instances that are not leaving, by data centre, as of the last tick.
     live: dict[str, tuple[InstanceName, ...]] = field(default_factory=dict)
     live_due: float = NEVER
-    # The same with those that leave: they hold credit until what they run has ended.
+    # All live instances, including leaving ones: these hold credit until their attempts have ended.
     alive: frozenset[InstanceName] = frozenset()
     # Dispatchers by server; emptied when `live` changes.
     dispatchers: dict[ServerName, InstanceName | None] = field(default_factory=dict)
-    # Servers where this instance runs more than it now has credit for.
+    # Servers where this instance runs more attempts than it now has credit for.
     recalled: set[ServerName] = field(default_factory=set)
-    # Servers whose dispatchers were last told that something waits.
+    # Servers whose dispatchers have been sent a demand for waiting requests.
     asking: set[ServerName] = field(default_factory=set)
-    # Credit was lost at more than one server: until then it is asked for in the subset's order.
+    # Credit was lost at several servers: until then it is requested in the subset's order.
     stays_until: float = NEVER
-    # Demands that may be sent now, as of a time; None until the first one.
+    # Rate limit: demands allowed now, and when that was computed; None before the first demand.
     demands_left: float | None = None
     demands_at: float = 0.0
-    # Demands sent, put off for want of budget, and grants taken, for the state dump.
+    # Demands postponed by the rate limit, demands sent and grants accepted, for the state dump.
     demands_put_off: int = 0
     demands_sent: int = 0
     grants_taken: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/dead_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/dead_state.py
@@ -1,4 +1,4 @@
-"""The servers that are tried because attempts on them are silent; see `dead_server`."""
+"""Servers that are probed because attempts on them are unresponsive; see `dead_server`."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 
 
 class Suspicion(Struct):
-    """Tries of a server on which attempts are silent."""
+    """Probes of a server on which attempts are unresponsive."""
 
-    # Not tried again before.
+    # Not probed again before this time.
     try_due: float
     failures: int = 0
 
 
 class DeadState(Struct):
-    """The servers that are being tried."""
+    """The servers that are being probed."""
 
     by_server: dict[ServerName, Suspicion] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/document_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/document_state.py
@@ -1,4 +1,4 @@
-"""Hold the newest settings document and what proves that it still is the newest."""
+"""The newest settings document and the proof that it is current."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 
 class DocumentState(Struct):
-    """The newest document, and what proves that it still is."""
+    """The newest document and the time of its freshness proof."""
 
-    # 0 before there is any.
+    # 0 if there is no document yet.
     version: int = 0
-    # As the operator wrote it, for peers that cannot read the store.
+    # The document as written by the operator, for peers that cannot read the store.
     raw: bytes = b""
-    # When the request of the newest answered read was sent; a peer's counts as well.
+    # When the newest answered read was sent, by this instance or by a peer.
     proof_at: float = _NEVER
-    # The same for the reads of this instance alone.
+    # The same, for reads of this instance only.
     own_proof_at: float = _NEVER
     started_at: float | None = None
     ask_due: float = _NEVER
-    # Number of the newest asking of a peer, and when each was sent.
+    # Number of the newest query to a peer, and when each query was sent.
     asked: int = 0
     asked_at: dict[int, float] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/duty_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/duty_state.py
@@ -1,4 +1,4 @@
-"""The part of the state that belongs to the duties of one holder at a time."""
+"""State of duties, i.e. tasks that one instance at a time does for all."""
 
 from __future__ import annotations
 
@@ -11,21 +11,21 @@
 
 
 class DutySettings(Struct, frozen=True):
-    """Which duties there are, and what the platform holds their holder to."""
+    """Which duties exist, and the platform's requirements for their holder."""
 
     reports_usage: bool
     orders_servers: bool
-    # Length of a window of usage, and the time after its end by which its report is due, seconds.
+    # Length of a usage window, and the time after its end by which it must be reported, seconds.
     window_s: float
     late_s: float
-    # Calls a second that the platform takes from all instances together.
+    # Calls per second that the platform accepts from all instances together.
     calls_per_s: float
-    # The platform refuses calls with a fencing number below one that it has seen.
+    # The platform rejects calls whose fencing number is below one that it has received.
     checks_fence: bool
 
 
 class ToldUsage(Struct):
-    """What one life of an instance has told of its counts."""
+    """The counts reported by one incarnation of an instance."""
 
     seq: int
     open_window: int
@@ -34,22 +34,22 @@
 
 
 class UsageBook(Struct):
-    """The counts of all instances, and the reports that were made of them."""
+    """The counts of all instances, and which of them were reported to the platform."""
 
-    # By name and incarnation: what a life has told stands after its end.
+    # By name and incarnation. The counts of an incarnation stay valid after its end.
     told: dict[tuple[InstanceName, str], ToldUsage] = field(default_factory=dict)
-    # Own messages: their counter, when the next is due, and when the newest went out.
+    # Messages of this instance: their counter, when the next is sent and when the last was sent.
     seq: int = 0
     send_due: float = NEVER
     sent_at: float = NEVER
     sent_window: int | None = None
-    # To whom the newest went; others are sent everything that is kept.
+    # Recipients of the newest message; other instances are sent all stored windows.
     sent_to: frozenset[InstanceName] = frozenset()
-    # The first window that this instance would report, where nobody has reported any.
+    # The first window that this instance reports if none has been reported.
     first_window: int | None = None
-    # Windows whose reports the platform has taken, as far as this instance knows.
+    # Windows whose reports the platform has accepted, as far as this instance knows.
     reported: set[int] = field(default_factory=set)
-    # The call that is under way, by its token, its window, and when the next may be made.
+    # Token and window of the call in flight, and when the next call may be made.
     calling: tuple[str, int] | None = None
     call_due: float = NEVER
     failures: int = 0
@@ -60,44 +60,44 @@
 
     count: int
     at: float
-    # The platform has taken it.
+    # The platform has accepted it.
     is_taken: bool = False
-    # None are to be had before this time.
+    # No servers of this kind are available before this time.
     dry_until: float = NEVER
 
 
 class CapacityBook(Struct):
-    """What was ordered, by service, data centre and whether the servers are spot ones."""
+    """Orders of servers, by service, data centre and whether they are spot servers."""
 
     orders: dict[tuple[str, str, bool], Ordered] = field(default_factory=dict)
     calls: dict[str, tuple[str, str, bool]] = field(default_factory=dict)
-    # The most engines that a service needed of late, and when that was seen.
+    # Highest recent number of engines that a service needed, and when it was computed.
     needed: dict[str, tuple[int, float]] = field(default_factory=dict)
-    # Servers that each data centre of a service had when this instance first looked.
+    # Servers in each data centre of a service at the first check of this instance.
     kept: dict[str, dict[str, int]] = field(default_factory=dict)
-    # Since when this instance has followed the demand without a gap.
+    # Since when this instance has tracked the demand without interruption.
     since: float | None = None
     look_due: float = NEVER
 
 
 class DutyState(Struct):
-    """Everything of the duties."""
+    """State of all duties."""
 
     settings: DutySettings
-    # Counter of own calls.
+    # Number of the newest call of this instance.
     number: int = 0
-    # Instances that may hold the lease, in the order in which they stand in; looked up anew then.
+    # Instances that may hold the lease, in fallback order, and when they are determined again.
     candidates: list[Member] = field(default_factory=list)
     look_due: float = NEVER
-    # When a holder that can do its work was last heard, and who it was.
+    # When a status of a holder that can do the work was last received.
     heard_at: float | None = None
-    # The newest lease of another instance that was read, by incarnation and fencing number.
+    # Incarnation and fencing number of the newest lease of another instance.
     read_lease: tuple[str, int] | None = None
-    # Own word that this instance holds the lease: when it is due again.
+    # When this instance next announces that it holds the lease.
     status_due: float = NEVER
-    # Since when this instance cannot do the work, as the holder; None while it can.
+    # Since when this instance, as the holder, cannot do the work; None while it can.
     failing_since: float | None = None
-    # It does not try for the lease before this time, as it failed with it.
+    # It does not request the lease before this time, because it failed as the holder.
     barred_until: float = NEVER
     usage: UsageBook = field(default_factory=UsageBook)
     capacity: CapacityBook = field(default_factory=CapacityBook)
--- a/packages/turmericweir-core/turmericweir_core/state/engine_speed.py
+++ b/packages/turmericweir-core/turmericweir_core/state/engine_speed.py
@@ -1,13 +1,13 @@
-"""How fast the engines of a service read prompts, by what this instance itself observes.
+"""Estimates of the prefill speed of the engines of a service, from this instance's observations.
 
-`Options` holds the figures of a common engine. Others read a token in a third of that time, or take
-twice as long from the end of a prompt to the first event. All predictions, what is refused by them
-and how many engines read long prompts rest on these figures, so two numbers are fitted for each
-service: `took = first_ms + factor * work`, where `work` is the time that the common engine would
-read for. It is a straight line by least squares through the newest requests that met an engine with
-nothing else to read; some common ones stand in for these until there are enough.
+`Options` has the figures of a reference engine. Other engines may prefill several times faster or
+have a different delay from the end of the prefill to the first event. Predictions, refusals and the
+number of prefill engines depend on these figures, so two parameters are fitted for each service:
+`took = first_ms + factor * work`, where `work` is the prefill time on the reference engine. The fit
+is a least-squares line through the latest requests that were sent to an engine with nothing else to
+prefill. It starts with some simulated requests to the reference engine.
 
-`EngineBook.pace` is left with how one engine differs from the others of its service.
+`EngineBook.pace` is how one engine differs from the other engines of its service.
 """
 
 from __future__ import annotations
@@ -18,27 +18,28 @@
 
 from turmericweir_core.base.options import Options
 
-# What each newer request leaves of the weight of the older ones: some thirty count.
-_KEEP: Final = 0.97
-# Requests to a common engine that are taken for seen at first, at each end of a short range of
-# work, milliseconds: a handful of real ones outweighs them.
+# Decay of the weight of older requests with each new one.
+_DECAY: Final = 0.97
+# Simulated requests to the reference engine: weight at each of two amounts of work, and the larger
+# of these amounts.
 _PRIOR_WEIGHT: Final = 2.0
 _PRIOR_WORK_MS: Final = 100.0
-# Spread of work, milliseconds squared, below which requests tell nothing of the factor.
-_SPREAD_MIN: Final = 25.0
-# Bounds of the factor: a prompt is read in a tenth of the common time, or in eight times as long.
+# Variance of the work, milliseconds squared, below which the factor is not updated.
+_VARIANCE_MIN_MS2: Final = 25.0
+# Bounds of the factor.
 _FACTOR_MIN: Final = 0.1
 _FACTOR_MAX: Final = 8.0
-# A request that takes so many times what was predicted met others that nobody had told of yet.
-_BEYOND: Final = 3.0
+# Cap on the time taken, over the prediction. Longer times are due to requests of other instances
+# that were not announced yet.
+_MAX_RATIO: Final = 3.0
 
 
 class EngineSpeed(Struct):
-    """The line through what was seen of one service."""
+    """The fitted line of one service."""
 
-    # Time to the first event of an answer whose prompt needs no reading, milliseconds.
+    # Time to the first event of an answer whose prompt needs no prefill, milliseconds.
     first_ms: float
-    # Time to read a prompt, over what the common engine takes.
+    # Prefill time, over that of the reference engine.
     factor: float = 1.0
     # Decayed sums: weights, work, time taken, and products of these.
     weight: float = 0.0
@@ -49,36 +50,36 @@
 
 
 def common(options: Options) -> EngineSpeed:
-    """Begin with the common engine."""
+    """Return the line of the reference engine, as the starting point."""
     speed = EngineSpeed(options.first_token_ms)
     for work in (0.0, _PRIOR_WORK_MS):
-        _add(speed, work, options.first_token_ms + work, _PRIOR_WEIGHT)
+        _add_sample(speed, work, options.first_token_ms + work, _PRIOR_WEIGHT)
     return speed
 
 
 def learn(speed: EngineSpeed, work_ms: float, took_ms: float) -> None:
-    """Take a request that met an engine with nothing else to read."""
-    expected = speed.first_ms + speed.factor * work_ms
-    took_ms = min(took_ms, _BEYOND * expected)
-    _fade(speed)
-    _add(speed, work_ms, took_ms, 1.0)
+    """Update the line with a request to an engine that had nothing else to prefill."""
+    expected_ms = speed.first_ms + speed.factor * work_ms
+    took_ms = min(took_ms, _MAX_RATIO * expected_ms)
+    _decay_sums(speed)
+    _add_sample(speed, work_ms, took_ms, 1.0)
     mean_work, mean_took = speed.work / speed.weight, speed.took / speed.weight
-    spread = speed.work_work / speed.weight - mean_work**2
-    if spread >= _SPREAD_MIN:
-        slope = (speed.work_took / speed.weight - mean_work * mean_took) / spread
+    variance = speed.work_work / speed.weight - mean_work**2
+    if variance >= _VARIANCE_MIN_MS2:
+        slope = (speed.work_took / speed.weight - mean_work * mean_took) / variance
         speed.factor = min(_FACTOR_MAX, max(_FACTOR_MIN, slope))
     speed.first_ms = max(0.0, mean_took - speed.factor * mean_work)
 
 
-def _fade(speed: EngineSpeed) -> None:
-    speed.weight *= _KEEP
-    speed.work *= _KEEP
-    speed.took *= _KEEP
-    speed.work_work *= _KEEP
-    speed.work_took *= _KEEP
+def _decay_sums(speed: EngineSpeed) -> None:
+    speed.weight *= _DECAY
+    speed.work *= _DECAY
+    speed.took *= _DECAY
+    speed.work_work *= _DECAY
+    speed.work_took *= _DECAY
 
 
-def _add(speed: EngineSpeed, work: float, took: float, weight: float) -> None:
+def _add_sample(speed: EngineSpeed, work: float, took: float, weight: float) -> None:
     speed.weight += weight
     speed.work += weight * work
     speed.took += weight * took
--- a/packages/turmericweir-core/turmericweir_core/state/engine_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/engine_state.py
@@ -1,4 +1,4 @@
-"""Hold what is known of the load and the cache of each engine."""
+"""State of the load and the cache of each engine."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class Pending(Struct, frozen=True):
-    """A prompt that waits at an engine or is being read there."""
+    """A prompt that waits for its prefill at an engine or is being prefilled."""
 
     work_ms: float
-    # Engines take prompts of lower ranks first.
+    # Engines prefill prompts of lower ranks first.
     rank: int
     sent_at: float
 
@@ -26,22 +26,22 @@
     work_ms: float
     rank: int
     tokens: int
-    # Time to the first token that was predicted, and when the prompt was sent.
+    # Predicted time to the first token, and when the prompt was sent.
     predicted_ms: float
     sent_at: float
-    # What a common engine would read for, if this one had nothing else to read; None if it had, or
-    # was handed a part of the prompt.
+    # Prefill time on the reference engine. None if this engine had other prompts to prefill, or
+    # fetched a part of the prompt from another engine.
     common_ms: float | None
 
 
 class Heard(Struct):
-    """When something was last heard from an instance; all that it told still held then."""
+    """When an instance last sent a message; everything that it reported was valid at that time."""
 
     at: float
 
 
 class PeerLoad(Struct):
-    """What one other instance, or all that tell one teller, have on a server."""
+    """Load of one other instance, or of all instances behind one relay, on a server."""
 
     heard: Heard
     pending: list[Pending] = field(default_factory=list)
@@ -50,51 +50,51 @@
 
 
 class EngineLoad(Struct, frozen=True):
-    """What all instances have on a server at one time, summed up."""
+    """Total load of all instances on a server at one time."""
 
     at: float
-    # Of the book, when this was summed up.
+    # `EngineBook.changes` when this was computed.
     changes: int
     own: tuple[int, int]
-    # Prompts that it has not begun to answer.
+    # Prompts that the server has not begun to answer.
     pending: list[Pending]
-    # Of these, what it is reading, and for how much longer, milliseconds.
+    # Those of them in prefill, and the remaining prefill time, milliseconds.
     in_hand: list[Pending]
     in_hand_ms: float
     requests: int
-    # What the requests take in its memory.
+    # Tokens that the requests occupy in the server's memory.
     tokens: int
 
 
 class EngineBook(Struct):
-    """What is known of one server; plain servers only have their running requests."""
+    """State of one server; for servers of plain services only the running requests are recorded."""
 
-    # Own prompts without a first token, and the tokens of own requests that run.
+    # Prompts of this instance without a first token, and the tokens of its running requests.
     prefills: dict[AttemptId, Prefill] = field(default_factory=dict)
     running: dict[AttemptId, int] = field(default_factory=dict)
     peers: dict[InstanceName, PeerLoad] = field(default_factory=dict)
-    # Parts that its cache is taken to hold, with their tokens; the newest last.
+    # Prompt parts assumed to be in its cache, with their tokens; the newest last.
     cached: OrderedDict[str, int] = field(default_factory=OrderedDict)
     cached_tokens: int = 0
-    # Parts that it was sent and has not begun to answer, with the time up to which that is
-    # believed. It does not hold them before.
+    # Prompt parts that it was sent but has not begun to answer, with the time until which this is
+    # assumed. They are not in its cache yet.
     reading: dict[str, float] = field(default_factory=dict)
     pace: float = 1.0
-    # Since when the engine has been reading what waits there now.
+    # When the engine began the prefill of the prompts that wait there now.
     reading_since: float = 0.0
-    # Counts changes of the load other than by length of what this instance has there.
+    # Number of changes of the load, except in the length of this instance's running answers.
     changes: int = 0
-    # The newest sum; each of many waiting requests asks for it at the same time.
+    # The newest total, cached because many waiting requests need it at the same time.
     load: EngineLoad | None = None
 
 
 class EngineModels(Struct):
-    """The books of all servers."""
+    """State of the load and caches of all servers."""
 
     by_server: dict[ServerName, EngineBook] = field(default_factory=dict)
-    # How fast the engines of each service are.
+    # Prefill speed of the engines, by service.
     speeds: dict[Target, EngineSpeed] = field(default_factory=dict)
-    # Something changed that other instances should know of.
+    # Something changed that has to be sent to other instances.
     changed: bool = False
-    # Parts that this instance has sent, or seen to be read, and not told of yet.
+    # Prompt parts sent or prefilled that have not been announced to other instances yet.
     unsaid: list[SentPart] = field(default_factory=list)
--- a/packages/turmericweir-core/turmericweir_core/state/handover_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/handover_state.py
@@ -1,4 +1,4 @@
-"""Hold whether a started instance still wants to be told what the caches of engines hold."""
+"""State of a starting instance's request to peers for the contents of engine caches."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class HandoverState(Struct):
-    """Whether this instance still wants to be told."""
+    """Whether this instance still has to request the contents of caches from a peer."""
 
     started_at: float | None = None
     ask_due: float = 0.0
--- a/packages/turmericweir-core/turmericweir_core/state/late_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/late_state.py
@@ -1,4 +1,4 @@
-"""Hold what peers told of their late requests."""
+"""Overdue requests, as reported by peers."""
 
 from __future__ import annotations
 
@@ -8,6 +8,6 @@
 
 
 class LateRanks(Struct):
-    """What the peers told of late requests: when, and of which rank."""
+    """When each peer last reported an overdue request, and its rank."""
 
     peers: dict[Target, dict[InstanceName, tuple[float, int]]] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/lease_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_ledger.py
@@ -1,17 +1,16 @@
-"""What the `leases` stream says: a fold that gives every reader the same answer.
+"""The ledger of leases: a fold over the `leases` stream that gives every reader the same result.
 
-A record is valid if no other record of its scope, valid or not, stands between the offset up to
-which its writer had read and its own. So the first of two rivals wins by its offset, a renewal that
-lands after a successor's grant is void, and a grant that missed a renewal is void. What a valid
-record says of the lease is then taken as it stands, since its writer had seen everything before.
+A record is valid if there is no other record of its scope, valid or not, between the offset up to
+which its writer had read and its own offset. So the first of two competing records wins. A renewal
+that arrives after another instance's grant is void, as is a grant whose writer missed a renewal.
+A valid record replaces the lease of its scope, since its writer had read everything before it.
 
-The condition looks back only as far as `upto`. A reader can therefore start at the end of the
-stream instead of reading what has been kept, or what is no longer kept: all grants that it can ever
-win read from there on. What it has not seen it waits out (`free_at`): a holder that lives renews,
-and one that doesn't has lapsed by then.
+The condition depends only on records from `upto` on. A reader can therefore start at the end of the
+stream: every grant that it can win is read from there on. For leases that it has not read it waits
+(`free_at`): by then a live holder has renewed its lease, and any other lease has expired.
 
-Where the log keeps the newest record of each scope for good, a reader begins with these (`adopt`).
-Such a log takes conditional appends as well, so whatever it holds was valid when it was written.
+If the log retains the newest record of each scope, a reader starts with these records (`adopt`).
+Such a log supports conditional appends, so every record in it was valid when it was written.
 """
 
 from __future__ import annotations
@@ -26,32 +25,32 @@
 
 
 class Lease(Struct):
-    """The newest lease of a scope, as far as this reader knows."""
+    """The newest lease of a scope that this reader has read."""
 
     fence: int
     instance: str
     incarnation: str
     lease_s: float
-    # When this reader read its newest grant or renewal, by its own clock: later than it was sent.
+    # When this reader read the newest grant or renewal, by its own clock. Always after it was sent.
     read_at: float
     released: bool = False
-    # The reader has seen all that the condition of that record is about.
+    # The reader has read all records on which the validity of that record depends.
     sure: bool = True
-    # What its holder has noted for its successors.
+    # Note of the holder for its successors.
     note: Any = None
 
 
 class Ledger(Struct):
     """The leases of all scopes, up to an offset."""
 
-    # The offset at which this reader began, and when it had read that; None before that.
+    # The offset at which this reader started, and when; None before the start.
     start: int | None = None
     started_at: float = 0.0
-    # The newest record of each scope was read at the start, so there is none of any other scope.
+    # The newest record of every scope was read at the start, so other scopes have no records.
     whole: bool = False
-    # Offset of the first record that is not folded.
+    # Offset of the next record to fold.
     offset: int = 0
-    # When everything up to `offset` was last known to be all there is.
+    # When `offset` was last known to be the end of the stream.
     caught_up_at: float = float("-inf")
     leases: dict[Scope, Lease] = field(default_factory=dict)
     # Offset of the newest record of each scope, valid or not.
@@ -59,18 +58,18 @@
 
 
 class Folded(Struct, frozen=True):
-    """What one record came to."""
+    """The result of folding one record."""
 
-    # None for a malformed one.
+    # None if the record was malformed.
     record: LeaseRecord | None
     valid: bool
-    # The reader has seen all that the record's condition is about. One that has not may only wait
-    # for what the record says, never act on it.
+    # The reader has read all records on which the validity of this record depends. Otherwise it may
+    # only wait for the lease to expire and never act on it.
     sure: bool = False
 
 
 def begin(ledger: Ledger, offset: int, now: float) -> None:
-    """Start, or start anew, at the end of the stream; what was known of before is let go of."""
+    """Start or restart at the end of the stream, discarding all leases."""
     ledger.start = offset
     ledger.started_at = now
     ledger.offset = offset
@@ -80,43 +79,43 @@
 
 
 def adopt(ledger: Ledger, now: float, newest: Iterable[LogRecord], end: int) -> list[int]:
-    """Start with the newest record of each scope; give the offsets of malformed ones."""
+    """Start with the newest record of each scope; return the offsets of malformed records."""
     begin(ledger, end, now)
     ledger.whole = True
     malformed = []
-    for each in newest:
-        record = decode(each.value)
+    for log_record in newest:
+        record = decode(log_record.value)
         if record is None:
-            malformed.append(each.offset)
+            malformed.append(log_record.offset)
             continue
-        ledger.last[record.scope] = each.offset
-        ledger.leases[record.scope] = _lease(now, each.offset, record, sure=True)
+        ledger.last[record.scope] = log_record.offset
+        ledger.leases[record.scope] = _lease_from_record(now, log_record.offset, record, sure=True)
     return malformed
 
 
 def fold(ledger: Ledger, now: float, offset: int, value: object) -> Folded:
-    """Take the next record of the stream, read at a time of this reader's clock."""
+    """Fold the next record of the stream, read at time `now` of this reader's clock."""
     ledger.offset = offset + 1
     record = decode(value)
     if record is None:
         return Folded(None, valid=False)
-    before = ledger.last.get(record.scope, NO_OFFSET)
+    previous_offset = ledger.last.get(record.scope, NO_OFFSET)
     ledger.last[record.scope] = offset
-    if before >= record.upto or record.upto > offset:
+    if previous_offset >= record.upto or record.upto > offset:
         return Folded(record, valid=False)
     sure = ledger.start is not None and record.upto >= ledger.start
-    ledger.leases[record.scope] = _lease(now, offset, record, sure=sure)
+    ledger.leases[record.scope] = _lease_from_record(now, offset, record, sure=sure)
     return Folded(record, valid=True, sure=sure)
 
 
-def _lease(now: float, offset: int, record: LeaseRecord, *, sure: bool) -> Lease:
+def _lease_from_record(now: float, offset: int, record: LeaseRecord, *, sure: bool) -> Lease:
     return Lease(
         fence=offset if record.act is Act.GRANT else record.fence,
         instance=record.instance,
         incarnation=record.incarnation,
         lease_s=record.lease_s,
         read_at=now,
-        # A release of which the reader is not sure stands for whatever lease there really is.
+        # An unsure release may be void, so the lease may still be held.
         released=record.act is Act.RELEASE and sure,
         sure=sure,
         note=record.note,
@@ -124,16 +123,16 @@
 
 
 def free_at(ledger: Ledger, scope: Scope, lease_s: float, margin_s: float) -> float:
-    """Give the time from which on no other instance can believe that it holds the lease.
+    """Return the time from which on no other instance can assume that it holds the lease.
 
-    Failure: two instances give orders at once, and a server that ignores fencing numbers obeys the
-    older plan. The holder counts from before it sent its record, and this reader from after it read
-    it, so the holder's time is over first; the margin is for clocks that run at unequal speed.
+    Prevents two instances from sending orders at once to a server that ignores fencing numbers. The
+    holder counts from before it sent its record, and this reader from after reading it, so the
+    holder's lease ends first. The margin covers clocks that run at different speeds.
     """
     lease = ledger.leases.get(scope)
     if lease is None:
         if ledger.start == 0 or ledger.whole:
-            # Every record that counts was read: there has been no lease.
+            # All relevant records were read, so there has been no lease.
             return float("-inf")
         return ledger.started_at + lease_s + margin_s
     if lease.released:
--- a/packages/turmericweir-core/turmericweir_core/state/lease_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_state.py
@@ -1,4 +1,4 @@
-"""The part of the state that belongs to leases; `lease_flow` changes it."""
+"""State of leases, changed by `lease_flow`."""
 
 from __future__ import annotations
 
@@ -9,19 +9,19 @@
 
 
 class Held(Struct, frozen=True):
-    """A lease that this instance holds until a time of its own clock."""
+    """A lease held by this instance until a time of its own clock."""
 
     fence: int
-    # Counted from before its newest record was sent.
+    # Counted from the time when its newest record was sent.
     expires_at: float
-    # When its fencing number became this instance's.
+    # When this instance got the fencing number.
     since: float
-    # It was taken over from another instance, which may not know yet.
+    # It was taken over from another instance, which may not have noticed yet.
     taken_over: bool
 
 
 class SentBatch(Struct, frozen=True):
-    """An append that is on its way."""
+    """An append in flight."""
 
     token: str
     sent_at: float
@@ -29,27 +29,28 @@
 
 
 class LeaseState(Struct):
-    """The leases of this instance, and what it has read of others'."""
+    """The leases of this instance, and the ledger of all leases."""
 
     ledger: Ledger = field(default_factory=Ledger)
-    # Scopes that this instance wants to hold, and since when; nothing is read while there is none.
+    # Scopes that this instance wants to hold, and since when. Without any, the stream is not read.
     wanted: dict[Scope, float] = field(default_factory=dict)
     held: dict[Scope, Held] = field(default_factory=dict)
-    # Scopes whose lease was dropped because a server had seen a newer number. It is not renewed:
-    # that would bring the same number again.
+    # Scopes whose lease was dropped because a server had received a higher fencing number. It is
+    # not renewed because a renewal keeps the same number.
     dropped: set[Scope] = field(default_factory=set)
-    # What the holder of a scope notes for its successors; written with its next record.
+    # The holder's notes for its successors, by scope; written with the next record.
     notes: dict[Scope, object] = field(default_factory=dict)
-    # Held scopes with nothing to do at present: their leases may lapse and are not read on.
+    # Held scopes with no work at present: their leases may expire, and the stream is not read.
     resting: set[Scope] = field(default_factory=set)
     in_flight: SentBatch | None = None
-    # Own records by number, and when each was sent: whether it landed may show much later.
+    # When each record of this instance was sent, by number. Its arrival in the log may be observed
+    # much later.
     sent: dict[int, float] = field(default_factory=dict)
-    # Number of the newest own record.
+    # Number of this instance's newest record.
     number: int = 0
-    # Failed appends in a row, and when the next may be made.
+    # Consecutive failed appends, and when the next may be made.
     failures: int = 0
     retry_at: float = 0.0
-    # A read that has not been answered, since then.
+    # When the pending read was sent; None if none is pending.
     reading_since: float | None = None
     read_due: float = 0.0
--- a/packages/turmericweir-core/turmericweir_core/state/leaving_marks.py
+++ b/packages/turmericweir-core/turmericweir_core/state/leaving_marks.py
@@ -1,12 +1,12 @@
-"""Marks that a backend server is leaving or drained: what makes leaving monotonic.
+"""Notices that a backend server is leaving or drained, which make leaving monotonic.
 
-A mark names a server and its incarnation. Once made it is never taken back, so an older list, an
-older report or a peer that lags cannot bring a leaving server back. A new incarnation is another
-key, and starts without a mark.
+A notice names a server and its incarnation and is never revoked, so an outdated list, an outdated
+report or a peer that lags cannot reactivate a leaving server. A new incarnation has another key and
+starts without a notice.
 
-Marks may be dropped only when no source can contradict them any more. Each carries the time since
-somebody last saw the server leaving; whoever still holds it as leaving makes the mark young again,
-and one that nobody renews goes at the same age on all instances.
+A notice may be deleted only when no source can contradict it any more. It has the time when any
+instance last saw the server leaving. An instance that still sees it leaving renews the notice. A
+notice that is not renewed expires at the same age on all instances.
 """
 
 from __future__ import annotations
@@ -19,25 +19,25 @@
 
 
 class LeavingMark(Struct):
-    """One server of one incarnation gets no new work."""
+    """Notice that one incarnation of a server gets no new work."""
 
     server: ServerName
-    # Empty where nothing has told it yet.
+    # Empty if not known yet.
     incarnation: str
-    # By an operator's order rather than by the server's own end.
+    # An operator drained the server; otherwise the server itself is leaving.
     drained: bool
-    # When it came to be known here, and when the server was last seen leaving by anyone.
+    # When this instance learned of it, and when any instance last saw the server leaving.
     noted_at: float
     seen_at: float
 
 
 class LeavingMarks(Struct):
-    """All marks, by server and incarnation."""
+    """All leaving notices, by server and incarnation."""
 
     by_key: dict[tuple[ServerName, str], LeavingMark] = field(default_factory=dict)
-    # The incarnations that are marked, by server.
+    # Incarnations with a notice, by server.
     incarnations: dict[ServerName, list[str]] = field(default_factory=dict)
-    # Sum of the hashes of all marks, so that two instances can compare theirs.
+    # XOR of the hashes of all notices, for comparison between instances.
     digest: int = 0
 
 
@@ -50,62 +50,62 @@
     incarnation: str,
     drained: bool,
 ) -> bool:
-    """Add a mark or renew it; tell whether it says anything new."""
+    """Add or renew a notice; return whether it is new or changed."""
     if now - seen_at > options.mark_keep_s:
         return False
-    known = marks.by_key.get((server, incarnation))
-    if known is None:
-        _add(marks, LeavingMark(server, incarnation, drained, now, seen_at))
-        _bound(marks, options)
+    mark = marks.by_key.get((server, incarnation))
+    if mark is None:
+        _add_mark(marks, LeavingMark(server, incarnation, drained, now, seen_at))
+        _evict_excess(marks, options)
         return True
-    known.seen_at = max(known.seen_at, seen_at)
-    if drained and not known.drained:
-        marks.digest ^= _hash(known)
-        known.drained = True
-        known.noted_at = now
-        marks.digest ^= _hash(known)
+    mark.seen_at = max(mark.seen_at, seen_at)
+    if drained and not mark.drained:
+        marks.digest ^= _hash_of_mark(mark)
+        mark.drained = True
+        mark.noted_at = now
+        marks.digest ^= _hash_of_mark(mark)
         return True
     return False
 
 
 def marks_on(marks: LeavingMarks, server: ServerName) -> list[LeavingMark]:
-    """List the marks on all incarnations of a server."""
-    return [marks.by_key[server, it] for it in marks.incarnations.get(server, ())]
+    """Return the notices on all incarnations of a server."""
+    return [marks.by_key[server, incarnation] for incarnation in marks.incarnations.get(server, ())]
 
 
 def expire_marks(marks: LeavingMarks, options: Options, now: float) -> None:
-    """Let go of marks that nobody has renewed for long."""
+    """Delete notices that have not been renewed within their retention time."""
     for mark in list(marks.by_key.values()):
         if now - mark.seen_at > options.mark_keep_s:
-            _drop(marks, mark)
+            _remove_mark(marks, mark)
 
 
 def hot_marks(marks: LeavingMarks, options: Options, now: float) -> list[LeavingMark]:
-    """List the marks that are news, newest first."""
-    hot = [mark for mark in marks.by_key.values() if now - mark.noted_at <= options.mark_hot_s]
-    return sorted(hot, key=lambda mark: -mark.noted_at)
+    """Return the notices that are recent enough to be sent to peers, newest first."""
+    recent = [mark for mark in marks.by_key.values() if now - mark.noted_at <= options.mark_hot_s]
+    return sorted(recent, key=lambda mark: -mark.noted_at)
 
 
-def _add(marks: LeavingMarks, mark: LeavingMark) -> None:
+def _add_mark(marks: LeavingMarks, mark: LeavingMark) -> None:
     marks.by_key[mark.server, mark.incarnation] = mark
     marks.incarnations.setdefault(mark.server, []).append(mark.incarnation)
-    marks.digest ^= _hash(mark)
+    marks.digest ^= _hash_of_mark(mark)
 
 
-def _drop(marks: LeavingMarks, mark: LeavingMark) -> None:
+def _remove_mark(marks: LeavingMarks, mark: LeavingMark) -> None:
     del marks.by_key[mark.server, mark.incarnation]
-    left = marks.incarnations[mark.server]
-    left.remove(mark.incarnation)
-    if not left:
+    incarnations = marks.incarnations[mark.server]
+    incarnations.remove(mark.incarnation)
+    if not incarnations:
         del marks.incarnations[mark.server]
-    marks.digest ^= _hash(mark)
+    marks.digest ^= _hash_of_mark(mark)
 
 
-def _bound(marks: LeavingMarks, options: Options) -> None:
+def _evict_excess(marks: LeavingMarks, options: Options) -> None:
     while len(marks.by_key) > options.mark_keep:
-        _drop(marks, min(marks.by_key.values(), key=lambda mark: mark.seen_at))
+        _remove_mark(marks, min(marks.by_key.values(), key=lambda mark: mark.seen_at))
 
 
-def _hash(mark: LeavingMark) -> int:
+def _hash_of_mark(mark: LeavingMark) -> int:
     text = f"{mark.server}\0{mark.incarnation}\0{int(mark.drained)}"
     return xxhash.xxh32_intdigest(text.encode())
--- a/packages/turmericweir-core/turmericweir_core/state/load_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/load_state.py
@@ -1,4 +1,4 @@
-"""What was told to and heard from other instances about the load of servers."""
+"""State of the exchange of load updates with other instances."""
 
 from __future__ import annotations
 
@@ -13,39 +13,39 @@
 
 
 class Origin(Struct):
-    """Whose news were taken: an instance, or all that tell one teller."""
+    """A source of load updates: an instance, or a relay for the instances behind it."""
 
     incarnation: str
-    # The newest counter.
+    # Counter of its newest update.
     seq: int
     heard: Heard
-    # Servers on which it has something.
+    # Servers on which it has load.
     servers: set[ServerName] = field(default_factory=set)
 
 
 class TellingPlan(Struct):
-    """Whom this instance tells its load, and who tells it that of others."""
+    """The instances to which this instance sends its load updates."""
 
-    # Whether there are so few instances that each tells each; and these.
+    # True if there are few enough instances for each to send to all others, which are `direct`.
     is_direct: bool = True
     direct: list[Member] = field(default_factory=list)
-    # The one that passes on what it tells; None where it tells all itself, or is one of them.
+    # The relay that forwards its updates; None if it sends directly or is a relay itself.
     teller: Member | None = None
-    # The other tellers of the region, if it is one.
+    # The other relays of the region, if it is a relay.
     tellers: list[Member] = field(default_factory=list)
     due: float = _NEVER
 
 
 class PassedOn(Struct):
-    """What a teller has heard and not passed on yet, and what it told last."""
+    """Updates that a relay has received but not forwarded yet, and its last total."""
 
-    # Those that have this instance pass on what they tell, with their address and when they told.
+    # Instances that this one relays for, with their address and when they last sent.
     told_by: dict[InstanceName, tuple[str, float]] = field(default_factory=dict)
-    # News of these, and of the other tellers, with when they came; the newest of each.
+    # The newest update of each of them and of the other relays, with the time of receipt.
     news: dict[InstanceName, tuple[float, LoadNews]] = field(default_factory=dict)
-    # Parts that these have sent or seen to be read.
+    # Prompt parts that they have sent or that were prefilled.
     parts: list[SentPart] = field(default_factory=list)
-    # Counter of the news of all that tell this instance, and what the newest said of each server.
+    # Counter of the combined updates, and the rows of the newest one, by server.
     seq: int = 0
     rows: dict[ServerName, LoadRow] = field(default_factory=dict)
     send_due: float = _NEVER
@@ -54,19 +54,19 @@
 
 
 class NewsState(Struct):
-    """The state of `load_news` and `load_relay`."""
+    """State of `load_news` and `load_relay`."""
 
-    # Own counter of news.
+    # Counter of this instance's updates.
     seq: int = 0
     origins: dict[InstanceName, Origin] = field(default_factory=dict)
-    # No news go out before this time, and the same ones again after the other.
+    # No update is sent before the first time; an unchanged one is sent again after the second.
     send_due: float = _NEVER
     renew_due: float = _NEVER
-    # The newest news named something, or that there is nothing is still to be told once more.
+    # The newest update had load, or an empty update still has to be repeated once.
     told_load: bool = False
     plan: TellingPlan = field(default_factory=TellingPlan)
-    # When the teller was last heard, and one that was not heard for long, with until when another
-    # one is taken in its place.
+    # When a message of the relay was last received; an unresponsive relay, and until when another
+    # one is used in its place.
     teller_heard_at: float = _NEVER
     silent_teller: InstanceName | None = None
     silent_until: float = _NEVER
--- a/packages/turmericweir-core/turmericweir_core/state/membership_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/membership_state.py
@@ -1,4 +1,4 @@
-"""Hold what this instance knows of the other instances."""
+"""State of the membership: the other instances, as this one knows them."""
 
 from __future__ import annotations
 
@@ -15,35 +15,35 @@
 NEVER: Final = float("-inf")
 
 
-# Retired incarnations that are remembered for one name: late words of these are not news.
+# Retired incarnations that are stored per name, to ignore delayed status messages of these.
 MAX_RETIRED: Final = 8
 
 
 class Member(Struct):
-    """One instance, this one included, as far as this one knows."""
+    """One instance; this instance is a member as well."""
 
     name: InstanceName
     data_centre: str
     # "ip:port" for TCP and UDP alike.
     peer_address: str
-    # Empty until the member or a peer told it: the platform's list does not.
+    # Empty until the member or a peer reports it: the platform's list does not contain it.
     region: str = ""
     incarnation: str = ""
-    # The newest heartbeat counter, or None while only the list or a record named it.
+    # The newest heartbeat counter, or None while only the list or a record names the member.
     seq: int | None = None
-    # When the counter was last seen to progress, by this instance's own clock.
+    # When an increase of the counter was last received, by this instance's clock.
     heard_at: float = NEVER
-    # When the list last named it, or a record told of it; forgetting goes by this as well.
+    # When the list or a record last named it; used to delete members that are no longer reported.
     told_at: float = NEVER
-    # When this instance last talked to it because it was not known to live.
+    # When this instance last contacted it for discovery, because it was not known to be live.
     greeted_at: float = NEVER
     # It refuses new work; never unset for an incarnation.
     leaving: bool = False
-    # The settings in force there.
+    # Offset of the settings in force there.
     settings_offset: int = 0
-    # What its machine can carry for others.
+    # Capacity of its machine for relaying.
     strength: int = 0
-    # Incarnations that were followed by another one, oldest first, and those that were leaving.
+    # Incarnations that were replaced, oldest first, and incarnations that were leaving.
     retired: tuple[str, ...] = ()
     left: tuple[str, ...] = ()
 
@@ -54,67 +54,67 @@
     name: str
     region: str = ""
     heard_at: float = NEVER
-    # The newest word that was accepted.
+    # The newest status message that was accepted.
     word: Word | None = None
-    # The newest counter of each relay that spoke, by the relay's key: an older word is not news.
+    # The newest counter received from each relay, by its key; older status messages are ignored.
     seqs: dict[int, int] = field(default_factory=dict)
-    # The members, as last told, and the hash under which they were told.
+    # The members, as last reported, and the hash of that roster.
     roster: frozenset[InstanceName] = frozenset()
     roster_hash: int = 0
-    # When the members were last asked for.
+    # When the members were last requested.
     asked_at: float = NEVER
 
 
 class CentreView(Struct, frozen=True):
-    """The newest word from one data centre, for decisions and for operators."""
+    """The newest status of one data centre, for decisions and for operators."""
 
     name: str
     region: str
     heard_at: float
-    # Its word is fresh; what is said of an unreachable one is only the last that was known.
+    # Its status is fresh. For an unreachable data centre the other fields are the last known ones.
     reachable: bool
     live: int
-    # The lowest offset of settings that is in force on its live instances.
+    # The lowest offset of the settings in force on its live instances.
     settings_offset: int
 
 
 class Membership(Struct):
-    """Everything known of the other instances."""
+    """All members and the state of the gossip."""
 
     by_name: dict[InstanceName, Member] = field(default_factory=dict)
-    # The member that a key stands for; see `member_key`.
+    # Names of the members by key; see `member_key`.
     name_by_key: dict[int, InstanceName] = field(default_factory=dict)
     centres: dict[str, RemoteCentre] = field(default_factory=dict)
-    # Addresses from the process's file, to talk to while the platform is down.
+    # Addresses from the settings file of the process, for discovery while the platform is down.
     seeds: tuple[str, ...] = ()
-    # Own heartbeat counter.
+    # This instance's heartbeat counter.
     seq: int = 0
-    # Counts rounds of gossip; the partners are taken in turn by it.
+    # Number of the gossip round; determines the next partners.
     round: int = 0
-    # Keys and names of the own data centre's roster, in the order of the keys.
+    # Keys and names of the roster of this data centre, in the order of the keys.
     roster: tuple[int, ...] = ()
     roster_names: tuple[InstanceName, ...] = ()
     roster_hash: int = 0
-    # The last few rosters by hash: peers that lag a little still send counters in their order.
-    # Of keys, as the same name may stand for another incarnation by now.
+    # Recent rosters by hash, because peers that lag send counters in their order. They contain
+    # keys, as a name may by now belong to another incarnation.
     past_rosters: OrderedDict[int, tuple[int, ...]] = field(default_factory=OrderedDict)
-    # Counters are sent with their keys until then, because rosters differ somewhere.
+    # Until then counters are sent with their keys, because the rosters of some instances differ.
     unsettled_until: float = NEVER
     round_due: float = NEVER
     candidate_due: float = NEVER
     relay_due: float = NEVER
-    # Unknown keys are asked for again after this time.
+    # When unknown keys may be requested again.
     ask_due: float = NEVER
-    # The list of servers is asked for again after this time.
+    # When the list of servers may be requested again.
     servers_ask_due: float = NEVER
-    # Since when the marks of a peer differ from the own ones. For each peer: that others have the
-    # same ones must not keep this instance from asking the one that has more.
+    # Since when the leaving notices of a peer differ from this instance's. Recorded per peer, so
+    # that the agreement of other peers does not prevent a request to the one that has more.
     marks_differ: dict[InstanceName, float] = field(default_factory=dict)
-    # The first tick.
+    # Time of the first tick.
     started_at: float | None = None
-    # The last tick; a gap to the next one tells that this process was paused.
+    # Time of the last tick. A gap before the next tick means that this process was paused.
     last_tick_at: float | None = None
-    # Progress that is seen before this time proves nothing; see `membership_gossip.note_time`.
+    # Heartbeats before this time are no proof of liveness; see `membership_gossip.note_time`.
     trust_after: float = NEVER
-    # Messages that were dropped, by why.
+    # Number of dropped messages, by reason.
     noise: dict[str, int] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/model_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/model_state.py
@@ -1,4 +1,4 @@
-"""The part of the state that belongs to the placement of models, and to orders and weights."""
+"""State of the placement of models: plans, orders to servers and weights."""
 
 from __future__ import annotations
 
@@ -13,75 +13,75 @@
 
 
 class OrderKind(StrEnum):
-    """What an order tells a server to do."""
+    """The action that an order requests from a server."""
 
     LOAD = "load"
     UNLOAD = "unload"
 
 
 class Order(Struct, frozen=True):
-    """One order that is due: the state that a server should have, of one label."""
+    """An order to load or unload one model label on a server."""
 
     scope: Scope
     server: ServerName
     kind: OrderKind
     label: ModelLabel
-    # No server anywhere has the model: it goes first and waits for no gap.
+    # No server has the model: the order goes first and does not wait for the pause between orders.
     urgent: bool = False
-    # Servers of the scope that have the model; loads of the rarest go first.
+    # Number of servers of the scope that have the model; those with the fewest are loaded first.
     holders: int = 0
-    # Follows an earlier order on the same server and need not wait for the gap.
+    # Follows an earlier order to the same server and need not wait for the pause.
     follows: bool = False
 
     @property
     def key(self) -> tuple[ServerName, OrderKind, str]:
-        """Name it, so that a repetition is known as one."""
+        """Return the key that identifies repetitions of the order."""
         return (self.server, self.kind, str(self.label))
 
 
 class Usage(Struct, frozen=True):
-    """What runs and waits for a model."""
+    """Running and waiting requests of a model."""
 
     busy: float = 0.0
     waiting: int = 0
 
 
 class Reported(Struct, frozen=True):
-    """What one instance last told of its use of models."""
+    """The newest report of one instance about its use of models."""
 
     at: float
     by_model: dict[str, Usage]
 
 
 class ModelTarget(Struct):
-    """How many servers of a scope should have a model, and why."""
+    """The number of servers of a scope that should have a model, and its basis."""
 
     count: int
-    # Slots in use and requests waiting, averaged; None until the first telling came.
+    # Average of slots in use plus waiting requests; None until the first report.
     demand: float | None = None
     demand_at: float = 0.0
-    # When anything ran or waited for the model, or it was first looked at.
+    # When a request last ran or waited for the model, or when it was first evaluated.
     used_at: float = 0.0
-    # When the count was last changed for demand.
+    # When the count was last changed because of demand.
     changed_at: float = float("-inf")
-    # Where the model should be, as of the last look.
+    # Servers that should have the model, as of the last evaluation.
     chosen: frozenset[ServerName] = frozenset()
 
 
 class ScopePlan(Struct):
-    """What this instance has in mind for a scope, for as long as it is the one for it."""
+    """The plan for a scope while this instance holds the lease of the scope."""
 
-    # Since when this instance is the one.
+    # Since when this instance is responsible for the scope.
     since: float
     targets: dict[str, ModelTarget] = field(default_factory=dict)
-    # When there was last something to order.
+    # When an order was last needed.
     busy_at: float = float("-inf")
     # When the servers were last asked for their reports.
     probed_at: float = float("-inf")
 
 
 class OutOrder(Struct, frozen=True):
-    """An order that was sent and not answered."""
+    """An order that was sent and not answered yet."""
 
     order: Order
     fence: int
@@ -89,19 +89,19 @@
 
 
 class Tries(Struct):
-    """How often an order was sent without a report that shows its effect."""
+    """Number of attempts at an order whose effect no report has confirmed."""
 
     count: int = 0
     sent_at: float = 0.0
-    # Until then it counts as in effect, though no report shows it.
+    # Until then the order is assumed to be in effect although no report confirms it.
     next_at: float = 0.0
 
 
 class Seen(Struct, frozen=True):
-    """A report that this instance had from the server itself.
+    """A report received directly from the server.
 
-    Reports are passed on between instances as well, later and with less in them: an order judged by
-    one of those would be given twice.
+    Reports forwarded by other instances are delayed and less complete. Orders that are checked
+    against those would be sent twice.
     """
 
     report: ServerReport
@@ -109,31 +109,31 @@
 
 
 class ModelState(Struct):
-    """Everything about where models are."""
+    """State of the placement of models."""
 
     plans: dict[Scope, ScopePlan] = field(default_factory=dict)
-    # The newest report of each server of these scopes.
+    # The newest report of each server in the scopes of `plans`.
     seen: dict[ServerName, Seen] = field(default_factory=dict)
-    # What instances told of their use of models, by scope.
+    # Reports of the instances about their use of models, by scope.
     reported: dict[Scope, dict[InstanceName, Reported]] = field(default_factory=dict)
-    # Sums of the samples of own use since the last telling: busy, waiting, by model.
+    # Sums of the samples of this instance's use since its last report, by model.
     sampled: dict[str, Usage] = field(default_factory=dict)
     samples: int = 0
     sample_due: float = 0.0
     demand_due: float = 0.0
     alarm_due: float = 0.0
     round_due: float = 0.0
-    # Orders on their way by token, at most one for each server.
+    # Orders in flight by token, at most one for each server.
     out: dict[str, OutOrder] = field(default_factory=dict)
     # Number of the newest order.
     number: int = 0
     tries: dict[tuple[ServerName, OrderKind, str], Tries] = field(default_factory=dict)
-    # When each server was last told to change.
+    # When each server was last sent an order.
     changed_at: dict[ServerName, float] = field(default_factory=dict)
-    # Loads that are due, the most needed first.
+    # Pending load orders, the most urgent first.
     loads: list[Order] = field(default_factory=list)
-    # The load for which the weight store was asked, and since when.
+    # The load order for which the weight store was queried, and since when.
     asking: Order | None = None
     asked_at: float = 0.0
-    # The store is not asked before this.
+    # When the store may be queried next.
     weights_due: float = 0.0
--- a/packages/turmericweir-core/turmericweir_core/state/pool_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/pool_state.py
@@ -1,4 +1,4 @@
-"""Hold the demand for the engines of each service and how they are split."""
+"""State of the engines of each service: the demand and the split into prefill and decode."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Demand(Struct):
-    """Work that arrived of late, decayed, milliseconds."""
+    """Recently arrived work, decayed, milliseconds, by length of the prompt."""
 
     at: float = 0.0
     long_ms: float = 0.0
@@ -17,7 +17,7 @@
 
 
 class ToldDemand(Struct, frozen=True):
-    """A peer's demand, milliseconds of work a second."""
+    """The demand reported by a peer, milliseconds of work per second."""
 
     at: float
     long_ms: float
@@ -26,32 +26,32 @@
 
 
 class Split(Struct):
-    """How many engines of a service read, and since when another number would be better."""
+    """Number of prefill engines of a service, and since when another number would be better."""
 
     reading: int = 0
     moves_since: float | None = None
-    # Whether quick answers go first, by which version of the settings: there may be hundreds of
-    # routes, and each placement asks.
+    # Whether short-prompt requests go first. Cached with the version of the settings because every
+    # placement uses it and there may be hundreds of routes.
     quick_first: bool = True
-    # The shortest pause that a route of the service promises, seconds; None without any.
+    # The lowest target of any route of the service for the time between tokens, seconds, if any.
     shortest_gap_s: float | None = None
     settings: int | None = None
-    # How many engines take quick answers alone, and when that number last moved; 0 before middle
-    # prompts were seen.
+    # Number of engines reserved for short-prompt requests, and when it last changed; 0 until there
+    # are medium prompts.
     quick: int = 0
     quick_moved_at: float = 0.0
 
 
 class PoolState(Struct):
-    """The demand and the split of each service."""
+    """The demand and split of each service."""
 
     own: dict[Target, Demand] = field(default_factory=dict)
-    # What each peer told: when, and its work of each kind.
+    # The newest demand reported by each peer.
     peers: dict[Target, dict[InstanceName, ToldDemand]] = field(default_factory=dict)
-    # The order of the engines of a service, for the engines that it was made for.
+    # Cached order of the engines of a service: the engines it was computed for, and the order.
     orders: dict[Target, tuple[tuple[ServerName, ...], tuple[ServerName, ...]]] = field(
         default_factory=dict
     )
     splits: dict[Target, Split] = field(default_factory=dict)
-    # From the first event of an answer to its end, by class, milliseconds.
+    # Average time from the first event of an answer to its end, by class, milliseconds.
     generating_ms: dict[str, float] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/prefix.py
+++ b/packages/turmericweir-core/turmericweir_core/state/prefix.py
@@ -1,14 +1,14 @@
-"""Which server holds which prompt prefix in its cache, as far as this instance can tell.
+"""Which prompt prefixes are in the caches of which servers, as far as this instance knows.
 
-An engine skips the prefill of a prefix that it holds, so a request is best sent where its longest
-prefix went before. The source is where this instance sent requests.
+An engine skips the prefill of a cached prefix, so the best server for a request is the one that was
+last sent its longest prefix. The map is built from the requests that this instance sent.
 
-The engines' cache events, which come late and with gaps, can be taken as well. No adapter asks for
-them, since what they add is not worth their bytes (docs/design/placement.md). An eviction removes
-an entry. A gap removes nothing: what stood before it is *unknown* rather than absent, and draws
-requests with less weight until it is confirmed. So does a restart of the server.
+Cache events of engines, which are delayed and may have gaps, are supported as well, but no adapter
+requests them (docs/design/placement.md). An eviction removes an entry. After a gap, or after a
+restart of the server, older entries are *unknown* rather than absent: they attract requests with
+less weight until they are confirmed.
 
-Memory is bounded by the number of prefixes, least recently used first out.
+The number of prefixes is bounded; the least recently used ones are evicted.
 """
 
 from __future__ import annotations
@@ -23,18 +23,18 @@
 
 
 class PrefixMap(Struct):
-    """The prefixes that servers are believed to hold."""
+    """The prefixes that are assumed to be in the caches of servers."""
 
-    # For each prefix the servers, with the time when each was last confirmed.
+    # For each prefix the servers that have it, with the time when each was last confirmed.
     holders: OrderedDict[str, dict[ServerName, float]] = field(default_factory=OrderedDict)
-    # When events of a server were last lost; what was confirmed before is unknown.
+    # When events of a server were last lost; entries confirmed before are unknown.
     gap_at: dict[ServerName, float] = field(default_factory=dict)
 
 
 def note_sent(
     prefixes: PrefixMap, options: Options, now: float, server: ServerName, keys: tuple[str, ...]
 ) -> None:
-    """Remember that a server was sent a prompt with these prefixes."""
+    """Record that a server was sent a prompt with these prefixes."""
     for key in keys:
         _confirm(prefixes, options, now, server, key)
 
@@ -42,11 +42,10 @@
 def note_cache_events(
     prefixes: PrefixMap, options: Options, now: float, events: CacheEvents
 ) -> None:
-    """Correct the map by what a server says of its cache."""
+    """Update the map from the cache events of a server."""
     if events.gap:
-        # Failure: an eviction among the lost events. Believing the old entries in full would pull
-        # requests to a cold cache; dropping them would scatter requests from a warm one. Half the
-        # weight loses little either way, and the next request or event settles each entry.
+        # The lost events may contain evictions. Full weight would attract requests to a cold cache,
+        # and dropping the entries would scatter requests from a warm one.
         prefixes.gap_at[events.server] = now
     for event in events.events:
         if event.stored:
@@ -77,22 +76,22 @@
 
 
 def forget_server(prefixes: PrefixMap, now: float, server: ServerName) -> None:
-    """Hold everything said of a server for unknown, because it restarted."""
+    """Mark all entries of a server as unknown because it restarted."""
     prefixes.gap_at[server] = now
 
 
 def match_scores(
     prefixes: PrefixMap, options: Options, keys: tuple[str, ...]
 ) -> dict[ServerName, float]:
-    """Score servers by the share of a prompt's prefixes that each holds, 0..1."""
+    """Return the share of a prompt's prefixes that each server has, 0..1."""
     scores: dict[ServerName, float] = {}
     for depth in range(len(keys), 0, -1):
         holders = prefixes.holders.get(keys[depth - 1])
         if holders is None:
             continue
-        for server, confirmed in holders.items():
-            known = confirmed > prefixes.gap_at.get(server, -1.0)
-            weight = 1.0 if known else options.affinity_unknown_weight
+        for server, confirmed_at in holders.items():
+            is_certain = confirmed_at > prefixes.gap_at.get(server, -1.0)
+            weight = 1.0 if is_certain else options.affinity_unknown_weight
             score = weight * depth / len(keys)
             scores[server] = max(scores.get(server, 0.0), score)
     return scores
--- a/packages/turmericweir-core/turmericweir_core/state/quarantine_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/quarantine_state.py
@@ -1,4 +1,4 @@
-"""What the quarantine of requests that crash servers keeps; see `quarantine` and `trial`."""
+"""State of the quarantine of requests that crash servers; see `quarantine` and `trial`."""
 
 from __future__ import annotations
 
@@ -11,60 +11,60 @@
 from turmericweir_core.messages.peer_messages import Sighting
 
 NEVER: Final = float("-inf")
-# Begins the stand-in for an incarnation that is not known; no server's own word begins so.
-_UNNAMED: Final = "?"
+# Prefix of the placeholder for an unknown incarnation; no incarnation of a server starts with it.
+_UNKNOWN_PREFIX: Final = "?"
 
 
 class CrashKey(NamedTuple):
-    """Names a crash: the life of a server that it ended."""
+    """Identifies a crash by the incarnation of the server that crashed."""
 
     server: ServerName
     incarnation: str
 
 
 def crash_key(server: ServerName, incarnation: str, attempt_id: AttemptId) -> CrashKey:
-    """Name the crash that an attempt saw, by the attempt where the server's life is not known."""
-    return CrashKey(server, incarnation or _UNNAMED + attempt_id)
+    """Return the key of a crash; the attempt identifies it if the incarnation is unknown."""
+    return CrashKey(server, incarnation or _UNKNOWN_PREFIX + attempt_id)
 
 
 def is_named(key: CrashKey) -> bool:
-    """Tell whether it is known which life of the server the crash ended."""
-    return not key.incarnation.startswith(_UNNAMED)
+    """Return whether the incarnation of the crashed server is known."""
+    return not key.incarnation.startswith(_UNKNOWN_PREFIX)
 
 
 class Crash(Struct):
-    """One crash, as all instances together know it. Its sets only grow, so records merge."""
+    """One crash, as reported by all instances. The sets only grow, so reports can be merged."""
 
-    # By this instance's clock, when it was seen first anywhere.
+    # When any instance first observed it, by this instance's clock.
     at: float
-    # When something was last learnt of it; the verdict waits for this to settle.
+    # When the record last changed; the verdict waits until it is stable.
     changed_at: float
-    # The requests that were in flight, as each instance saw them.
+    # The requests that were in flight, as reported by each instance.
     suspects: set[Sighting] = field(default_factory=set)
-    # Those of them that were sent only after the crash. The same request may have been in flight
-    # through another instance.
+    # Those of them that were sent after the crash. The same request may have been in flight through
+    # another instance.
     late: set[Sighting] = field(default_factory=set)
-    # Fingerprints that have completed since, or come past where they were.
+    # Fingerprints that have completed since, or progressed beyond where they were at the crash.
     cleared: set[str] = field(default_factory=set)
-    # The server was seen alive in the same life: a network fault, not a crash.
+    # The server was later observed in the same incarnation: a network fault, not a crash.
     retracted: bool = False
-    # The verdict was given since the last change.
+    # The verdict has been reached since the last change.
     judged: bool = False
-    # When the attempts of this instance that broke there had begun, by fingerprint. Not told to
-    # others: each instance clears its own.
+    # Start times of this instance's attempts that the crash broke, by fingerprint. Not sent to
+    # peers, because each instance clears only its own.
     own_started: dict[str, float] = field(default_factory=dict)
 
     def guilty(self) -> set[str]:
-        """Give the fingerprints that may have made the crash."""
+        """Return the fingerprints that may have caused the crash."""
         return set() if self.retracted else self.in_flight() - self.cleared
 
     def in_flight(self) -> set[str]:
-        """Give the fingerprints that were in flight through some instance."""
-        return {each.fingerprint for each in self.suspects - self.late}
+        """Return the fingerprints that were in flight through any instance."""
+        return {sighting.fingerprint for sighting in self.suspects - self.late}
 
 
 class Evidence(Struct, frozen=True):
-    """What is learnt of a crash at once; see `Crash` for its parts."""
+    """New information about a crash; see `Crash` for the fields."""
 
     suspects: frozenset[Sighting] = frozenset()
     late: frozenset[Sighting] = frozenset()
@@ -73,43 +73,43 @@
 
 
 class Break(Struct, frozen=True):
-    """A connection that broke while the server seemed alive: it may have restarted in between."""
+    """A connection that broke while the server seemed live; it may have restarted in between."""
 
     at: float
     incarnation: str
     fingerprint: str
-    # When the attempt had begun.
+    # When the attempt began.
     started: float
-    # It did not break, but was given up for its silence.
+    # It was given up because the server was unresponsive.
     silent: bool = False
 
 
 class HeldSuspect(Struct):
-    """A suspect request that waits for a server of its own."""
+    """A suspect request that waits for an isolated run."""
 
     req: Request
-    # The server whose home was asked, and when; None while no answer is awaited.
+    # The server whose home was asked for permission, and when; None if no answer is pending.
     asked: ServerName | None = None
     asked_at: float = NEVER
-    # Not asked again before this time.
+    # When permission may be requested again.
     ask_due: float = NEVER
-    # Servers where another suspect runs, and until when they are passed over.
+    # Servers that run another suspect, and until when they are excluded.
     denied: dict[ServerName, float] = field(default_factory=dict)
 
 
 class OwnTrial(Struct):
-    """A suspect of this instance that runs alone on a server."""
+    """An isolated run of a suspect of this instance on a server."""
 
     request_id: RequestId
     server: ServerName
     fingerprint: str
-    # Who gave leave; empty where nobody answered.
+    # The instance that gave permission; empty if none answered.
     home: InstanceName
     renew_due: float
 
 
 class GivenTrial(Struct):
-    """Leave that this instance gave, as home of the trials."""
+    """Permission for an isolated run, given by this instance as the home of the server."""
 
     holder: InstanceName
     fingerprint: str
@@ -117,24 +117,24 @@
 
 
 class QuarantineState(Struct):
-    """Everything that the quarantine keeps on one instance."""
+    """State of the quarantine of an instance."""
 
     crashes: dict[CrashKey, Crash] = field(default_factory=dict)
-    # In how many crashes a fingerprint was in flight and not cleared; follows `crashes`.
+    # Number of crashes with a fingerprint in flight and not cleared; derived from `crashes`.
     counts: dict[str, int] = field(default_factory=dict)
-    # Fingerprints that are refused, and until when.
+    # Refused fingerprints, and until when.
     refused: dict[str, float] = field(default_factory=dict)
     breaks: dict[ServerName, list[Break]] = field(default_factory=dict)
     held: dict[RequestId, HeldSuspect] = field(default_factory=dict)
     own: dict[AttemptId, OwnTrial] = field(default_factory=dict)
     given: dict[ServerName, GivenTrial] = field(default_factory=dict)
-    # Fingerprints whose trial broke a moment ago, and until when they get no other, at their home.
+    # At the home: fingerprints whose isolated run just broke, and until when they get no other.
     barred: dict[str, float] = field(default_factory=dict)
-    # Crashes of which the others are still to be told, and how often.
+    # Crashes still to be sent to the other instances, and how many times.
     unsent: dict[CrashKey, int] = field(default_factory=dict)
     resend_due: float = NEVER
-    # Requests are to be looked through for new suspects and new verdicts.
+    # Requests have to be checked for new suspects and verdicts.
     look_through: bool = False
     ask_due: float = NEVER
-    # When the oldest crash is next looked at.
+    # When the oldest crash is next checked for expiry.
     expire_due: float = NEVER
--- a/packages/turmericweir-core/turmericweir_core/state/queue_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/queue_state.py
@@ -1,15 +1,15 @@
 """Requests that wait at this instance, by target and class.
 
-A waiting request is bound to a server as late as possible: nobody knows how long an answer will
-run, so binding early would leave requests behind a long answer while another server idles.
+A waiting request is assigned to a server as late as possible. Answer lengths are unknown, so an
+early assignment would leave requests behind a long answer while another server idles.
 
-Targets that share servers make up a *pool* (the service that serves them), and order is kept over
-the whole pool. It is strict by tier, with one exception that keeps the lowest class alive: each
-class earns its assured share of everything dispatched in the pool while it waits, and is served
-out of turn when it has earned the cost of one request. Upper classes pay with delay only.
+Targets that share servers form a *pool* (the service that serves them), and the queue order covers
+the whole pool. The order is strict by tier, with one exception that protects the lowest class: each
+class earns its assured share of all work dispatched in the pool while it waits, and is served next
+when it has earned the cost of one request. More urgent classes are only delayed by this.
 
-No operation looks at all that waits: queues are ordered by insertion and indexed by request id,
-deadlines stand in a heap, and the waiting work is kept as a running sum.
+No operation iterates over all waiting requests: queues are ordered by insertion and indexed by
+request id, deadlines are in a heap, and the waiting work is a running sum.
 """
 
 from __future__ import annotations
@@ -27,54 +27,54 @@
 
 
 class ClassQueue(Struct):
-    """Waiting requests of one class for one target: on time, first come first, and late ones."""
+    """Waiting requests of one class for one target, in two FIFO queues: on time and overdue."""
 
     service_class: ServiceClass
     target: Target
-    # Requests that can still meet their target, and those that no longer can, behind them.
+    # Requests that can still meet their target, and overdue ones, which are served after them.
     on_time: OrderedDict[RequestId, Request] = field(default_factory=OrderedDict)
     late: OrderedDict[RequestId, Request] = field(default_factory=OrderedDict)
-    # Sum of the costs of what waits, and of the late part of it.
+    # Total cost of the waiting requests, and of the overdue ones among them.
     work: float = 0.0
     late_work: float = 0.0
-    # Work that the late ones have earned of what their class was served.
+    # Work that the overdue requests have earned as a share of the work served for their class.
     late_earned: float = 0.0
-    # Work that this class has earned and not yet used, in the unit of `cost`.
+    # Work that this class has earned but not used yet, in the unit of `cost`.
     earned: float = 0.0
 
     def head(self) -> Request:
-        """Give the request that is served next; the queue must not be empty.
+        """Return the request that is served next; the queue must not be empty.
 
-        Failure without a turn for the late ones: a class that bursts for long is served at the
-        edge of its target, and those behind wait until their deadlines.
+        Overdue requests get their assured share. Prevents a long burst, in which the other requests
+        barely meet their target, from delaying overdue requests until their deadlines.
         """
-        first_late = next(iter(self.late.values()), None)
-        if first_late is not None and self.late_earned >= first_late.queued_cost:
-            return first_late
-        return next(iter(self.on_time.values()), first_late) or self._empty()
+        first_overdue = next(iter(self.late.values()), None)
+        if first_overdue is not None and self.late_earned >= first_overdue.queued_cost:
+            return first_overdue
+        return next(iter(self.on_time.values()), first_overdue) or self._raise_empty()
 
-    def _empty(self) -> Request:
-        raise LookupError(f"no {self.service_class.name} request waits for {self.target}")
+    def _raise_empty(self) -> Request:
+        raise LookupError(f"no {self.service_class.name} request is waiting for {self.target}")
 
     def __len__(self) -> int:
-        """Count what waits."""
+        """Return the number of waiting requests."""
         return len(self.on_time) + len(self.late)
 
     def waiting(self) -> Iterator[Request]:
-        """Yield what waits, about the oldest first: the late ones came before the others."""
+        """Yield the waiting requests, roughly oldest first: overdue ones arrived earlier."""
         yield from self.late.values()
         yield from self.on_time.values()
 
-    def in_turn(self, most: int) -> list[Request]:
-        """List the first few in the order in which they are served."""
-        return list(islice(chain(self.on_time.values(), self.late.values()), most))
+    def in_turn(self, max_count: int) -> list[Request]:
+        """Return the first `max_count` requests in queue order."""
+        return list(islice(chain(self.on_time.values(), self.late.values()), max_count))
 
     def oldest_at(self) -> float:
-        """Give the arrival of the request that waits for longest; none must be missing."""
+        """Return the arrival time of the oldest request; the queue must not be empty."""
         return next(self.waiting()).arrived
 
     def late_ends(self) -> list[tuple[Request, float]]:
-        """Give the first and the last of the late ones, each with the late work before it."""
+        """Return the first and the last overdue request, each with the overdue work before it."""
         if not self.late:
             return []
         first = next(iter(self.late.values()))
@@ -85,12 +85,12 @@
         return ends
 
     def newest(self) -> Request:
-        """Give the last one to be served: the newest of the late ones, if there are any."""
+        """Return the request that is served last: the newest overdue one, if there is any."""
         return next(reversed((self.late or self.on_time).values()))
 
 
 class TargetQueue(Struct):
-    """Everything that waits for one target, by class name."""
+    """The queues of one target, by class name."""
 
     pool: str
     classes: dict[str, ClassQueue] = field(default_factory=dict)
@@ -102,16 +102,16 @@
     targets: dict[Target, TargetQueue] = field(default_factory=dict)
     # Targets by pool.
     pools: dict[str, list[Target]] = field(default_factory=dict)
-    # Where each waiting request stands.
+    # The queue of each waiting request.
     index: dict[RequestId, ClassQueue] = field(default_factory=dict)
-    # Deadlines, earliest first; entries of requests that no longer wait are skipped.
+    # Heap of deadlines; entries of requests that no longer wait are skipped.
     deadlines: list[tuple[float, RequestId]] = field(default_factory=list)
-    # The same with the times from which on a request can no longer meet its target.
+    # Heap of the times from which on a request can no longer meet its target.
     late_at: list[tuple[float, RequestId]] = field(default_factory=list)
 
 
 def cost(req: Request) -> float:
-    """Give the work that is left of a request: tokens for a model, one for a plain call."""
+    """Return the remaining work of a request: tokens for a model, 1 for a plain call."""
     return max(1.0, req.predicted_tokens - req.delivered)
 
 
@@ -123,12 +123,12 @@
     front: bool = False,
     on_time_share: float = 1.0,
 ) -> None:
-    """Let a request wait; one that goes back after a failed attempt waits at the front."""
-    held = _target_queue(queues, req.target, pool or req.target)
+    """Add a request to its queue, at the front if it returns after a failed attempt."""
+    target_queue = _get_or_create_target_queue(queues, req.target, pool or req.target)
     name = req.service_class.name
-    queue = held.classes.get(name)
+    queue = target_queue.classes.get(name)
     if queue is None:
-        queue = held.classes[name] = ClassQueue(req.service_class, req.target)
+        queue = target_queue.classes[name] = ClassQueue(req.service_class, req.target)
     queue.service_class = req.service_class
     req.queued_cost = cost(req)
     queue.on_time[req.request_id] = req
@@ -136,28 +136,28 @@
     queues.index[req.request_id] = queue
     heappush(queues.deadlines, (req.deadline, req.request_id))
     if req.first_token_at is None:
-        # What has begun has met its target or not; it goes on as soon as may be.
-        late_at = req.arrived + on_time_share * req.service_class.target_s
-        heappush(queues.late_at, (late_at, req.request_id))
+        # A request whose answer has begun is never overdue: its first token is already sent.
+        overdue_at = req.arrived + on_time_share * req.service_class.target_s
+        heappush(queues.late_at, (overdue_at, req.request_id))
     if front:
         queue.on_time.move_to_end(req.request_id, last=False)
 
 
-def _target_queue(queues: QueueState, target: Target, pool: str) -> TargetQueue:
-    held = queues.targets.get(target)
-    if held is None:
-        held = queues.targets[target] = TargetQueue(pool)
+def _get_or_create_target_queue(queues: QueueState, target: Target, pool: str) -> TargetQueue:
+    target_queue = queues.targets.get(target)
+    if target_queue is None:
+        target_queue = queues.targets[target] = TargetQueue(pool)
         queues.pools.setdefault(pool, []).append(target)
-    elif held.pool != pool:
+    elif target_queue.pool != pool:
         # The settings moved the target to another service.
-        queues.pools[held.pool].remove(target)
+        queues.pools[target_queue.pool].remove(target)
         queues.pools.setdefault(pool, []).append(target)
-        held.pool = pool
-    return held
+        target_queue.pool = pool
+    return target_queue
 
 
 def remove(queues: QueueState, req: Request) -> None:
-    """Take a request out of its queue, wherever it stands."""
+    """Remove a request from its queue."""
     queue = queues.index.pop(req.request_id, None)
     if queue is None:
         return
@@ -165,16 +165,15 @@
         queue.late_work = queue.late_work - req.queued_cost if queue.late else 0.0
     else:
         del queue.on_time[req.request_id]
-    # Set to zero when empty, so that rounding errors do not add up over days.
+    # Zero if empty, so that rounding errors do not accumulate.
     queue.work = queue.work - req.queued_cost if len(queue) else 0.0
 
 
 def move_late(queues: QueueState, now: float) -> None:
-    """Put what can no longer meet its target behind what can.
+    """Move requests that can no longer meet their target behind those that can.
 
-    Failure: a class bursts, and first come first served has each request wait for those before it
-    until it is late itself; from then on nearly none is in time, though the servers could serve
-    most of them in time.
+    Prevents a burst from making nearly all requests overdue, each because it waits for overdue ones
+    before it, although the servers could serve most of them in time.
     """
     while queues.late_at and queues.late_at[0][0] <= now:
         _, request_id = heappop(queues.late_at)
@@ -187,20 +186,20 @@
 
 
 def waiting_count(queues: QueueState, target: Target, class_name: str) -> int:
-    """Count what waits for a target in a class."""
-    held = queues.targets.get(target)
-    queue = held.classes.get(class_name) if held else None
+    """Return the number of requests that wait for a target in a class."""
+    target_queue = queues.targets.get(target)
+    queue = target_queue.classes.get(class_name) if target_queue else None
     return len(queue) if queue else 0
 
 
 def pool_of(queues: QueueState, target: Target) -> str | None:
-    """Name the pool of a target, or give None where nothing has ever waited for it."""
-    held = queues.targets.get(target)
-    return held.pool if held else None
+    """Return the pool of a target, or None if no request has ever waited for it."""
+    target_queue = queues.targets.get(target)
+    return target_queue.pool if target_queue else None
 
 
 def pool_queues(queues: QueueState, pool: str) -> Iterator[ClassQueue]:
-    """Yield the queues of a pool in which something waits."""
+    """Yield the nonempty queues of a pool."""
     for target in queues.pools.get(pool, ()):
         for queue in queues.targets[target].classes.values():
             if len(queue):
@@ -208,46 +207,44 @@
 
 
 def target_classes(queues: QueueState, target: Target) -> Iterable[ClassQueue]:
-    """Give the queues of a target, empty ones as well."""
-    held = queues.targets.get(target)
-    return held.classes.values() if held else ()
+    """Return all queues of a target, including empty ones."""
+    target_queue = queues.targets.get(target)
+    return target_queue.classes.values() if target_queue else ()
 
 
 def anything_waits(queues: QueueState, pool: str) -> bool:
-    """Tell whether anything waits in a pool."""
+    """Return whether any request waits in a pool."""
     return any(True for _ in pool_queues(queues, pool))
 
 
 def in_order(queues: QueueState, pool: str) -> list[ClassQueue]:
-    """List the queues of a pool with waiting requests in the order in which they are served."""
+    """Return the nonempty queues of a pool in the order in which they are served."""
     nonempty = list(pool_queues(queues, pool))
-    nonempty.sort(key=_turn)
+    nonempty.sort(key=_queue_order_key)
     return nonempty
 
 
 def is_owed(queue: ClassQueue) -> bool:
-    """Tell whether a class has earned its next request out of turn."""
+    """Return whether a class has earned the cost of its next request, so that it is served next."""
     return queue.earned >= queue.head().queued_cost
 
 
-def _turn(queue: ClassQueue) -> tuple[int, int, bool, float]:
-    # Queues of one tier, for different targets, go by age, those with requests on time first.
-    owed = 0 if is_owed(queue) else 1
-    return (owed, queue.service_class.priority, not queue.on_time, queue.head().arrived)
+def _queue_order_key(queue: ClassQueue) -> tuple[int, int, bool, float]:
+    # Queues of the same tier are ordered by age, after a preference for requests on time.
+    earned_order = 0 if is_owed(queue) else 1
+    return (earned_order, queue.service_class.priority, not queue.on_time, queue.head().arrived)
 
 
 def upper_waits(queues: QueueState, pool: str, tier: int) -> bool:
-    """Tell whether a more urgent tier waits in a pool."""
-    return any(each.service_class.priority < tier for each in pool_queues(queues, pool))
+    """Return whether a request of a more urgent tier waits in a pool."""
+    return any(queue.service_class.priority < tier for queue in pool_queues(queues, pool))
 
 
 def note_dispatched(queues: QueueState, queue: ClassQueue, req: Request) -> None:
-    """Take a request that was bound to a server off its queue and settle the shares.
+    """Remove a request that was assigned to a server from its queue and update the earned shares.
 
-    Failure: an upper class that never runs dry leaves a strict order no turn for the lower ones,
-    whose callers wait until their deadlines. Every class that waits therefore earns its share of
-    each dispatch, and once it has earned its next request it goes first. This is enough as the
-    earnings grow with every dispatch, so any waiting class gets its turn after finite work.
+    Every waiting class earns its share of each dispatch and goes first once it has earned the cost
+    of its next request. Prevents starvation of less urgent classes by a class that never empties.
     """
     work = req.queued_cost
     if req.request_id in queue.late:
@@ -262,31 +259,31 @@
     for target in queues.pools[pool]:
         for other in queues.targets[target].classes.values():
             if other is not queue:
-                _earn(other, work)
+                _add_earned_share(other, work)
 
 
-def _earn(queue: ClassQueue, work: float) -> None:
+def _add_earned_share(queue: ClassQueue, work: float) -> None:
     if not len(queue):
-        # A share is for those who wait; saving it up would let an idle class burst later.
+        # Prevents an idle class from accumulating a share for a later burst.
         queue.earned = 0.0
         return
     earned = queue.earned + work * queue.service_class.assured_share
-    # One turn at a time: a class that cannot be placed does not gather a burst of turns.
+    # Bounded, so that a class without a usable server does not accumulate a burst.
     queue.earned = min(earned, 2.0 * queue.head().queued_cost)
 
 
 def expired(queues: QueueState, now: float) -> list[Request]:
-    """List waiting requests whose deadline has passed, each once."""
-    # By id: one that was queued anew after a failed attempt has an entry for each time.
-    found: dict[RequestId, Request] = {}
+    """Return the waiting requests whose deadline has passed, each once."""
+    # By id, because a request that was queued again after a failed attempt has several entries.
+    by_id: dict[RequestId, Request] = {}
     while queues.deadlines and queues.deadlines[0][0] <= now:
         _, request_id = heappop(queues.deadlines)
         queue = queues.index.get(request_id)
         if queue is not None:
-            found[request_id] = queue.on_time.get(request_id) or queue.late[request_id]
-    return list(found.values())
+            by_id[request_id] = queue.on_time.get(request_id) or queue.late[request_id]
+    return list(by_id.values())
 
 
 def waiting_ids(queues: QueueState) -> list[RequestId]:
-    """List the ids of everything that waits, for the state dump."""
+    """Return the ids of all waiting requests, for the state dump."""
     return list(queues.index)
--- a/packages/turmericweir-core/turmericweir_core/state/registry_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/registry_state.py
@@ -1,4 +1,4 @@
-"""Hold how far the registry of servers was read, and by whom it was told."""
+"""State of the registry of servers: how far it was read, and the instance that reads it."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 class RegistryState(Struct):
-    """How far the registry was read."""
+    """Progress in reading the registry, and the choice of its readers."""
 
-    # The newest offset seen of each key, also of those that were removed.
+    # The newest known offset of each key, including removed keys.
     offsets: dict[ServerName, int] = field(default_factory=dict)
-    # When a read was last answered.
+    # When a read last succeeded.
     read_at: float = _NEVER
-    # No reader told in time, so this instance reads for all until one does.
+    # No reader sent an update in time, so this instance is the fallback reader until one does.
     stands_in: bool = False
-    # Whether this instance is picked to read, and when that is looked at again.
+    # Whether this instance is chosen as a reader, and when the choice is evaluated again.
     is_picked: bool = False
     pick_due: float = _NEVER
-    # Who told of the servers last, and when: whoever can read the store at present.
+    # The instance that last sent a registry update, and when: it can currently read the store.
     told_by: InstanceName | None = None
     told_at: float = _NEVER
-    # Entries that were missing when the store came back, and until when they are used on.
+    # Entries missing since the store recovered, and until when they remain in use.
     missing: dict[ServerName, float] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/retry_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/retry_state.py
@@ -1,4 +1,4 @@
-"""Hold what may be spent on retries, and what was."""
+"""State of the retry budget."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class RetryBucket(Struct):
-    """What was sent in one short time."""
+    """Number of first attempts and retries in one short interval."""
 
     since: float
     firsts: int = 0
@@ -18,15 +18,15 @@
 
 
 class RetryBudget(Struct):
-    """What may be spent on retries, and what was."""
+    """The available retries, and the recent use of them."""
 
-    # Retries that may be made now; None until the first use sets it to the burst.
+    # Retries available now; None until the first use sets it to the burst size.
     tokens: float | None = None
-    # Retries that were refused for want of budget, for the state dump.
+    # Number of retries refused because the budget was exhausted, for the state dump.
     refused: int = 0
     # Newest last, by target.
     windows: dict[Target, deque[RetryBucket]] = field(default_factory=dict)
-    # The largest number of instances seen, and when it was.
+    # The highest recent number of instances, and when it was observed.
     peak: int = 1
     peak_at: float = float("-inf")
     started_at: float | None = None
--- a/packages/turmericweir-core/turmericweir_core/state/server_table.py
+++ b/packages/turmericweir-core/turmericweir_core/state/server_table.py
@@ -1,8 +1,8 @@
-"""What this instance knows of each backend server, and whether it may be given new work.
+"""The backend servers that this instance knows, and whether each may be given new work.
 
-Sources, in the order of trust: what the server itself did to this instance's own requests, what its
-load report says, what the platform's list and the settings say. Leaving is monotonic for an
-incarnation: once any source says so, no other source takes it back.
+Sources, most trusted first: the results of this instance's requests, the server's load reports, the
+platform's list and the settings. Leaving is monotonic for an incarnation: once any source reports
+it, no other source revokes it.
 """
 
 from __future__ import annotations
@@ -25,44 +25,44 @@
 
     entry: ServerEntry
     service: Service
-    # The newest load report and when it came.
+    # The newest load report and when it was received.
     report: ServerReport | None = None
     report_at: float = 0.0
-    # Requests of this instance in flight there when the report came.
+    # Number of this instance's requests in flight on the server when the report was received.
     own_at_report: int = 0
-    # Requests of this instance in flight there: attempt and its tier.
+    # This instance's attempts in flight on the server, with their tiers.
     in_flight: dict[AttemptId, int] = field(default_factory=dict)
-    # Set by any source that says so; kept until the incarnation changes.
+    # Set by any source; never reset for the same incarnation.
     leaving: bool = False
-    # An operator asked that it gets no new work.
+    # An operator requested that it gets no new work.
     drained: bool = False
-    # It refused a request of this instance as leaving.
+    # It refused a request of this instance because it is leaving.
     refused_leaving: bool = False
-    # It restarted while its entry stayed the same, so what is said of the entry's incarnation is
-    # not about this one.
+    # It restarted while its entry stayed the same, so leaving notices on the entry's incarnation do
+    # not apply to it.
     outlived_entry: bool = False
-    # Nothing names it any more; it stays for the requests that are in flight there.
+    # No source names it any more; it is only kept for the requests in flight.
     gone: bool = False
-    # Not asked again before this time, because a new connection to it failed.
+    # Not used before this time because a new connection to it failed.
     unreachable_until: float = 0.0
-    # When the next load probe is due.
+    # When the next load probe is sent.
     probe_due: float = 0.0
-    # Count of requests ever sent to it from here; the round robin goes by it.
+    # Total number of requests sent to it by this instance, for round robin.
     sent: int = 0
 
     @property
     def slots(self) -> int:
-        """Requests that it can batch or run at once."""
+        """Return the number of requests that it can batch or run at once."""
         if self.report is not None:
             return self.report.slots
         return self.entry.slots or self.service.slots
 
     def serves(self, target: str) -> bool:
-        """Tell whether it has the model, or is of the plain service, that is asked for."""
+        """Return whether it serves the model or belongs to the plain service `target`."""
         if self.service.models:
             if self.report is not None and self.report.models:
-                # A label names the version as well; requests name the model, in any version.
-                return any(target in (each, bare_name(each)) for each in self.report.models)
+                # A label contains a version; a request names a model with or without one.
+                return any(target in (label, bare_name(label)) for label in self.report.models)
             return target in self.service.models
         return target == self.service.name
 
@@ -71,36 +71,36 @@
     """The servers that this instance may route to."""
 
     by_name: dict[ServerName, Server] = field(default_factory=dict)
-    # Entries that the platform's list or a peer named, by name.
+    # Entries from the platform's list or from a peer, by name.
     listed: dict[ServerName, ServerEntry] = field(default_factory=dict)
-    # When the platform was last seen to say so, by this instance or a peer; None for never.
+    # When this instance or a peer last read the list; None for never.
     listed_at: float | None = None
     # Hash of the listed entries, for comparison with peers.
     listed_hash: int = 0
-    # Servers write the entries themselves: an entry is the word of one life of its server, and
-    # there are no reports that would tell more.
+    # Servers write their entries themselves: an entry describes one incarnation of its server, and
+    # there are no load reports.
     own_word: bool = False
-    # What any instance has found to be leaving.
+    # Leaving notices of all instances.
     marks: LeavingMarks = field(default_factory=LeavingMarks)
-    # Rises whenever a server comes, goes, starts leaving or serves other models; what is derived
-    # from the whole table is kept until then.
+    # Incremented whenever a server is added or removed, starts leaving or changes its models.
+    # Invalidates caches derived from the table.
     version: int = 0
 
 
 def any_target(server: Server) -> Target:
-    """Name one of the targets that a server's service serves."""
+    """Return one of the targets that a server's service serves."""
     return Target(server.service.models[0] if server.service.models else server.service.name)
 
 
 def is_open(server: Server, now: float) -> bool:
-    """Tell whether a server may be given new work."""
+    """Return whether a server may be given new work."""
     return not (server.leaving or server.drained) and now >= server.unreachable_until
 
 
 def known_incarnation(server: Server) -> str:
-    """Name the server's present life by its own word; empty where it has not given it yet.
+    """Return the incarnation that the server itself reported; empty if it has not reported yet.
 
-    The platform's list has its own names for lives, which say nothing of the server's.
+    The platform's list has its own names of incarnations, which differ from those of the servers.
     """
     return "" if server.report is None else server.report.incarnation
 
@@ -116,29 +116,29 @@
     service = config.services.get(entry.service)
     if service is None:
         return
-    known = table.by_name.get(entry.name)
-    if known is None or _restarted(table, known.entry, entry):
-        fresh = Server(entry, service, leaving=entry.leaving)
-        table.by_name[entry.name] = fresh
-        apply_marks(table, fresh)
+    server = table.by_name.get(entry.name)
+    if server is None or _is_restarted(table, server.entry, entry):
+        new_server = Server(entry, service, leaving=entry.leaving)
+        table.by_name[entry.name] = new_server
+        apply_marks(table, new_server)
         table.version += 1
         return
-    if known.service is not service or (entry.leaving and not known.leaving):
+    if server.service is not service or (entry.leaving and not server.leaving):
         table.version += 1
-    known.entry = entry
-    known.service = service
-    if known.gone and table.own_word and not known.refused_leaving:
-        # Its entry had lapsed, and it has written it anew. Failure without this: a request that
-        # was in flight meanwhile keeps the server as it was, and it gets no work for good.
-        known.leaving = entry.leaving
-        apply_marks(table, known)
+    server.entry = entry
+    server.service = service
+    if server.gone and table.own_word and not server.refused_leaving:
+        # Its entry had expired and the server has written it again. Prevents a server that was kept
+        # for a request in flight from being excluded permanently.
+        server.leaving = entry.leaving
+        apply_marks(table, server)
         table.version += 1
-    known.gone = False
-    # Leaving is never taken back by a source that lags.
-    known.leaving = known.leaving or entry.leaving
+    server.gone = False
+    # Prevents a source that lags from revoking the leaving state.
+    server.leaving = server.leaving or entry.leaving
 
 
-def _restarted(table: ServerTable, old: ServerEntry, new: ServerEntry) -> bool:
+def _is_restarted(table: ServerTable, old: ServerEntry, new: ServerEntry) -> bool:
     if old.address != new.address:
         return True
     if table.own_word:
@@ -147,18 +147,18 @@
 
 
 def rebuild(table: ServerTable, config: Config) -> None:
-    """Bring the table in line with the settings and the newest list."""
+    """Update the table from the settings and the newest list."""
     entries = {**table.listed, **config.servers}
     for entry in entries.values():
         _merge_entry(table, config, entry)
     for name in list(table.by_name):
         server = table.by_name[name]
-        gone = name not in entries or entries[name].service not in config.services
-        # One with requests of ours in flight stays until they end; it gets no new ones.
-        if gone and not server.in_flight:
+        is_gone = name not in entries or entries[name].service not in config.services
+        # A server with requests in flight is kept until they end, without new ones.
+        if is_gone and not server.in_flight:
             del table.by_name[name]
             table.version += 1
-        elif gone:
+        elif is_gone:
             server.gone = True
             if not server.leaving:
                 server.leaving = True
@@ -166,24 +166,24 @@
 
 
 def list_servers(table: ServerTable, config: Config, entries: tuple[ServerEntry, ...]) -> None:
-    """Take the platform's list, a hint that lags both ways.
+    """Apply the platform's list, which may lack servers and contain servers that are gone.
 
-    A server missing from the list is kept while it still answers: the list may have been read from
-    a platform that has just restarted. It goes when it also cannot be reached.
+    A server missing from the list is kept while it is reachable, because the platform may have just
+    restarted with an incomplete list.
     """
-    fresh = {entry.name: entry for entry in entries}
+    listed = {entry.name: entry for entry in entries}
     for name, entry in table.listed.items():
-        if name in fresh:
+        if name in listed:
             continue
         server = table.by_name.get(name)
         if server is not None and not server.leaving and server.unreachable_until == 0.0:
-            fresh[name] = entry
-    table.listed = fresh
+            listed[name] = entry
+    table.listed = listed
     rebuild(table, config)
 
 
 def note_report(table: ServerTable, options: Options, now: float, report: ServerReport) -> None:
-    """Take a server's own load report."""
+    """Apply a load report sent by a server."""
     server = table.by_name.get(report.server)
     if server is None:
         return
@@ -192,10 +192,10 @@
             return
         report_leaving = server.leaving or report.leaving
     else:
-        # A new incarnation has not said that it leaves; its entry in the list may lag behind. At
-        # a first report, what the list or a refusal said stands; the marks are looked at below.
-        told = server.refused_leaving or server.entry.leaving
-        report_leaving = report.leaving or (told and server.report is None)
+        # The entry of a new incarnation may lag, so only the report counts. For a first report the
+        # entry and a refusal count as well. Leaving notices are applied below.
+        is_reported_leaving = server.refused_leaving or server.entry.leaving
+        report_leaving = report.leaving or (is_reported_leaving and server.report is None)
     if server.report is None or server.report.models != report.models:
         table.version += 1
     if server.leaving != report_leaving:
@@ -209,26 +209,26 @@
     server.own_at_report = len(server.in_flight)
     server.leaving = report_leaving
     server.unreachable_until = 0.0
-    # A report that was held up is of an incarnation that may be marked long since.
+    # A delayed report may belong to an incarnation that already has a leaving notice.
     apply_marks(table, server)
 
 
 def note_unreachable(table: ServerTable, options: Options, now: float, name: ServerName) -> None:
-    """Leave a server alone for a while after a new connection to it failed."""
+    """Exclude a server for a while because a new connection to it failed."""
     server = table.by_name.get(name)
     if server is not None:
         server.unreachable_until = now + options.unreachable_retry_s
 
 
 def note_answered(table: ServerTable, name: ServerName) -> None:
-    """Use a server again to which a new connection worked."""
+    """Use a server again because a new connection to it succeeded."""
     server = table.by_name.get(name)
     if server is not None:
         server.unreachable_until = 0.0
 
 
 def due_trials(table: ServerTable, options: Options, now: float) -> Iterator[Server]:
-    """Yield servers that were left alone for long enough; they stay so until they answer."""
+    """Yield the servers whose exclusion has ended, and extend it until they answer a probe."""
     for server in table.by_name.values():
         if 0.0 < server.unreachable_until <= now and not server.leaving:
             server.unreachable_until = now + options.unreachable_retry_s
@@ -236,7 +236,7 @@
 
 
 def note_leaving(table: ServerTable, name: ServerName) -> None:
-    """Give a server no new work any more: it said itself that it leaves."""
+    """Stop giving a server new work because it reported that it is leaving."""
     server = table.by_name.get(name)
     if server is None:
         return
@@ -247,27 +247,25 @@
 
 
 def apply_marks(table: ServerTable, server: Server) -> None:
-    """Let a server get no new work if its incarnation is marked.
+    """Exclude a server from new work if there is a leaving notice on its incarnation.
 
-    Without this an entry that comes in again, from a list older than the mark, would be taken for
-    a server that has just come: requests would go to it until it refused one.
+    Prevents an entry from an outdated list from reactivating a leaving server.
     """
     before = (server.leaving, server.drained)
     for mark in marks_on(table.marks, server.entry.name):
-        if _is_about(table, mark, server):
+        if _is_mark_for(table, mark, server):
             server.leaving = server.leaving or not mark.drained
             server.drained = server.drained or mark.drained
     if before != (server.leaving, server.drained):
         table.version += 1
 
 
-def _is_about(table: ServerTable, mark: LeavingMark, server: Server) -> bool:
+def _is_mark_for(table: ServerTable, mark: LeavingMark, server: Server) -> bool:
     if table.own_word:
-        # Failure without this: a server that left and is back under its name gets no work for as
-        # long as the mark on its life before is kept.
+        # Prevents the notice on an earlier incarnation from excluding a server that came back.
         return mark.incarnation == server.entry.incarnation
     if server.report is None:
-        # It has not said who it is. Its first report, soon after, decides.
+        # Its incarnation is unknown until its first report, so the notice applies until then.
         return True
     if mark.incarnation == server.report.incarnation:
         return True
@@ -275,7 +273,7 @@
 
 
 def due_probes(table: ServerTable, options: Options, now: float) -> Iterator[Server]:
-    """Yield the servers whose load is to be asked now, and set when they are due again."""
+    """Yield the servers to probe for their load now, and schedule their next probes."""
     for server in table.by_name.values():
         if now >= server.probe_due:
             server.probe_due = now + options.probe_s
@@ -283,8 +281,8 @@
 
 
 def preferred(candidates: Iterable[Server], req: Request) -> list[Server]:
-    """Leave out servers that this request has failed on, as long as any other is left."""
-    found = list(candidates)
+    """Return the candidates without the servers to avoid, or all of them if none would be left."""
+    servers = list(candidates)
     if not req.avoid:
-        return found
-    return [each for each in found if each.entry.name not in req.avoid] or found
+        return servers
+    return [server for server in servers if server.entry.name not in req.avoid] or servers
--- a/packages/turmericweir-core/turmericweir_core/state/settings_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/settings_state.py
@@ -1,21 +1,21 @@
 """The settings at one offset of the log: a pure fold over the records of the settings stream.
 
-Every reader applies the same records in offset order through `apply`, and so agrees which changes
-were accepted, without asking anyone. A change is accepted if its path still has the version that
-the change expects, its operator holds the path, its value is valid and no reference breaks. Its
-record's offset plus one becomes the path's version. So:
-
-- Of two operators who change a path at once, the one whose record comes first wins, and the other
-  is told what won.
-- A record that was appended twice, because its acknowledgement was lost, counts once: its id is
-  among the seen ones. These are bounded by number, oldest first out, and part of the state, so
-  that all readers forget the same ones. A repetition that comes later than that fails on its
-  expected version.
-- The state never goes back: `apply` takes the next record only, `load_snapshot` only newer states.
-
-The hash covers entries, seen ids and offset. It is a sum of the hashes of its members, so that a
-change costs the same however many settings there are. It finds damage and readers that differ; it
-is no protection against someone who may append to the log.
+All readers apply the same records in offset order with `apply`, and therefore agree which changes
+were accepted. A change is accepted if its path still has the version that the change expects, its
+operator has write access to the path, its value is valid and no reference breaks. The offset of its
+record plus one becomes the version of the path. Consequences:
+
+- If two operators change a path concurrently, the first record wins, and the other operator gets a
+  conflict with the winning change.
+- A record that was appended twice, because its acknowledgement was lost, is applied once: its id is
+  among the seen ids. Their number is bounded, oldest evicted first. They are part of the state, so
+  that all readers evict the same ones. A later repetition fails on its expected version.
+- The state never goes back: `apply` accepts only the next record, `load_snapshot` only a newer
+  state.
+
+The hash covers entries, seen ids and offset. It is a sum of the hashes of its members, so the cost
+of a change does not depend on the number of settings. It detects corruption and diverging readers.
+It does not protect against an attacker who can append to the log.
 """
 
 from __future__ import annotations
@@ -66,11 +66,11 @@
     kind_of,
 )
 
-# Ids of judged changes that are remembered. No option: readers that kept other numbers of them
-# would disagree on a repeated record.
+# Number of seen change ids to store. Not an option, because readers with different values would
+# disagree on a repeated record.
 SEEN_KEEP: Final = 1024
-# Verdicts kept for operators, and hashes kept to check snapshots by. Both are of this instance
-# alone and no part of the hash.
+# Number of verdicts stored for operators, and of digests stored to check snapshots. Both are local
+# to an instance and not part of the hash.
 HISTORY_KEEP: Final = 200
 DIGESTS_KEEP: Final = 1024
 
@@ -80,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seen:
-    """A judged change."""
+    """A change with a verdict."""
 
     offset: int
     kind: VerdictKind
@@ -88,43 +88,43 @@
 
 @dataclass(slots=True)
 class SettingsState:
-    """All settings, as the records before `offset` give them."""
+    """All settings, as of the records before `offset`."""
 
-    # Offset of the first record that is not in this state; it only rises.
+    # Offset of the next record to apply; never decreases.
     offset: int = 0
     entries: dict[str, Entry] = field(default_factory=dict)
-    # Judged changes by id, oldest first; at most `SEEN_KEEP`.
+    # Changes with a verdict, by id, oldest first; at most `SEEN_KEEP`.
     seen: OrderedDict[str, Seen] = field(default_factory=OrderedDict)
     # Sums of the hashes of all entries and of all seen ids.
     entries_hash: int = 0
     seen_hash: int = 0
-    # Which path provides what; derived from the entries.
+    # The path that provides each reference target; derived from the entries.
     providers: Providers = field(default_factory=dict)
-    # Newest last. It starts afresh with a snapshot, which carries none.
+    # Newest last. Not part of snapshots.
     history: deque[Verdict] = field(default_factory=lambda: deque(maxlen=HISTORY_KEEP))
-    # Digests of the newest offsets that this reader passed through.
+    # Digests of this reader at the latest offsets.
     digests: OrderedDict[int, str] = field(default_factory=OrderedDict)
 
 
 def settings_version(state: SettingsState, path: str) -> int:
-    """Give the version of a path, 0 where it is absent."""
+    """Return the version of a path, `ABSENT` if it does not exist."""
     entry = state.entries.get(path)
     return entry.version if entry else ABSENT
 
 
 def config_of(state: SettingsState) -> Config:
-    """Build the `Config` that the decisions read."""
+    """Return the `Config` built from the settings."""
     values = {path: entry.value for path, entry in state.entries.items()}
     return build_config(values, state.offset)
 
 
 def state_digest(state: SettingsState) -> str:
-    """Give the hash of the state; equal at equal offsets on all instances."""
+    """Return the hash of the state, which is equal on all instances at the same offset."""
     return _digest(state.offset, state.entries_hash, state.seen_hash)
 
 
 def may_write(state: SettingsState, operator: str, path: str) -> bool:
-    """Tell whether an operator holds a subtree with the path."""
+    """Return whether an operator has write access to a subtree that contains the path."""
     entry = state.entries.get(f"/operators/{operator}")
     if entry is None or not isinstance(entry.value, WrittenOperator):
         return False
@@ -135,42 +135,44 @@
 
 
 def apply(state: SettingsState, record: LogRecord) -> Verdict:
-    """Apply the next record and say what became of it."""
+    """Apply the next record and return the verdict on it."""
     assert record.offset == state.offset, "records are applied in order, without gaps"
     _note_digest(state)
-    verdict = _judge(state, record)
+    verdict = _verdict_on(state, record)
     state.offset = record.offset + 1
     if not isinstance(verdict, SnapshotMatched | SnapshotUnchecked):
         state.history.append(verdict)
     return verdict
 
 
-def _judge(state: SettingsState, record: LogRecord) -> Verdict:
+def _verdict_on(state: SettingsState, record: LogRecord) -> Verdict:
     result = read_record(record.value)
     if not is_successful(result):
         return Malformed(record.offset, result.failure())
     parsed = result.unwrap()
     match parsed:
         case ChangeRecord():
-            return _judge_change(state, record.offset, parsed)
+            return _verdict_on_change(state, record.offset, parsed)
         case SnapshotRecord():
-            return _judge_snapshot(state, record.offset, parsed)
+            return _verdict_on_snapshot(state, record.offset, parsed)
     assert_never(parsed)
 
 
-def _judge_change(
+def _verdict_on_change(
     state: SettingsState, offset: int, change: ChangeRecord
 ) -> ChangeVerdict | Repeated:
     subject = Subject(change.change_id, change.path, change.operator, change.at, offset)
     first = state.seen.get(change.change_id)
     if first is not None:
         return Repeated(subject, first.offset, first.kind)
-    verdict = _judge_new(state, subject, change)
-    _remember(state, change.change_id, Seen(offset, kind_of(verdict)))
+    verdict = _verdict_on_unseen(state, subject, change)
+    _add_seen(state, change.change_id, Seen(offset, kind_of(verdict)))
     return verdict
 
 
-def _judge_new(state: SettingsState, subject: Subject, change: ChangeRecord) -> ChangeVerdict:
+def _verdict_on_unseen(
+    state: SettingsState, subject: Subject, change: ChangeRecord
+) -> ChangeVerdict:
     problems = _check_path(change.path)
     if problems:
         return Invalid(subject, problems)
@@ -183,7 +185,7 @@
             return Invalid(subject, result.failure().problems)
         value = result.unwrap()
     if change.expected_version != settings_version(state, change.path):
-        return _conflict(state, subject, change)
+        return _conflict_with(state, subject, change)
     problems = check_refs(state.entries, state.providers, change.path, value)
     if problems:
         return Invalid(subject, problems)
@@ -195,7 +197,7 @@
     return () if is_successful(result) else result.failure().problems
 
 
-def _conflict(state: SettingsState, subject: Subject, change: ChangeRecord) -> Conflict:
+def _conflict_with(state: SettingsState, subject: Subject, change: ChangeRecord) -> Conflict:
     entry = state.entries.get(change.path)
     return Conflict(
         subject,
@@ -207,15 +209,15 @@
 
 
 def _accept(state: SettingsState, subject: Subject, value: Value | None) -> Accepted:
-    _take_out(state, subject.path)
+    _remove_setting(state, subject.path)
     if value is None:
         return Accepted(subject, ABSENT)
     version = subject.offset + 1
-    _put_in(state, subject.path, Entry(version, value, subject.operator, subject.at))
+    _add_setting(state, subject.path, Entry(version, value, subject.operator, subject.at))
     return Accepted(subject, version)
 
 
-def _take_out(state: SettingsState, path: str) -> None:
+def _remove_setting(state: SettingsState, path: str) -> None:
     entry = state.entries.pop(path, None)
     if entry is None:
         return
@@ -224,14 +226,14 @@
         del state.providers[ref]
 
 
-def _put_in(state: SettingsState, path: str, entry: Entry) -> None:
+def _add_setting(state: SettingsState, path: str, entry: Entry) -> None:
     state.entries[path] = entry
     state.entries_hash = (state.entries_hash + _hash_entry(path, entry)) % _HASH_SPACE
     for ref in provided(parse_path(path).unwrap(), entry.value):
         state.providers[ref] = path
 
 
-def _remember(state: SettingsState, change_id: str, seen: Seen) -> None:
+def _add_seen(state: SettingsState, change_id: str, seen: Seen) -> None:
     state.seen[change_id] = seen
     state.seen_hash = (state.seen_hash + _hash_seen(change_id, seen)) % _HASH_SPACE
     while len(state.seen) > SEEN_KEEP:
@@ -243,7 +245,7 @@
 
 
 def take_snapshot(state: SettingsState) -> SnapshotRecord:
-    """Give the whole state as a record."""
+    """Return the whole state as a record."""
     entries = {
         path: SnapshotEntry(
             version=entry.version,
@@ -263,29 +265,29 @@
 
 
 def read_snapshot(snapshot: SnapshotRecord) -> Result[SettingsState, str]:
-    """Rebuild the state of a snapshot, if its hash and its values are right."""
+    """Return the state of a snapshot, or a failure if its hash or a value is invalid."""
     entries: dict[str, Entry] = {}
-    for path, it in snapshot.entries.items():
-        result = read_value(path, it.value)
+    for path, item in snapshot.entries.items():
+        result = read_value(path, item.value)
         if not is_successful(result):
             return Failure(str(result.failure()))
-        entries[path] = Entry(it.version, result.unwrap(), it.operator, it.at)
-    seen = OrderedDict((it.change_id, Seen(it.offset, it.kind)) for it in snapshot.seen_ids)
+        entries[path] = Entry(item.version, result.unwrap(), item.operator, item.at)
+    seen = OrderedDict((item.change_id, Seen(item.offset, item.kind)) for item in snapshot.seen_ids)
     state = SettingsState(
         offset=snapshot.offset,
         entries=entries,
         seen=seen,
-        entries_hash=_total(_hash_entry(path, entry) for path, entry in entries.items()),
-        seen_hash=_total(_hash_seen(change_id, it) for change_id, it in seen.items()),
+        entries_hash=_sum_hashes(_hash_entry(path, entry) for path, entry in entries.items()),
+        seen_hash=_sum_hashes(_hash_seen(change_id, item) for change_id, item in seen.items()),
         providers=index_providers(entries),
     )
     if state_digest(state) != snapshot.hash:
-        return Failure("its hash does not fit its content")
+        return Failure("its hash does not match its content")
     return Success(state)
 
 
 def load_snapshot(state: SettingsState, snapshot: SnapshotRecord) -> Result[None, str]:
-    """Move on to the state of a snapshot; refuse one that is damaged or not newer."""
+    """Replace the state by that of a snapshot, or fail if it is invalid or not newer."""
     if snapshot.offset <= state.offset:
         return Failure(f"it is of offset {snapshot.offset}; this instance is at {state.offset}")
     result = read_snapshot(snapshot)
@@ -305,31 +307,39 @@
     _note_digest(state)
 
 
-def _judge_snapshot(state: SettingsState, offset: int, snapshot: SnapshotRecord) -> SnapshotVerdict:
-    own = state.digests.get(snapshot.offset)
-    if own is not None and own != snapshot.hash:
-        reason = f"its hash is {snapshot.hash}, this instance had {own}"
+def _verdict_on_snapshot(
+    state: SettingsState, offset: int, snapshot: SnapshotRecord
+) -> SnapshotVerdict:
+    own_digest = state.digests.get(snapshot.offset)
+    if own_digest is not None and own_digest != snapshot.hash:
+        reason = f"its hash is {snapshot.hash}, this instance had {own_digest}"
         return SnapshotMismatched(offset, snapshot.offset, reason)
-    if own is None:
+    if own_digest is None:
         result = read_snapshot(snapshot)
         if is_successful(result):
             return SnapshotUnchecked(offset, snapshot.offset)
         return SnapshotMismatched(offset, snapshot.offset, result.failure())
-    # A hash that is right proves nothing of the entries beside it, which a reader would load. To
-    # compare them costs far less than to validate and hash them, for which requests would wait.
-    if snapshot.offset == state.offset and not _holds_same(state, snapshot):
+    # A correct hash does not prove that the entries match it. Comparing the entries is much faster
+    # than validating and hashing them, which would delay requests.
+    if snapshot.offset == state.offset and not _is_same_content(state, snapshot):
         reason = "its content is not what this instance holds"
         return SnapshotMismatched(offset, snapshot.offset, reason)
     return SnapshotMatched(offset, snapshot.offset)
 
 
-def _holds_same(state: SettingsState, snapshot: SnapshotRecord) -> bool:
+def _is_same_content(state: SettingsState, snapshot: SnapshotRecord) -> bool:
     entries = {
-        path: (it.version, it.value, it.operator, it.at) for path, it in snapshot.entries.items()
+        path: (item.version, item.value, item.operator, item.at)
+        for path, item in snapshot.entries.items()
     }
-    own = {path: (it.version, it.written, it.operator, it.at) for path, it in state.entries.items()}
-    seen = [(it.change_id, it.offset, it.kind) for it in snapshot.seen_ids]
-    return entries == own and seen == [(key, it.offset, it.kind) for key, it in state.seen.items()]
+    own_entries = {
+        path: (item.version, item.written, item.operator, item.at)
+        for path, item in state.entries.items()
+    }
+    seen = [(item.change_id, item.offset, item.kind) for item in snapshot.seen_ids]
+    return entries == own_entries and seen == [
+        (key, item.offset, item.kind) for key, item in state.seen.items()
+    ]
 
 
 # --- hashes ----------------------------------------------------------------------------------
@@ -358,5 +368,5 @@
     return xxhash.xxh3_64_intdigest(text.encode())
 
 
-def _total(hashes: Iterable[int]) -> int:
+def _sum_hashes(hashes: Iterable[int]) -> int:
     return sum(hashes) % _HASH_SPACE
--- a/packages/turmericweir-core/turmericweir_core/state/settings_sync.py
+++ b/packages/turmericweir-core/turmericweir_core/state/settings_sync.py
@@ -1,8 +1,7 @@
-"""What an instance holds to keep its settings in step with the log and with its peers.
+"""State that keeps an instance's settings in sync with the log and with its peers.
 
-`settings_state` says what the records mean; this part remembers how far the log was read, which
-changes the operators wait for, and the raw records that a peer may ask for. The events that change
-it are handled in `settings_reducer`; where the peers stand is told by `settings_peers`.
+`settings_state` defines the meaning of the records. This module has the progress in reading the
+log, the pending changes of operators, and the raw records that a peer may request.
 """
 
 from __future__ import annotations
@@ -23,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PeerSettings:
-    """Where a live peer stands, at the least."""
+    """A live peer and its settings offset; the actual offset may be higher."""
 
     name: InstanceName
     address: str
@@ -32,17 +31,17 @@
 
 @dataclass(slots=True)
 class PendingChange:
-    """A change that an operator waits for."""
+    """A submitted change whose operator waits for the verdict."""
 
     record: ChangeRecord
     submitted_at: float
-    # When the newest append of it was asked for, or was found to have failed.
+    # When its newest append was started or failed.
     tried_at: float
-    # An append is under way.
+    # An append is in flight.
     in_flight: bool = True
-    # Some append of it may have taken effect, so that only the log can tell what became of it.
+    # An append may have taken effect, so only the log can show the result.
     maybe_in_log: bool = False
-    # Where it stands in the log, once an append was acknowledged.
+    # Its offset in the log, once an append was acknowledged.
     offset: int | None = None
 
 
@@ -51,33 +50,33 @@
     """The settings part of an instance's state."""
 
     settings: SettingsState = field(default_factory=SettingsState)
-    # What the decisions read; replaced as a whole when the settings move on.
+    # The `Config` built from the settings; replaced as a whole when they change.
     config: Config = field(default_factory=Config)
-    # Whether the settings have been whole once, so that traffic may be served by them.
+    # Whether the settings have been complete once, so that they can be used to serve traffic.
     ready: bool = False
-    # Raw records, consecutive, the newest just before the state's offset.
+    # Consecutive raw records up to the state's offset.
     kept: deque[LogRecord] = field(default_factory=deque)
-    # Where the log begins, if it no longer has the record that comes next here.
+    # Start of the log, if the log no longer has the next record needed here.
     resume_at: int = 0
-    # Records from there on, held until a snapshot bridges the gap.
+    # Records from `resume_at` on, stored until a snapshot fills the gap before them.
     ahead: deque[LogRecord] = field(default_factory=deque)
     pending: dict[str, PendingChange] = field(default_factory=dict)
     started_at: float | None = None
-    # The largest end of the log that was seen.
+    # The highest end offset of the log observed so far.
     known_end: int = 0
-    # Whether the log was read, and since when it could not be.
+    # Whether the log has been read, and since when reads fail.
     log_read: bool = False
     log_failed_since: float | None = None
-    # Since when the log's end lies before this instance's offset, and whether that was reported.
+    # Since when the log ends before this instance's offset, and whether that was reported.
     log_shorter_since: float | None = None
     log_shorter_reported: bool = False
-    # When the peers were last looked at, and the newest one, if it is newer than this instance.
+    # When the peers were last checked, and the most advanced one if it is ahead of this instance.
     peers_checked_at: float | None = None
     newer_peer: PeerSettings | None = None
-    # Since when a peer is ahead, and when one was last asked.
+    # Since when a peer is ahead, and when settings were last requested from a peer.
     behind_since: float | None = None
     asked_at: float | None = None
-    # The offset at which each peer's hash was last found to differ, so that it is reported once.
+    # The offset at which each peer's hash last differed, so that it is reported only once.
     diverged: dict[InstanceName, int] = field(default_factory=dict)
     # Offset and time of the newest snapshot in the log, and when one was last tried.
     snapshot_offset: int = 0
@@ -86,27 +85,27 @@
     snapshot_tried_at: float | None = None
 
     def offset_in_force(self) -> int:
-        """Give the offset of the settings in force, as heartbeats carry it; 0 before there are any.
+        """Return the offset of the settings in force, as sent in heartbeats; 0 if there are none.
 
-        A starting instance that is halfway through the log keeps quiet about it: a peer that starts
-        in an outage would take its settings for the newest there are, and serve by replaced ones.
+        An instance that is still reading the log returns 0. Prevents a peer that starts during an
+        outage from using outdated settings as the newest ones.
         """
         return self.settings.offset if self.ready else 0
 
     def digest_in_force(self) -> str:
-        """Give the hash of the settings in force, as heartbeats carry it."""
+        """Return the hash of the settings in force, as sent in heartbeats."""
         return state_digest(self.settings) if self.ready else EMPTY_DIGEST
 
 
 def settings_read_offset(sync: SettingsSync) -> int:
-    """Say from which offset the log is to be read next."""
+    """Return the offset from which the log is read next."""
     if sync.ahead:
         return sync.ahead[-1].offset + 1
     return max(sync.settings.offset, sync.resume_at)
 
 
 def keep_record(sync: SettingsSync, options: Options, record: LogRecord) -> None:
-    """Keep a raw record for peers, letting go of the oldest where there are too many."""
+    """Store a raw record for peers, evicting the oldest if there are too many."""
     sync.kept.append(record)
     while len(sync.kept) > options.settings_keep:
         sync.kept.popleft()
--- a/packages/turmericweir-core/turmericweir_core/state/sign_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/sign_state.py
@@ -1,4 +1,4 @@
-"""Hold what was seen of the connections of each server."""
+"""Liveness evidence from the connections to each server."""
 
 from __future__ import annotations
 
@@ -12,31 +12,31 @@
 
 
 class ServerSigns(Struct):
-    """What was seen of one server's connections."""
+    """Liveness evidence of one server."""
 
-    # The longest time between tokens of late.
+    # The longest recent time between tokens.
     longest_gap: float = 0.0
-    # The newest token of any running attempt, by tier.
+    # When the newest token of any running attempt was received, by tier.
     newest_token: dict[int, float] = field(default_factory=dict)
-    # When a probe was last wanted for something overdue there.
+    # When a probe was last requested because an attempt is overdue.
     suspected_at: float = _NEVER
-    # When the newest probe was sent that the server answered at once.
+    # When the newest probe that the server answered immediately was sent.
     answers_at: float = _NEVER
-    # The requests that it counted then.
+    # Number of requests that the server reported in that answer.
     answered_count: int = 0
-    # When a connection to it was last found lost.
+    # When a connection to it was last declared lost.
     lost_at: float = _NEVER
 
 
 class SignState(Struct):
-    """The signs of every server that this instance uses."""
+    """Liveness evidence of all servers that this instance uses."""
 
     by_server: dict[ServerName, ServerSigns] = field(default_factory=dict)
     # Servers with overdue attempts, as of the newest tick.
     overdue: set[ServerName] = field(default_factory=set)
-    # When one was last found lost while attempts at other servers were overdue as well.
+    # When a connection was last declared lost while attempts on other servers were overdue too.
     lost_together_at: float = _NEVER
-    # When all kept connections were last given up.
+    # When all idle connections were last discarded.
     distrusted_at: float = _NEVER
-    # The newest tick.
+    # Time of the newest tick.
     looked_at: float = _NEVER
--- a/packages/turmericweir-core/turmericweir_core/state/silence_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/silence_state.py
@@ -1,4 +1,4 @@
-"""Hold how long answers took to begin of late."""
+"""Recent times to the first event of an answer, used to detect unresponsive servers."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 
 class SilenceState(Struct):
-    """How long answers took to begin of late."""
+    """Recent times to the first event of an answer."""
 
-    # By server, the longest wait, which newer and shorter ones wear down.
+    # The longest wait by server, reduced by newer and shorter waits.
     longest_wait: dict[ServerName, float] = field(default_factory=dict)
-    # Attempts that were doubted, for the state dump.
+    # Number of attempts that were suspected, for the state dump.
     doubted: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/state.py
@@ -1,7 +1,7 @@
-"""The whole state of an instance: one part for each concern, each changed by its own reducer.
+"""The complete state of an instance: one part for each concern, each changed by its own reducer.
 
-A reducer reads another's part only through that module's named functions. Everything here is soft:
-an instance that starts afresh rebuilds it from the platform's log, its peers and the servers.
+A reducer reads other parts only through the functions of their modules. All of this is soft state:
+a restarted instance rebuilds it from the platform's log, its peers and the servers.
 """
 
 from __future__ import annotations
@@ -50,16 +50,16 @@
     from turmericweir_core.state.settings_sync import SettingsSync
 
 
-def _read_from_log() -> SettingsSync:
-    # Loaded only where the settings come from the own log: with the validation that it brings, it
-    # is a quarter of the memory of a process, 13 MB.
+def _new_settings_sync() -> SettingsSync:
+    # Imported only if the settings come from the log, because the validation library that it loads
+    # uses much memory.
     from turmericweir_core.state.settings_sync import SettingsSync
 
     return SettingsSync()
 
 
 class Identity(Struct, frozen=True):
-    """Who this instance is; told by its settings file."""
+    """Identity of this instance, from its settings file."""
 
     name: InstanceName
     data_centre: str
@@ -67,45 +67,45 @@
     peer_address: str
     # New at each start of the process.
     incarnation: str
-    # Instances of another cluster, or of a region that is not named here, are not listened to.
+    # Messages from other clusters and from regions that are not listed here are ignored.
     cluster: str = "turmericweir"
     other_regions: tuple[str, ...] = ()
-    # What its machine can carry for others: one more for each doubling, 0 the weakest.
+    # Capacity of its machine for relaying, as a base-2 logarithm; 0 is the lowest.
     strength: int = 0
 
 
 class State(Struct):
-    """Everything an instance knows and has in hand."""
+    """The state of an instance."""
 
     me: Identity
     options: Options
-    # Seeded by the process, so that a test can repeat every choice.
+    # Seeded by the process, so that tests are reproducible.
     rng: Random
-    # The settings in force; replaced as a whole when the settings log moves on.
+    # The settings in force; replaced as a whole when they change.
     config: Config = field(default_factory=Config)
-    # Whether any settings have been had since the start: without them no traffic is served.
+    # Whether settings were received since the start; without them no traffic is served.
     has_settings: bool = False
     # Requests that have no account yet.
     requests: dict[RequestId, Request] = field(default_factory=dict)
     accounts: AccountStore = field(default_factory=AccountStore)
     queues: QueueState = field(default_factory=QueueState)
     servers: ServerTable = field(default_factory=ServerTable)
-    # The servers of each target that are used, and who shares them.
+    # The servers of each target that this instance uses.
     subsets: SubsetState = field(default_factory=SubsetState)
     credits: CreditState = field(default_factory=CreditState)
-    # What runs by pool, and how fast.
+    # Running attempts and speed of each pool.
     pool_loads: PoolLoads = field(default_factory=PoolLoads)
-    # Tokens that this instance's running requests are predicted to have, by server.
+    # Predicted tokens of this instance's running requests, by server.
     predicted_work: dict[ServerName, float] = field(default_factory=dict)
     predictor: Predictor = field(default_factory=Predictor)
     prefixes: PrefixMap = field(default_factory=PrefixMap)
-    # What each server has to do and holds, and what was told of it and heard.
+    # Load and cache contents of each server.
     engines: EngineModels = field(default_factory=EngineModels)
-    # How the engines of a service are split between long prompts and quick answers.
+    # Split of the engines of each service into prefill and decode.
     pools: PoolState = field(default_factory=PoolState)
     news: NewsState = field(default_factory=NewsState)
     handover: HandoverState = field(default_factory=HandoverState)
-    # How often each server failed of late.
+    # Recent failures of each server.
     reliability: ReliabilityState = field(default_factory=ReliabilityState)
     stragglers: StragglerState = field(default_factory=StragglerState)
     late_ranks: LateRanks = field(default_factory=LateRanks)
@@ -114,10 +114,10 @@
     retries: RetryBudget = field(default_factory=RetryBudget)
     members: Membership = field(default_factory=Membership)
     claims: ClaimState = field(default_factory=ClaimState)
-    settings: SettingsSync = field(default_factory=_read_from_log)
-    # The settings where they come as one document; None where they come from the own log.
+    settings: SettingsSync = field(default_factory=_new_settings_sync)
+    # The settings, if they come as one document; None if they come from the log.
     document: DocumentState | None = None
-    # What servers have registered of themselves, where the platform keeps that.
+    # Registry of the servers, if the platform has one.
     registry: RegistryState = field(default_factory=RegistryState)
     rate_limits: LimitState = field(default_factory=LimitState)
     quarantine: QuarantineState = field(default_factory=QuarantineState)
@@ -125,21 +125,21 @@
     models: ModelState = field(default_factory=ModelState)
     silence: SilenceState = field(default_factory=SilenceState)
     signs: SignState = field(default_factory=SignState)
-    # Servers that are tried because attempts on them are silent.
+    # Servers that are probed because attempts on them are unresponsive.
     dead: DeadState = field(default_factory=DeadState)
-    # Requests that servers began; None where nobody asks for their numbers.
+    # Counts of requests for usage reports; None if usage is not reported.
     meter: UsageMeter | None = None
-    # Duties of one holder at a time; None where there are none.
+    # Duties, which have one holder at a time; None if there are none.
     duties: DutyState | None = None
-    # Set by a graceful stop; never unset.
+    # Set by a graceful stop; never reset.
     stopping_since: float | None = None
 
     def settings_offset(self) -> int:
-        """Give the offset, or the version, of the settings in force; 0 before there are any."""
+        """Return the offset or version of the settings in force; 0 if there are none."""
         if self.document is not None:
             return self.document.version
         return self.settings.offset_in_force()
 
     def settings_digest(self) -> str:
-        """Give the hash of the settings in force; empty where the version says it all."""
+        """Return the hash of the settings in force; empty for a document, which has a version."""
         return "" if self.document is not None else self.settings.digest_in_force()
--- a/packages/turmericweir-core/turmericweir_core/state/subset_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/subset_state.py
@@ -1,4 +1,4 @@
-"""Hold the servers of each target that this instance uses."""
+"""State of the subsets: the servers of each target that this instance uses."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
     version: int
     servers: tuple[Server, ...]
-    # Servers that serve the target in all.
+    # Number of all servers that serve the target.
     total: int
 
 
 class SubsetState(Struct):
-    """The subset of each target that was asked for."""
+    """The subsets of all targets requested so far."""
 
     by_target: dict[Target, TargetSubset] = field(default_factory=dict)
-    # Servers in the subset of any target that was asked for here, as of the last look.
+    # Servers in the subset of any requested target, as of the last evaluation.
     used: frozenset[ServerName] = frozenset()
     used_due: float = 0.0
-    # Data centres that are known to be of another region.
+    # Data centres that are known to be in another region.
     foreign: frozenset[str] = frozenset()
     # Live instances of the region, as of the last tick.
     instances: int = 1
