--- a/packages/turmericweir-core/turmericweir_core/reducers/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/__init__.py
@@ -1,1 +1,1 @@
-"""Take every event: the reducer of the own interface, that of the platform, and what both share."""
+"""Reducers of events: for the log-based interface, for store platforms, and their common part."""
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
@@ -1,9 +1,9 @@
-"""The one reducer: every event of an instance goes through `reduce`.
+"""The reducer of the log-based interface: `reduce` applies every event of an instance.
 
-It changes the state in place and returns what the daemon is to do. It does no I/O, reads no clock
-and draws no randomness but from the seeded generator in the state, so a run can be repeated from
-its events. Each event goes to the small reducers of the concerns that it touches: those that every
-instance has are in `reducer_common`, those of the own interface and its log are added here.
+It changes the state in place and returns the effects that the daemon has to perform. It does no
+I/O, reads no clock and uses only the seeded random generator in the state, so a run can be
+reproduced from its events. Each event is passed to the reducers of the concerns that it affects:
+`reducer_common` has those of every instance; this module adds those of the log.
 """
 
 from __future__ import annotations
@@ -85,12 +85,12 @@
 
 
 def new_state(identity: Identity, options: Options, seed: int) -> State:
-    """Make the state of an instance that has just started."""
+    """Return the initial state of an instance."""
     return State(me=identity, options=options, rng=Random(seed))
 
 
 def reduce(state: State, now: float, event: Event) -> list[Effect]:
-    """Apply one event at a time of the runtime's clock, seconds; return what to do."""
+    """Apply one event at time `now` of the runtime's clock, seconds; return the effects."""
     effects = _apply(state, now, event)
     if state.claims.due:
         effects += claim_flow.settle_due(state, now)
@@ -169,7 +169,7 @@
             | RegistryRead()
             | EntryUnreadable()
         ):
-            # Of a platform whose store keeps settings and servers; see `reducer_store`.
+            # Only on platforms whose store has the settings and servers; see `reducer_store`.
             return []
         case unreachable:
             assert_never(unreachable)
@@ -214,13 +214,13 @@
     effects += model_demand.on_tick(state, now)
     effects += model_flow.on_tick(state, now)
     effects += tick_others(state, now)
-    # A claim that is not withdrawn blocks its key; an end that is not told leaves callers in doubt.
-    # A log that is down must not hold the process for ever, though.
+    # Flushing withdraws unused claims, which would block their keys, and reports the ends of calls.
+    # `exit_when_done` limits the time, because the log may be down.
     return effects + exit_when_done(state, now, flushed=is_flushed(state.claims.outbox))
 
 
 def _on_heartbeat(state: State, now: float, sender: InstanceName, beat: Heartbeat) -> list[Effect]:
-    effects, spelled = membership_reducer.on_heartbeat(state, now, sender, beat)
-    if spelled is None:
+    effects, full_beat = membership_reducer.on_heartbeat(state, now, sender, beat)
+    if full_beat is None:
         return effects
-    return effects + settings_flow.on_heartbeat(state, sender, spelled)
+    return effects + settings_flow.on_heartbeat(state, sender, full_beat)
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
@@ -1,8 +1,8 @@
-"""The part of the one reducer that does not depend on where settings and servers are published.
+"""The part of the reducers that does not depend on where settings and servers are published.
 
 Requests and their attempts, servers, members, loads of peers, quarantine and the graceful stop are
-the same everywhere. `reducer` adds the own interface, with its log of settings, claims and leases;
-`reducer_store` adds a platform whose store keeps the settings as one document and the servers'
+handled in the same way everywhere. `reducer` adds the log of settings, claims and leases;
+`reducer_store` adds a platform whose store has the settings as one document and the servers'
 entries. A process runs one of the two.
 """
 
@@ -76,12 +76,12 @@
     | DrainRequested
 )
 
-# One of the two reducers: changes the state in place and returns what is to be done.
+# A reducer changes the state in place and returns the effects to perform.
 Reducer: TypeAlias = Callable[[State, float, Event], list[Effect]]
 
 
 def reduce_common(state: State, now: float, event: CommonEvent) -> list[Effect]:
-    """Apply an event that is the same everywhere."""
+    """Apply an event that all reducers handle in the same way."""
     match event:
         case AttemptProgress():
             return attempt_flow.on_progress(state, now, event)
@@ -150,12 +150,12 @@
             load_news.on_bundle(state, now, sender, bundle)
             return dispatch.dispatch_all(state, now)
         case _:
-            # For a concern that this process does not run.
+            # The message is for a concern that this process does not have.
             return []
 
 
 def tick_requests(state: State, now: float) -> list[Effect]:
-    """Do what is due of requests and their attempts."""
+    """Run the periodic work for requests and their attempts."""
     retry.on_tick(state, now)
     effects: list[Effect] = lifecycle.on_tick(state, now)
     effects += dispatch.on_tick(state, now)
@@ -163,9 +163,10 @@
 
 
 def tick_others(state: State, now: float) -> list[Effect]:
-    """Do what is due of accounts, probes and members; membership comes last of all.
+    """Run the periodic work for accounts, probes and members.
 
-    The others can then still ask how long ago the tick before was.
+    Membership is last because it records the time of the tick, and the other parts use the time
+    since the previous one.
     """
     expire_accounts(state.accounts, state.options, now)
     effects: list[Effect] = []
@@ -180,17 +181,18 @@
 
 
 def exit_when_done(state: State, now: float, *, flushed: bool) -> list[Effect]:
-    """End a process that was told to stop and has nothing left to say or do."""
-    stopping = state.stopping_since
-    if stopping is None:
+    """Exit a stopping process once its work is finished, or after the time limit."""
+    stopping_since = state.stopping_since
+    if stopping_since is None:
         return []
-    since = now - stopping
-    if since >= state.options.stop_limit_s:
-        # Whoever stops it would kill it now, which tells its callers less than their answers cut.
+    elapsed_s = now - stopping_since
+    if elapsed_s >= state.options.stop_limit_s:
+        # Prevents a kill by the supervisor, which would give callers less information than a cut
+        # answer.
         return [Log("stop_limit", {"in_flight": len(state.requests)}), Exit()]
-    if state.requests or since <= state.options.stop_grace_s:
+    if state.requests or elapsed_s <= state.options.stop_grace_s:
         return []
-    if not flushed and since < state.options.stop_flush_s:
+    if not flushed and elapsed_s < state.options.stop_flush_s:
         return []
     return [Exit()]
 
@@ -203,7 +205,7 @@
 
 
 def _on_drain(state: State, server: str, operator: str) -> list[Effect]:
-    for known in state.servers.by_name.values():
-        if known.entry.name == server:
-            known.drained = True
+    for candidate in state.servers.by_name.values():
+        if candidate.entry.name == server:
+            candidate.drained = True
     return [Log("drain", {"server": server, "operator": operator})]
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
@@ -1,6 +1,6 @@
-"""The reducer of a platform that has duties of one holder at a time, on top of `reducer_store`.
+"""The reducer for platforms that have duties with one holder at a time; extends `reducer_store`.
 
-Loaded only where the settings of the process name such duties.
+Imported only if the settings of the process name such duties.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def reduce(state: State, now: float, event: Event) -> list[Effect]:
-    """Apply one event at a time of the runtime's clock, seconds; return what to do."""
+    """Apply one event at time `now` of the runtime's clock, seconds; return the effects."""
     match event:
         case Tick():
             return reducer_store.reduce(state, now, event) + _on_tick(state, now)
@@ -47,12 +47,12 @@
                 usage_meter.note_clock(state.meter, now, wall_s)
             return []
         case LogRead() | LogNewest() | LogExpired() | LogFailed():
-            _note_store(state, now, works=not isinstance(event, LogFailed))
+            _note_store_result(state, now, works=not isinstance(event, LogFailed))
             effects = lease_flow.on_log(state, now, event)
             election.note_ledger(state, now)
             return effects
         case AppendDone() | AppendFailed():
-            _note_store(state, now, works=isinstance(event, AppendDone))
+            _note_store_result(state, now, works=isinstance(event, AppendDone))
             return lease_flow.on_append(state, now, event)
         case DutyAnswered():
             return _on_answered(state, now, event)
@@ -70,11 +70,11 @@
         usage.forget(state, now)
     effects += election.on_tick(state, now)
     if lease_flow.is_own(state, election.SCOPE) and now >= duties.barred_until:
-        effects += _do_duties(state, now)
+        effects += _run_duties(state, now)
     return effects + lease_flow.on_tick(state, now)
 
 
-def _do_duties(state: State, now: float) -> list[Effect]:
+def _run_duties(state: State, now: float) -> list[Effect]:
     duties = state.duties
     assert duties is not None
     lease_flow.rest(state, election.SCOPE, resting=True)
@@ -91,7 +91,7 @@
     return effects
 
 
-def _note_store(state: State, now: float, *, works: bool) -> None:
+def _note_store_result(state: State, now: float, *, works: bool) -> None:
     if state.duties is not None:
         election.note_result(state, now, works=works)
 
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_store.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_store.py
@@ -1,8 +1,8 @@
-"""The one reducer on a platform whose store keeps the settings and the servers' entries.
+"""The reducer for a platform whose store has the settings and the servers' entries.
 
-The settings come as one document (`document`), the servers register themselves (`registry`).
-Claims, leases, limits and the log of settings belong to the own interface (`reducer`): here a
-caller's attempt lives on one instance only, so nothing has to be agreed on before it runs.
+The settings come as one document (`document`), and the servers register themselves (`registry`).
+Claims, leases, limits and the log of settings belong to the log-based interface (`reducer`). On
+this platform a caller's attempt runs on only one instance, so instances need not agree on it.
 """
 
 from __future__ import annotations
@@ -68,7 +68,7 @@
 
 
 def reduce(state: State, now: float, event: Event) -> list[Effect]:
-    """Apply one event at a time of the runtime's clock, seconds; return what to do."""
+    """Apply one event at time `now` of the runtime's clock, seconds; return the effects."""
     effects = _apply(state, now, event)
     return effects + load_news.due_news(state, now)
 
@@ -103,7 +103,7 @@
             effects = reduce_common(state, now, event)
             return effects + dead_server.on_unreachable(state, now, server)
         case AttemptEnded(request_id, _, EndUnsent()):
-            # A request that cannot be sent says the same of its server as a try.
+            # A request that could not be sent shows the same as a failed probe.
             req = state.requests.get(request_id)
             attempt = None if req is None else req.attempt
             effects = reduce_common(state, now, event)
@@ -147,7 +147,7 @@
             | WeightsAnswered()
             | ChangeSubmitted()
         ):
-            # Of the own interface, or of duties (`reducer_duties`): this process has neither.
+            # Events of the log-based interface or of duties, which this process does not have.
             return []
         case unreachable:
             assert_never(unreachable)
