--- a/packages/turmericweir-core/turmericweir_core/base/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/base/__init__.py
@@ -1,4 +1,5 @@
-"""Name things: identifiers, settings as data, options, requests and the accounts of them.
+"""Basic data types: identifiers, settings, options, requests and their final accounts.
 
-The bottom of the core. Every other package may import this one; it imports none of them.
+This is the lowest layer of the core: every other package may import it, and it imports none of
+them.
 """
--- a/packages/turmericweir-core/turmericweir_core/base/config.py
+++ b/packages/turmericweir-core/turmericweir_core/base/config.py
@@ -1,7 +1,7 @@
-"""The settings in force, as the decisions see them: plain data classes without validation.
+"""The settings in force, as plain data classes without validation.
 
-`settings_model` validates what operators write and builds these; everything else reads them.
-A `Config` is replaced as a whole when the settings log moves on, never changed in place.
+`settings_model` validates what operators write and builds these objects. A `Config` is never
+changed in place: each new offset of the settings log replaces it as a whole.
 """
 
 from __future__ import annotations
@@ -15,45 +15,46 @@
 
 
 class Kind(StrEnum):
-    """What a service speaks."""
+    """The kind of traffic that a service handles."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
 class Policy(StrEnum):
-    """How servers are picked; see docs/design/placement.md."""
+    """How servers are selected; see docs/design/placement.md."""
 
-    # First come, first served, round robin, no classes: what measurements compare with.
+    # First come, first served, round robin, without classes; the reference for measurements.
     BASELINE = "baseline"
-    # Each instance by its own in-flight counts and the servers' late reports.
+    # Each instance uses its local in-flight counts and the delayed load reports of the servers.
     COUNTS = "counts"
-    # Slots leased to instances by one dispatcher for each server.
+    # One dispatcher per server leases slots to the instances.
     CREDITS = "credits"
-    # By the first token that a model of each engine predicts, from all instances' own counts.
+    # The lowest predicted time to the first token, from a model of each engine and the counts of
+    # all instances.
     PREDICTED = "predicted"
 
 
 class ServiceClass(Struct, frozen=True):
-    """One service class: how urgent its requests are and what they were promised."""
+    """A service class: the urgency of its requests and their latency targets."""
 
     name: str
-    # 0 is the most urgent tier; lower tiers are shed and preempted first.
+    # 0 is the most urgent tier; less urgent tiers are shed and preempted first.
     priority: int
-    # Time to the first token (models) or to the whole answer (plain services), seconds.
+    # Time to the first token (models) or to the whole answer (plain services).
     target_s: float
-    # Time between tokens, seconds; None where it is not promised.
+    # Time between tokens; None if the class has no such target.
     token_gap_target_s: float | None = None
-    # Given to requests that bring no deadline of their own, seconds.
+    # Deadline of requests that do not specify one.
     deadline_s: float = 60.0
-    # Share of dispatched work that this class gets even under endless overload, 0..1.
+    # Share of dispatched work that this class gets even under permanent overload, 0..1.
     assured_share: float = 0.02
-    # What servers schedule by, 0 first; None has them go by the priority.
+    # Scheduling rank at the servers, 0 first; None uses the priority.
     rank: int | None = None
 
 
 class Limit(Struct, frozen=True):
-    """A rate limit; None is no limit."""
+    """A rate limit; None means unlimited."""
 
     requests_s: float | None = None
     tokens_s: float | None = None
@@ -66,70 +67,70 @@
     """A customer, its credentials and the classes that its requests may use."""
 
     name: str
-    # The team whose subtree holds it; empty for none.
+    # The team that the customer belongs to; empty for none.
     team: str = ""
     # SHA-256 hex digests of the bearer tokens.
     token_digests: tuple[str, ...] = ()
     # Class by target (model or service); the key "*" is the default.
     classes: dict[str, str] = field(default_factory=dict)
     limit: Limit = NO_LIMIT
-    # The tier of all its requests, in place of their routes'.
+    # Tier of all requests of this customer; overrides the tier of the route.
     priority: int | None = None
 
 
 class CallRule(Struct, frozen=True):
-    """Says whether calls of a plain service that match may be repeated, and their class."""
+    """Whether matching calls of a plain service may be repeated, and their service class."""
 
     method: str = "*"
     path_prefix: str = "/"
     repeatable: bool = False
-    # Overrides the customer's class where it is set.
+    # Overrides the class of the customer; None keeps it.
     service_class: str | None = None
 
 
 class Capacity(Struct, frozen=True):
-    """How servers of a service are ordered; the bounds hold for each data centre."""
+    """Bounds and prices for ordering servers of a service; the bounds apply per data centre."""
 
     least: int
     most: int
-    # Time from an order to a server that serves, seconds.
+    # Time from an order until the new server accepts requests.
     boot_s: float
-    # What a second of a server costs by data centre, and which share of that a spot server costs.
+    # Price of a server per second, by data centre.
     prices: dict[str, float] = field(default_factory=dict)
-    # None where there are no such servers.
+    # Price of a spot server as a share of the regular price; None if there are no spot servers.
     spot_share: float | None = None
 
 
 class Service(Struct, frozen=True):
-    """A group of backend servers that serve the same thing."""
+    """A group of interchangeable backend servers."""
 
     name: str
     kind: Kind
-    # The model names that its servers may serve; empty for plain services.
+    # Names of the models that its servers may serve; empty for plain services.
     models: tuple[str, ...] = ()
-    # First match wins; calls that match none are repeatable only if the method is safe.
+    # The first match applies; calls without a match are repeatable only if the method is safe.
     rules: tuple[CallRule, ...] = ()
     # Requests that one server can batch or run at once, until it reports its own number.
     slots: int = 8
-    # Whether servers refuse an order that carries an old fencing number.
+    # Whether servers refuse an order with an outdated fencing number.
     checks_fence: bool = False
-    # Tokens that the cache of one engine holds; 0 where it is not known.
+    # Tokens that the cache of one engine can hold; 0 if unknown.
     kv_tokens: int = 0
-    # Tokens of one event of a stream.
+    # Tokens in one event of a stream.
     event_tokens: int = 1
-    # Time in which an engine has the cache of one token from another one, milliseconds; 0 where
-    # engines do not hand it on.
+    # Time to fetch the cache entry of one token from another engine; 0 if engines do not support
+    # it.
     fetch_ms_per_token: float = 0.0
-    # Connections that one server accepts, over all instances; 0 where it is not known.
+    # Connections that one server accepts from all instances together; 0 if unknown.
     connections_max: int = 0
-    # Where a server answers whether it is healthy; empty where it has no such place.
+    # Path of the health check of a server; empty if it has none.
     health_path: str = ""
-    # None where the number of its servers is not ours to order.
+    # None if turmericweir does not order the servers of this service.
     capacity: Capacity | None = None
 
 
 class ServerEntry(Struct, frozen=True, array_like=True):
-    """A backend server as the settings or the platform's list name it."""
+    """A backend server as listed in the settings or by the platform."""
 
     name: ServerName
     service: str
@@ -139,14 +140,14 @@
     # Changes when the server restarts under the same name.
     incarnation: str = ""
     leaving: bool = False
-    # Requests that it batches or runs at once; 0 where the entry does not say.
+    # Requests that the server batches or runs at once; 0 if not specified.
     slots: int = 0
-    # Cheaper, and may be taken back at short notice.
+    # A cheaper server that the platform may reclaim at short notice.
     spot: bool = False
 
 
 class RequestLimits(Struct, frozen=True):
-    """What callers may send, and for how long they may be slow or idle."""
+    """Limits on the size of requests and on slow or idle callers."""
 
     header_bytes: int = 32_768
     body_bytes: int = 4_194_304
@@ -155,7 +156,7 @@
 
 
 class ModelWant(Struct, frozen=True):
-    """How many servers of a service should hold a model."""
+    """How many servers of a service should have a model loaded."""
 
     model: str
     version: str = "1"
@@ -164,7 +165,7 @@
 
 
 class Operator(Struct, frozen=True):
-    """Somebody who may change settings below some paths."""
+    """An operator and the settings paths that they may change."""
 
     name: str
     token_digest: str
@@ -172,9 +173,9 @@
 
 
 class Config(Struct, frozen=True):
-    """Everything that operators have set, at one offset of the settings log."""
+    """All settings by operators at one offset of the settings log."""
 
-    # Offset of the first settings record that is not in this state.
+    # Offset of the first settings record that is not part of this state.
     offset: int = 0
     classes: dict[str, ServiceClass] = field(default_factory=dict)
     customers: dict[str, Customer] = field(default_factory=dict)
@@ -189,6 +190,6 @@
     operators: dict[str, Operator] = field(default_factory=dict)
     policy: Policy = Policy.COUNTS
     routes: RouteTable = field(default_factory=RouteTable)
-    # Whether requests on routes that are not public have to bring a customer's key.
+    # Whether requests on non-public routes need the key of a customer.
     keys_required: bool = False
     limits: RequestLimits = field(default_factory=RequestLimits)
--- a/packages/turmericweir-core/turmericweir_core/base/model_label.py
+++ b/packages/turmericweir-core/turmericweir_core/base/model_label.py
@@ -1,4 +1,4 @@
-"""How engines name what they have loaded: `model`, `model@version` or `model@version+adapter`."""
+"""Labels of loaded models: `model`, `model@version` or `model@version+adapter`."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 from msgspec import Struct
 
-# What a label without a version counts as: the version of a want that names none.
+# The version of a label that names none, and of a model setting that names none.
 FIRST_VERSION: Final = "1"
 
 
 class ModelLabel(Struct, frozen=True, order=True):
-    """One loaded thing, with its parts as the engine wrote them."""
+    """A loaded model, with the parts of its label as the engine reports them."""
 
     model: str
-    # Empty where the engine names none.
+    # Empty if the engine reports none.
     version: str = ""
     adapter: str = ""
 
@@ -24,18 +24,18 @@
         return f"{self.model}{version}{adapter}"
 
     def is_of(self, model: str, version: str) -> bool:
-        """Tell whether this is that version of a model, without an adapter."""
-        found = self.version or FIRST_VERSION
-        return self.model == model and not self.adapter and found == version
+        """Return whether this is the given version of a model, without an adapter."""
+        own_version = self.version or FIRST_VERSION
+        return self.model == model and not self.adapter and own_version == version
 
 
 def parse_label(text: str) -> ModelLabel:
-    """Take a label apart."""
-    rest, _, adapter = text.partition("+")
-    model, _, version = rest.partition("@")
+    """Parse a label into its parts."""
+    versioned, _, adapter = text.partition("+")
+    model, _, version = versioned.partition("@")
     return ModelLabel(model, version, adapter)
 
 
 def bare_name(text: str) -> str:
-    """Give the model of a label; requests name it without version and adapter."""
+    """Return the model name of a label, without version and adapter."""
     return text.partition("+")[0].partition("@")[0]
--- a/packages/turmericweir-core/turmericweir_core/base/reasons.py
+++ b/packages/turmericweir-core/turmericweir_core/base/reasons.py
@@ -1,6 +1,6 @@
-"""Every reason and message that a caller or an operator can be given, in one place.
+"""All reasons why a request ends, and the message for each.
 
-Codes are stable: callers and dashboards match on them. The sentences may change.
+The codes are stable, as callers and dashboards match on them. The messages may change.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request ended as it did."""
+    """Why a request ended."""
 
     OK = "ok"
     # Refused before anything ran.
@@ -33,7 +33,7 @@
     CLAIM_UNAVAILABLE = "claim_unavailable"
     # The idempotency key was used before with another request.
     KEY_REUSED = "key_reused"
-    # Ended after a server had begun, or may have begun.
+    # Ended after a server started, or may have started.
     SERVER_LOST = "server_lost"
     SERVER_ERROR = "server_error"
     RETRIES_EXHAUSTED = "retries_exhausted"
--- a/packages/turmericweir-core/turmericweir_core/base/request.py
+++ b/packages/turmericweir-core/turmericweir_core/base/request.py
@@ -1,4 +1,4 @@
-"""A request and its attempts, as the reducer tracks them from arrival to account."""
+"""The state of a request and its attempts, from arrival to the final account."""
 
 from __future__ import annotations
 
@@ -16,73 +16,73 @@
     CALLER_LEFT = "caller_left"
     # The deadline passed before the answer began.
     DEADLINE = "deadline"
-    # Its connection, or its server, went silent.
+    # The connection or the server became unresponsive.
     SILENT = "silent"
-    # Its server cannot be connected to any more, and it was silent all that time.
+    # New connections to the server fail, and it was unresponsive all that time.
     SERVER_DEAD = "server_dead"
-    # Its server has become slow, and another one has room.
+    # The server has become slow, and another one has free capacity.
     MOVED = "moved"
-    # Work of a more urgent class needs its place.
+    # Work of a more urgent class needs the slot.
     DISPLACED = "displaced"
-    # It was found to crash servers.
+    # The request was found to crash servers.
     QUARANTINED = "quarantined"
 
 
 class Phase(StrEnum):
-    """Where a request stands."""
+    """The phase of a request."""
 
-    # Waits for its idempotency key to be claimed.
+    # Waiting for the claim of its idempotency key.
     CLAIMING = "claiming"
-    # Waits in the queue of its class, bound to no server.
+    # Waiting in the queue of its class, not assigned to a server.
     WAITING = "waiting"
-    # An attempt is out.
+    # An attempt is in progress.
     RUNNING = "running"
-    # The account is given.
+    # The account has been delivered.
     DONE = "done"
 
 
 class Attempt(Struct):
-    """One try of a request on one server."""
+    """One attempt of a request on one server."""
 
     attempt_id: AttemptId
     server: ServerName
     started: float
-    # The tier that it runs at: the request's own, or the most urgent one where its class took the
-    # turn that its assured share had earned.
+    # The tier that it runs at: the tier of the request, or the most urgent one if the attempt uses
+    # the assured share of its class.
     tier: int = 0
-    # The server's life as it was known at the start; empty where it was not.
+    # The incarnation of the server at the start; empty if unknown.
     incarnation: str = ""
-    # Set just before the first byte goes out; until then the server cannot have begun.
+    # Set just before the first byte is sent; until then the server cannot have started.
     sent: bool = False
-    # It went out over a connection that was kept from an earlier request.
+    # It was sent over a connection that was reused from an earlier request.
     kept_connection: bool = False
     # Tokens received in this attempt.
     tokens: int = 0
     first_token_at: float | None = None
     last_token_at: float | None = None
-    # A gap between tokens above this is late: the promise of its class, if it has one.
+    # A longer gap between tokens counts as late: the target of its class, if it has one.
     gap_late_s: float = float("inf")
-    # Gaps in a row that were late.
+    # Number of consecutive late gaps.
     late_gaps: int = 0
-    # The longest time between tokens since the tick before, and since the first.
+    # The longest time between tokens since the previous tick, and since the first token.
     longest_gap: float = 0.0
     worst_gap: float = 0.0
-    # Why the reducer has ordered it to stop; its end is awaited.
+    # Why the reducer cancelled it; the end of the attempt is still awaited.
     cancelled: CancelReason | None = None
-    # The pool whose books it is in, and the work that it was entered for.
+    # The pool whose accounting includes this attempt, and the work counted for it there.
     pool: str = ""
     work: float = 0.0
-    # When its pace was last sampled, and the tokens received by then.
+    # When its pace was last sampled, and the number of tokens received by then.
     sampled_at: float | None = None
     sampled_tokens: int = 0
 
 
 class Request(Struct):
-    """A request that this instance took from a caller."""
+    """A request that this instance accepted from a caller."""
 
     request_id: RequestId
     kind: Kind
-    # Model or plain service name.
+    # Name of the model or plain service.
     target: Target
     customer: str
     team: str
@@ -90,64 +90,65 @@
     arrived: float
     # Time after which an answer that has not begun is useless to the caller.
     deadline: float
-    # May be run again without harm. Model calls are; plain calls as their service says.
+    # May be run more than once. True for model calls; set by the service for plain calls.
     repeatable: bool = True
     idempotency_key: str | None = None
-    # Hash over what decides whether the request crashes a server: target and body.
+    # Hash of the target and the body; identifies requests that crash servers.
     fingerprint: str = ""
-    # Hashes of ever longer prefixes of the prompt, shortest first.
+    # Hashes of successively longer prefixes of the prompt, shortest first.
     prefixes: tuple[str, ...] = ()
     prompt_tokens: int = 0
-    # The caller's own bound on the answer, tokens.
+    # Upper bound on the answer length that the caller set, tokens.
     max_tokens: int | None = None
-    # The caller's own estimate of it; right in the median, far off for many.
+    # Answer length that the caller estimated, tokens; the median is accurate, single estimates may
+    # be far off.
     expected_tokens: int | None = None
-    # The whole answer is streamed to the caller as it comes.
+    # The answer is streamed to the caller as it arrives.
     streamed: bool = False
     phase: Phase = Phase.WAITING
     attempt: Attempt | None = None
-    # Number of attempts made so far, whether they were sent or not.
+    # Number of attempts so far, including those that were never sent.
     attempts: int = 0
-    # Some attempt was sent, so a server may have begun: `not_run` can no longer be said.
+    # An attempt was sent and a server may have started it; `not_run` is no longer possible.
     may_have_run: bool = False
-    # Tokens of the answer that the caller has been sent, over all attempts.
+    # Tokens of the answer that were sent to the caller, over all attempts.
     delivered: int = 0
     first_token_at: float | None = None
-    # Predicted length of the answer, tokens; 0 for plain calls.
+    # Predicted length of the answer; 0 for plain calls.
     predicted_tokens: float = 0.0
-    # Work that it counts for while it waits; fixed when it is queued, so that sums stay right.
+    # Work counted for it while it waits; fixed when it is queued to keep the sums consistent.
     queued_cost: float = 0.0
-    # Attempts that had to make way for upper tiers; no fault of the request's or the server's.
+    # Attempts that were preempted by more urgent tiers; these are not failures.
     displaced: int = 0
-    # It was moved off a slow server once, which is how often it may be.
+    # It was moved off a slow server once; it is not moved again.
     moved: bool = False
-    # It was counted among those that servers began.
+    # It was counted among the requests that servers started.
     is_metered: bool = False
-    # The caller has closed its connection; the request is only finished for its account.
+    # The caller closed the connection; the request continues only to produce its account.
     caller_left: bool = False
-    # An attempt of it went silent. Kept connections to other servers may have gone the same way, so
-    # the next attempts have new ones.
+    # One of its attempts became unresponsive. The next attempts use new connections, as other idle
+    # ones may be broken for the same reason.
     went_silent: bool = False
-    # Whether its customer was known by a key, which may be taken away.
+    # Whether the customer was identified by a key, which may be revoked.
     keyed: bool = False
-    # Parts of the prompt in order, each with its tokens; an engine that holds the first of them in
-    # its cache does not read these again.
+    # Parts of the prompt in order, each with its token count; an engine skips the prefill of
+    # leading parts that are in its cache.
     parts: tuple[tuple[str, int], ...] = ()
-    # Servers that may run it; None leaves that to the options.
+    # Number of servers that may run it; None uses the limit of the options.
     sends_max: int | None = None
-    # Attempts that were sent, but for those whose server said that it did not run them.
+    # Attempts that were sent, except those that the server reported as not run.
     sends: int = 0
-    # The caller gets its final word by then, whatever runs; None where it may take any time.
+    # Latest time of the final answer to the caller, whatever is still running; None for no limit.
     end_by: float | None = None
-    # Servers that this request has failed on; avoided while others are left.
+    # Servers that failed this request; avoided while others are available.
     avoid: set[ServerName] = field(default_factory=set)
 
     @property
     def tries(self) -> int:
-        """Count the attempts, but for those that had to make way: these were no failures."""
+        """Return the number of attempts without the preempted ones, which are not failures."""
         return self.attempts - self.displaced
 
     @property
     def priority(self) -> int:
-        """The tier of its class, 0 the most urgent."""
+        """Return the tier of its class, 0 being the most urgent."""
         return self.service_class.priority
--- a/packages/turmericweir-core/turmericweir_core/base/routes.py
+++ b/packages/turmericweir-core/turmericweir_core/base/routes.py
@@ -1,8 +1,8 @@
-"""Which service a request goes to, by its host and path.
+"""Selection of the service for a request by its host and path.
 
-Operators who publish settings as a whole document list routes; the own interface names its targets
-in the request instead and has no routes. A route also says what may be done with its requests:
-whether they may run again, on how many servers, and how long a caller may be kept waiting.
+Only settings that are published as a whole document have routes; requests to turmericweir's API
+name their target directly. A route also defines how its requests are handled: whether they may be
+repeated, on how many servers, and how long a caller may wait.
 """
 
 from __future__ import annotations
@@ -23,28 +23,28 @@
 
 
 class Route(Struct, frozen=True):
-    """One route."""
+    """A route and the handling of its requests."""
 
     name: str
     host: str
     # Begins and ends with a slash.
     path_prefix: str
     targets: tuple[WeightedTarget, ...]
-    # The answer is a series of events that are passed on as they come.
+    # The answer is a stream of events that are forwarded as they arrive.
     streamed: bool
-    # Another server may run a request again, or go on with a stream that broke.
+    # Another server may run a request again, or continue a stream that broke.
     repeatable: bool
-    # Servers that one request may be sent to.
+    # Maximum number of servers that one request may be sent to.
     sends_max: int
-    # Longest time that a caller is kept waiting, seconds.
+    # Maximum waiting time of a caller.
     timeout_s: float
-    # Time to the first event, or to the whole answer where it is not streamed, seconds.
+    # Time to the first event, or to the whole answer if it is not streamed.
     target_s: float
-    # Longest time between two events of an answer that is in time, seconds.
+    # Maximum time between two events for an answer to count as in time; None for no target.
     gap_target_s: float | None
     # 0 is the most urgent.
     priority: int
-    # Needs no key.
+    # Requests need no key.
     public: bool = False
 
 
@@ -55,17 +55,17 @@
     by_place: dict[tuple[str, str], Route] = field(default_factory=dict)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Find the route with the longest prefix of a path."""
-        end = len(path)
-        while (end := path.rfind("/", 0, end)) >= 0:
-            route = self.by_place.get((host, path[: end + 1]))
+        """Return the route with the longest matching prefix of a path."""
+        slash = len(path)
+        while (slash := path.rfind("/", 0, slash)) >= 0:
+            route = self.by_place.get((host, path[: slash + 1]))
             if route is not None:
                 return route
         return None
 
 
 def make_table(routes: Iterable[Route]) -> RouteTable:
-    """Index routes by their place; of two with the same place the first counts."""
+    """Return a table of the routes; the first of several with the same host and prefix applies."""
     table: dict[tuple[str, str], Route] = {}
     for route in routes:
         table.setdefault((route.host, route.path_prefix), route)
@@ -73,12 +73,12 @@
 
 
 def pick_target(route: Route, rng: Random) -> Target:
-    """Pick the service of one request by the weights."""
+    """Return a randomly chosen service of a route, according to the weights."""
     if len(route.targets) == 1:
         return route.targets[0].target
-    drawn = rng.random() * sum(each.weight for each in route.targets)
-    for each in route.targets:
-        drawn -= each.weight
-        if drawn < 0:
-            return each.target
+    remaining = rng.random() * sum(option.weight for option in route.targets)
+    for option in route.targets:
+        remaining -= option.weight
+        if remaining < 0:
+            return option.target
     return route.targets[-1].target
--- a/packages/turmericweir-core/turmericweir_core/base/tiers.py
+++ b/packages/turmericweir-core/turmericweir_core/base/tiers.py
@@ -1,4 +1,4 @@
-"""Questions about the tiers that the settings in force define."""
+"""Tiers and scheduling ranks that follow from the settings in force."""
 
 from __future__ import annotations
 
@@ -10,48 +10,56 @@
 
 
 def most_urgent(config: Config) -> int:
-    """Give the most urgent tier that is configured."""
+    """Return the most urgent tier that is configured."""
     return min((each.priority for each in config.classes.values()), default=0)
 
 
 def lowest_tier(config: Config) -> int:
-    """Give the least urgent tier that is configured."""
+    """Return the least urgent tier that is configured."""
     return max((each.priority for each in config.classes.values()), default=0)
 
 
 def tier_shares(config: Config) -> dict[int, float]:
-    """Give the assured share of each tier: the sum over its classes."""
+    """Return the assured share of each tier: the sum over its classes."""
     shares: dict[int, float] = {}
-    for each in config.classes.values():
-        shares[each.priority] = shares.get(each.priority, 0.0) + each.assured_share
+    for service_class in config.classes.values():
+        shares[service_class.priority] = (
+            shares.get(service_class.priority, 0.0) + service_class.assured_share
+        )
     return shares
 
 
 def rank_of(service_class: ServiceClass) -> int:
-    """Give what servers schedule a class by; lower ranks go first."""
+    """Return the scheduling rank of a class at the servers; lower ranks go first."""
     rank = service_class.rank
     return service_class.priority if rank is None else rank
 
 
 def with_ranks(classes: Iterable[ServiceClass], ranks: int) -> list[ServiceClass]:
-    """Rank classes for servers that know so many ranks: by priority, and then by target.
+    """Return the classes with ranks from 0 to `ranks` - 1, by priority and then by target.
 
-    Failure where the priority alone decides: a customer's priority covers all that it sends, so a
-    quick answer that is due in 0.4 s is read behind a long sheet that is due in 2 s. Within one
-    priority the tighter target goes first, as far as there are ranks; priorities never mix.
+    Within one priority the shorter target goes first, which prevents a short request with a tight
+    target from waiting behind the prefill of a long one. Ranks of different priorities mix only if
+    there are more priorities than ranks.
     """
-    found = list(classes)
-    priorities = sorted({each.priority for each in found})
-    # Each priority gets as many ranks; with more priorities than ranks the least urgent share one.
+    unranked = list(classes)
+    priorities = sorted({service_class.priority for service_class in unranked})
+    # Each priority gets the same number of ranks; if there are too few, the least urgent share one.
     width = max(1, ranks // max(1, len(priorities)))
     targets = {
-        priority: sorted({each.target_s for each in found if each.priority == priority})
+        priority: sorted(
+            {
+                service_class.target_s
+                for service_class in unranked
+                if service_class.priority == priority
+            }
+        )
         for priority in priorities
     }
     ranked = []
-    for each in found:
-        place = targets[each.priority].index(each.target_s)
-        within = place * width // len(targets[each.priority])
-        rank = min(ranks - 1, priorities.index(each.priority) * width + within)
-        ranked.append(replace(each, rank=rank))
+    for service_class in unranked:
+        position = targets[service_class.priority].index(service_class.target_s)
+        offset = position * width // len(targets[service_class.priority])
+        rank = min(ranks - 1, priorities.index(service_class.priority) * width + offset)
+        ranked.append(replace(service_class, rank=rank))
     return ranked
