--- a/packages/turmericweir-core/turmericweir_core/base/options.py
+++ b/packages/turmericweir-core/turmericweir_core/base/options.py
@@ -355,7 +355,8 @@
     # Pause after a failed append; it doubles with each consecutive failure up to the maximum.
     claim_retry_s: float = 0.1
     claim_retry_max_s: float = 2.0
-    # Consecutive failed appends after which the log counts as down; one is a lost acknowledgement.
+    # Consecutive failed appends after which the log counts as down; a single one may be a lost
+    # acknowledgement.
     claim_down_failures: int = 2
     # Retry-After of callers whose key could not be claimed.
     claim_retry_after_s: float = 2.0
@@ -578,7 +579,7 @@
     # Time between requests to a random peer for other crashes.
     crashes_ask_s: float = 20.0
     # Time after the first token at which the isolated run of a suspect ends, if the suspect was in
-    # flight at one crash.
+    # flight at only one crash.
     trial_s: float = 1.0
     # Time without a renewal after which an isolated run counts as ended.
     trial_lease_s: float = 6.0
