--- a/packages/turmericweir-core/turmericweir_core/messages/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/__init__.py
@@ -1,1 +1,1 @@
-"""Define what crosses the border of the core: events, effects, and messages between peers."""
+"""The interface of the core: events, effects, and the messages between peers."""
--- a/packages/turmericweir-core/turmericweir_core/messages/effects.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/effects.py
@@ -1,4 +1,4 @@
-"""Everything that the reducer can ask the daemon to do, as typed values."""
+"""Effects: everything that the reducer can ask the daemon to do, as typed values."""
 
 from __future__ import annotations
 
@@ -13,26 +13,27 @@
 
 
 class StartAttempt(Struct, frozen=True):
-    """Send the request to a server and report `AttemptSent`, progress and the end."""
+    """Send the request to a server and report `AttemptSent`, its progress and its end."""
 
     request_id: RequestId
     attempt_id: AttemptId
     server: ServerName
     address: str
-    # The server schedules by it, lower first.
+    # Scheduling rank at the server, lower first.
     priority: int
-    # Continue the answer after this many tokens that the caller already has.
+    # Number of tokens that the caller already has; the answer continues after them.
     resume_from: int = 0
-    # Use a new connection: another one has just gone silent.
+    # Use a new connection, as another one has just become unresponsive.
     fresh_connection: bool = False
-    # Use a new connection, or one that was proven a moment ago: the call must not be sent twice.
+    # Use a new or recently verified connection, as the call must not be sent twice.
     proven_connection: bool = False
-    # An engine that holds parts of the prompt which this one lacks, by address; empty for none.
+    # Address of an engine whose cache holds parts of the prompt that this one lacks; empty for
+    # none.
     fetch_from: str = ""
 
 
 class CancelAttempt(Struct, frozen=True):
-    """Stop an attempt at the server; its end is then reported."""
+    """Stop an attempt at the server, and report its end."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -41,13 +42,13 @@
 
 
 class FinishRequest(Struct, frozen=True):
-    """Give the caller the account; nothing more will be sent for the request."""
+    """Send the account to the caller; nothing more will be sent for the request."""
 
     account: Account
 
 
 class ReplayAnswer(Struct, frozen=True):
-    """Give the caller the kept answer of an earlier call with its key; `FinishRequest` follows."""
+    """Send the stored answer of an earlier call with this key; `FinishRequest` follows."""
 
     request_id: RequestId
     status: int
@@ -59,28 +60,28 @@
     """Append records to a stream of the platform's log."""
 
     stream: str
-    # Names this append in `AppendDone` or `AppendFailed`.
+    # Identifies this append in `AppendDone` or `AppendFailed`.
     token: str
     records: tuple[Any, ...]
-    # The key of each record, where the stream keeps the newest record of each key.
+    # The key of each record, for streams that retain the newest record of each key.
     keys: tuple[str, ...] = ()
-    # Append only if the stream ends there; None appends anyway.
+    # Append only if the stream ends at this offset; None appends unconditionally.
     at: int | None = None
 
 
 class ReadLog(Struct, frozen=True):
-    """Read a stream from this offset now, rather than when the long poll returns."""
+    """Read a stream from this offset now, without waiting for the long poll."""
 
     stream: str
     offset: int
-    # Records at the most; None for as many as the platform gives.
+    # Maximum number of records; None leaves it to the platform.
     limit: int | None = None
-    # Read the newest record of each key in place of what follows the offset.
+    # Read the newest record of each key instead of the records after the offset.
     newest: bool = False
 
 
 class SendPeer(Struct, frozen=True):
-    """Send a message to a peer over its stream; it may be lost with the stream."""
+    """Send a message to a peer over its stream; the message may be lost if the stream breaks."""
 
     peer: InstanceName
     address: str
@@ -96,20 +97,20 @@
 
 
 class ProbeServer(Struct, frozen=True):
-    """Ask a server for its load report over a new connection."""
+    """Request the load report of a server over a new connection."""
 
     server: ServerName
     address: str
 
 
 class DistrustConnections(Struct, frozen=True):
-    """Use no connection to this address again that is open now; what runs on them goes on."""
+    """Stop reusing the open connections to this address; requests in progress continue."""
 
     address: str
 
 
 class SendOrder(Struct, frozen=True):
-    """Give an order to a server, under a fencing number."""
+    """Send an order to a server, with a fencing number."""
 
     server: ServerName
     address: str
@@ -120,53 +121,53 @@
     fence: int
     role: str = ""
     adapter: str = ""
-    # The holder's lease ends then, by the runtime's clock: the order does not go out later, however
-    # long the process was paused on the way to the server.
+    # End of the holder's lease, by the runtime's clock. The order is not sent later, even if the
+    # process was paused in between.
     not_after: float = float("inf")
     timeout_s: float = 5.0
 
 
 class ReportUsage(Struct, frozen=True):
-    """Report the requests that servers began in a window, under a fencing number."""
+    """Report the requests that servers started in a window, with a fencing number."""
 
     token: str
     window: int
     # Requests by customer.
     counts: dict[str, int]
     fence: int
-    # The call does not go out later, by the runtime's clock.
+    # The report is not sent later than this, by the runtime's clock.
     not_after: float
 
 
 class OrderServers(Struct, frozen=True):
-    """Order how many servers of one kind a service has in a data centre."""
+    """Set the number of servers of one kind that a service has in a data centre."""
 
     token: str
     service: str
     data_centre: str
     count: int
-    # Cheaper servers, which may be taken back at short notice.
+    # Cheaper servers, which the platform may reclaim at short notice.
     spot: bool
     fence: int
     not_after: float
 
 
 class AskWeights(Struct, frozen=True):
-    """Ask the weight store for leave to load a model."""
+    """Ask the weight store for permission to load a model."""
 
     model: str
     version: str
 
 
 class DecodeDocument(Struct, frozen=True):
-    """Decode a settings document that a peer sent, and report it as read."""
+    """Decode a settings document from a peer, and report it as read."""
 
     raw: bytes
     peer: InstanceName
 
 
 class SettleChange(Struct, frozen=True):
-    """Tell the operator who submitted a change what became of it."""
+    """Report the verdict on a change to the operator who submitted it."""
 
     change_id: str
     verdict: Any
@@ -194,7 +195,7 @@
 
 
 class Exit(Struct, frozen=True):
-    """Everything in flight is finished: the process may end with status 0."""
+    """All requests are finished; end the process with status 0."""
 
 
 Effect: TypeAlias = (
--- a/packages/turmericweir-core/turmericweir_core/messages/events.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/events.py
@@ -1,6 +1,6 @@
-"""Everything that can happen to an instance, as typed values for the one reducer.
+"""Events: everything that can happen to an instance, as typed input of the reducer.
 
-An adapter builds these from validated input; it decides nothing. Time comes beside the event, as an
+Adapters build events from validated input and make no decisions. The time of an event is an
 argument of `reducer.reduce`, in seconds of the runtime's monotonic clock.
 """
 
@@ -21,7 +21,7 @@
 
 
 class RequestArrived(Struct, frozen=True):
-    """A caller's request was read whole and validated."""
+    """A request was received completely and validated."""
 
     request: Request
 
@@ -36,44 +36,44 @@
 
 
 class EndComplete(Struct, frozen=True):
-    """The server's whole answer was received."""
+    """The whole answer of the server was received."""
 
     status: int
-    # The answer itself, where the request has an idempotency key and it is small enough to keep.
+    # The answer, if the request has an idempotency key and the answer is small enough to store.
     answer: KeptAnswer | None = None
 
 
 class EndRefused(Struct, frozen=True):
-    """The server said that it had not started the request."""
+    """The server reported that it had not started the request."""
 
     status: int
     leaving: bool
 
 
 class EndUnsent(Struct, frozen=True):
-    """No byte of the request left this instance."""
+    """No byte of the request was sent."""
 
     error: str
 
 
 class EndBroken(Struct, frozen=True):
-    """The connection broke, or went silent, after the request may have reached the server."""
+    """The connection broke or became unresponsive after the server may have got the request."""
 
     error: str
-    # The server answers on a new connection, so only the old connection was at fault.
+    # The server answers on a new connection; only the old connection was at fault.
     server_alive: bool
 
 
 class EndServerError(Struct, frozen=True):
-    """The server answered a model call with an error after it may have worked on it."""
+    """The server answered a model call with an error after it may have started it."""
 
     status: int
 
 
 class EndCancelled(Struct, frozen=True):
-    """The attempt was stopped by order of the reducer."""
+    """The attempt was stopped by the reducer."""
 
-    # Tokens that the server generated for the attempt, as far as it told.
+    # Tokens that the server generated for the attempt, as far as it reported them.
     tokens: int
 
 
@@ -83,16 +83,16 @@
 
 
 class AttemptSent(Struct, frozen=True):
-    """The next thing that happens is the first byte of the attempt going out."""
+    """The first byte of the attempt is about to be sent."""
 
     request_id: RequestId
     attempt_id: AttemptId
-    # It goes out over a connection that was kept from an earlier request.
+    # It is sent over a connection that was reused from an earlier request.
     kept_connection: bool = False
 
 
 class AttemptProgress(Struct):
-    """Whole tokens of the attempt were received and passed on. The hottest event."""
+    """Tokens of the attempt were received and forwarded. The most frequent event."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -100,7 +100,7 @@
 
 
 class AttemptEnded(Struct, frozen=True):
-    """Nothing more will come of the attempt."""
+    """The attempt ended; no further events follow for it."""
 
     request_id: RequestId
     attempt_id: AttemptId
@@ -111,7 +111,7 @@
 
 
 class ServerReport(Struct, frozen=True):
-    """A server's own load report, which may be late."""
+    """The load report of a server, which may be delayed."""
 
     server: ServerName
     incarnation: str
@@ -125,9 +125,9 @@
     models: tuple[str, ...] = ()
     leaving: bool = False
     fence: int = -1
-    # Models on their way into memory.
+    # Models that are being loaded.
     loading: tuple[str, ...] = ()
-    # When the probe was sent that it answers; long ago, where another instance passed it on.
+    # When the probe for this report was sent; long ago if another instance forwarded the report.
     asked_at: float = float("-inf")
 
 
@@ -139,7 +139,7 @@
 
 
 class ServerAnswered(Struct, frozen=True):
-    """A new connection to the server worked."""
+    """A new connection to the server succeeded."""
 
     server: ServerName
 
@@ -152,7 +152,7 @@
 
 
 class CacheEvents(Struct, frozen=True):
-    """Cache events of one server, in order; `gap` says that some before them were lost."""
+    """Cache events of one server, in order; with `gap`, earlier ones were lost."""
 
     server: ServerName
     events: tuple[CacheEvent, ...]
@@ -167,14 +167,14 @@
 
     name: InstanceName
     data_centre: str
-    # Where its peers reach it, "ip:port" for TCP and UDP alike.
+    # Address for its peers, "ip:port" for TCP and UDP alike.
     peer_address: str
     incarnation: str
     leaving: bool
 
 
 class ListRead(Struct, frozen=True):
-    """The platform's list of instances was read. It lags, so it is a hint both ways."""
+    """The platform's list was read. It is delayed and may be wrong in both directions."""
 
     servers: tuple[ServerEntry, ...]
     instances: tuple[ListedInstance, ...]
@@ -184,7 +184,7 @@
     """One record of a stream of the platform's log."""
 
     offset: int
-    # As decoded from JSON; the reducer of the stream validates it.
+    # As decoded from JSON; the consumer of the stream validates it.
     value: Any
 
 
@@ -198,7 +198,7 @@
 
 
 class LogNewest(Struct, frozen=True):
-    """The newest record of each key of a stream was read, and where the stream ends."""
+    """The newest record of each key of a stream was read, and the offset of its end."""
 
     stream: str
     records: tuple[LogRecord, ...]
@@ -206,7 +206,7 @@
 
 
 class LogExpired(Struct, frozen=True):
-    """The offset asked for is older than the platform keeps."""
+    """The requested offset is older than the platform's retention."""
 
     stream: str
     oldest: int
@@ -236,7 +236,7 @@
     stream: str
     token: str
     error: str
-    # The append may have taken effect; only reading on can tell.
+    # The append may have taken effect; only reading the stream shows it.
     maybe: bool
 
 
@@ -246,22 +246,22 @@
     server: ServerName
     token: str
     ok: bool
-    # The server refused the order's fencing number as old.
+    # The server refused the order because of an outdated fencing number.
     stale_fence: bool
     error: str = ""
 
 
 class DutyOutcome(StrEnum):
-    """How the platform took a call that only one holder at a time may make."""
+    """The platform's response to a call that only one holder at a time may make."""
 
     DONE = "done"
-    # A higher fencing number was seen.
+    # The platform has received a higher fencing number.
     STALE = "stale"
-    # What was ordered is not to be had at present.
+    # The ordered servers are not available at present.
     NONE_LEFT = "none_left"
-    # It was refused and may be made again.
+    # The call was refused and may be repeated.
     REFUSED = "refused"
-    # It was not answered, and may still take effect.
+    # The call was not answered, and may still take effect.
     UNKNOWN = "unknown"
 
 
@@ -274,13 +274,13 @@
 
 
 class WallClockRead(Struct, frozen=True):
-    """The time of day was read, seconds since the start of 1970."""
+    """The time of day was read, in seconds since the epoch."""
 
     wall_s: float
 
 
 class WeightsAnswered(Struct, frozen=True):
-    """The weight store granted a load of a model, or asked to come back later."""
+    """The weight store granted a load of a model, or asked to retry later."""
 
     model: str
     version: str
@@ -296,22 +296,22 @@
 
     version: int
     config: Config
-    # As it was written.
+    # The document as it was written.
     raw: bytes
-    # When the request was sent that it answers; None where it came from a peer.
+    # When the request for it was sent; None if it came from a peer.
     asked_at: float | None
-    # The peer that sent it; empty where it came from the store.
+    # The peer that sent it; empty if it came from the store.
     peer: str = ""
 
 
 class DocumentConfirmed(Struct, frozen=True):
-    """A read of the store was answered, and showed no newer document."""
+    """A read of the store found no newer document."""
 
     asked_at: float
 
 
 class DocumentUnreadable(Struct, frozen=True):
-    """A document was found that cannot be used."""
+    """A document could not be decoded or validated."""
 
     # The store, or the peer that sent it.
     source: str
@@ -324,12 +324,12 @@
     entries: tuple[tuple[ServerEntry, int], ...]
     # Entries that were removed.
     removed: tuple[tuple[ServerName, int], ...] = ()
-    # The entries are all that there are.
+    # The entries are the complete list.
     whole: bool = False
 
 
 class EntryUnreadable(Struct, frozen=True):
-    """An entry was found that names no server."""
+    """An entry of the server registry could not be decoded."""
 
     key: str
     error: str
@@ -339,38 +339,38 @@
 
 
 class PeerReceived(Struct, frozen=True):
-    """A validated message came from another instance, by stream or datagram."""
+    """A validated message was received from another instance, by stream or datagram."""
 
     sender: InstanceName
     message: PeerMessage
 
 
 class SeedsGiven(Struct, frozen=True):
-    """The process's file names addresses of peers, to talk to until the platform's list is read."""
+    """The settings of the process name peer addresses to use until the platform's list is read."""
 
     addresses: tuple[str, ...]
 
 
 class PeerUnreachable(Struct, frozen=True):
-    """The stream to a peer could not be opened, or broke; sent messages may be lost."""
+    """The stream to a peer failed to open, or broke; sent messages may be lost."""
 
     peer: InstanceName
     error: str
 
 
-# --- the instance itself ---------------------------------------------------------------------
+# --- this instance ---------------------------------------------------------------------------
 
 
 class Tick(Struct, frozen=True):
-    """Time passed; every reducer looks for what is due. Sent `Options.tick_s` apart."""
+    """Time passed; every reducer runs what is due. Ticks are `Options.tick_s` apart."""
 
 
 class StopRequested(Struct, frozen=True):
-    """The process was told to stop gracefully."""
+    """The process was asked to stop gracefully."""
 
 
 class ChangeSubmitted(Struct, frozen=True):
-    """An operator asked for a change of settings, already validated on its own."""
+    """An operator submitted a change of settings, already validated on its own."""
 
     change_id: str
     path: str
@@ -381,7 +381,7 @@
 
 
 class DrainRequested(Struct, frozen=True):
-    """An operator asked that a server get no new work."""
+    """An operator asked to send no new requests to a server."""
 
     server: ServerName
     operator: str
--- a/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
@@ -1,7 +1,7 @@
-"""Messages between entry instances; the daemon carries them as msgpack.
+"""Messages between entry instances, which the daemon encodes as msgpack.
 
-Each is a frozen data class; `PEER_MESSAGES` lists them all for the codec. Fields hold only what
-msgpack can carry: numbers, strings, booleans, and lists, dicts and nested data classes of them.
+`PEER_MESSAGES` lists all of them for the codec. Fields are encoded by position and hold only what
+msgpack supports: numbers, strings, booleans, and lists, dicts and nested data classes of them.
 """
 
 from __future__ import annotations
@@ -14,74 +14,75 @@
 
 
 class Word(Struct, frozen=True, array_like=True):
-    """What a relay says of its whole data centre."""
+    """Status message of a relay about its data centre."""
 
     data_centre: str
-    # The key of the relay, and its heartbeat counter when it spoke.
+    # The key of the relay, and its heartbeat counter at the time of sending.
     relay: int
     seq: int
-    # Hash over the keys of the live members.
+    # Hash of the keys of the live members.
     members_hash: int
     live: int
-    # The lowest offset of settings that is in force on a live member.
+    # The lowest offset of the settings in force among the live members.
     settings_offset: int
 
 
 class Mark(Struct, frozen=True, array_like=True):
-    """A backend server gets no new work any more; see `leaving_marks`."""
+    """Leaving notice: a backend server gets no new requests."""
 
     server: str
     incarnation: str
     drained: bool
-    # Seconds since some instance saw that it was so.
+    # Seconds since an instance first saw that the server is leaving.
     age_s: int
 
 
 class Heartbeat(Struct, frozen=True, array_like=True):
-    """I am here, and this is what I know; the rest is asked for when it differs.
+    """Gossip datagram: the sender is alive, with summaries of its membership state.
 
-    Small, since it is most of the control traffic: `counters` holds one ASCII character for each
-    member, the lowest seven bits of its counter, in the order of the roster that `members_hash`
-    names. A receiver whose roster differs cannot read them; for a while after any difference,
-    `entries` holds the counters with their keys instead.
+    Heartbeats are most of the control traffic and must be small. `counters` holds one ASCII
+    character for each member, the lowest seven bits of its counter, in the order of the roster that
+    `members_hash` identifies. A receiver with a different roster cannot decode them; for a while
+    after any difference, `entries` holds the counters with their keys instead. Details are
+    requested when a summary differs.
     """
 
-    # Who the sender is; all three are empty where the receiver knows it by its key.
+    # Identity of the sender; all three are empty if the receiver knows it by its key.
     data_centre: str
     address: str
     incarnation: str
-    # Rises with every round of an incarnation; an older one that comes late is ignored.
+    # Increases with every gossip round of an incarnation; a lower one is ignored as delayed.
     seq: int
     leaving: bool
     settings_offset: int
-    # Empty where it is left out to save bytes.
+    # Empty if omitted to save bytes.
     settings_hash: str
-    # Hash over the keys of the roster of the sender's data centre.
+    # Hash of the keys of the roster of the sender's data centre.
     members_hash: int = 0
     # Hash of the sender's cluster and region.
     tag: int = 0
-    # The sender's key; it covers name, incarnation and `leaving`.
+    # The sender's key: a hash of its name, incarnation and `leaving`.
     key: int = 0
-    # Digests of the leaving marks and of the platform's list, and the age of that list, seconds;
-    # -1 where the sender has none.
+    # Digests of the leaving notices and of the platform's list, and the age of that list; -1 if the
+    # sender has none.
     marks_hash: int = 0
     servers_hash: int = 0
     servers_age_s: int = -1
-    # The highest offset of settings that the sender knows of in its data centre.
+    # The highest offset of settings known to the sender in its data centre.
     newest_offset: int = 0
     counters: str = ""
-    # By how much each member's offset lies below the newest, 127 at most; empty where none does.
+    # How far the offset of each member is below the newest, at most 127; empty if none is.
     lags: str = ""
-    # Key, counter and lag of each member in turn.
+    # Key, counter and lag of each member, one after the other.
     entries: list[int] = []
     words: list[Word] = []
     marks: list[Mark] = []
-    # What the sender's machine can carry for others; 0 where it is left out as well.
+    # Capacity of the sender's machine for relaying; 0 if omitted.
     strength: int = 0
 
 
 class MemberRecord(Struct, frozen=True, array_like=True):
-    """Who a member is."""
+    """The identity of a member."""
 
     name: str
     data_centre: str
@@ -89,39 +90,39 @@
     address: str
     incarnation: str
     leaving: bool
-    # Incarnations that this one has followed, as far as the sender knows.
+    # Earlier incarnations of this member, as far as the sender knows.
     former: list[str] = []
     strength: int = 0
 
 
 class MembersAsk(Struct, frozen=True, array_like=True):
-    """Send me the records of these members, or with no keys the live ones of a data centre."""
+    """Requests the records of these members, or with no keys the live ones of a data centre."""
 
     data_centre: str
     keys: list[int] = []
 
 
 class MembersSend(Struct, frozen=True, array_like=True):
-    """Records that were asked for."""
+    """Member records, as requested."""
 
     data_centre: str
-    # Hash over the keys of the live members, or 0 where the records are not all of them.
+    # Hash of the keys of the live members; 0 if the records are not complete.
     members_hash: int
     records: list[MemberRecord] = []
 
 
 class MarksAsk(Struct, frozen=True, array_like=True):
-    """Send me all leaving marks."""
+    """Requests all leaving notices."""
 
 
 class MarksSend(Struct, frozen=True, array_like=True):
-    """All leaving marks of the sender."""
+    """All leaving notices of the sender."""
 
     marks: list[Mark] = []
 
 
 class ServersAsk(Struct, frozen=True, array_like=True):
-    """Send me the platform's list of backend servers."""
+    """Requests the platform's list of backend servers."""
 
 
 class ServersSend(Struct, frozen=True, array_like=True):
@@ -133,13 +134,13 @@
 
 
 class SettingsAsk(Struct, frozen=True, array_like=True):
-    """Send me the settings records from this offset."""
+    """Requests the settings records from this offset."""
 
     offset: int
 
 
 class SettingsSend(Struct, frozen=True, array_like=True):
-    """Settings records from an offset, or a whole state where the records are gone."""
+    """Settings records from an offset, or a whole state if the records have expired."""
 
     first: int
     records: list[Any] = []
@@ -147,14 +148,14 @@
     snapshot: dict[str, Any] | None = None
 
 
-# --- settings as one document, and the load of servers; see `document` and `load_news` ------------
+# --- settings as one document, and the load of servers -------------------------------------------
 
 
 class DocumentAsk(Struct, frozen=True, array_like=True):
-    """Send me the settings document if yours is newer, and the proof that it is the newest."""
+    """Requests a newer settings document and the proof that it is the newest."""
 
     version: int
-    # Names this asking in the answer.
+    # Identifies this request in the answer.
     number: int
 
 
@@ -166,10 +167,10 @@
 
 
 class DocumentProof(Struct, frozen=True, array_like=True):
-    """No newer version than this one was in force so long ago."""
+    """Proof that no newer version was in force `age_s` ago."""
 
     version: int
-    # Of the asking that this answers.
+    # Number of the request that this answers.
     number: int
     age_s: float
 
@@ -179,71 +180,71 @@
 
     offset: int
     name: str
-    # None where the entry was removed.
+    # None if the entry was removed.
     entry: ServerEntry | None = None
 
 
 class RegistryNews(Struct, frozen=True, array_like=True):
-    """The servers' entries were read just now; these have changed, and all have this hash."""
+    """Changed entries of servers from a new read, and the hash of all entries."""
 
     servers_hash: int
     rows: list[RegistryRow] = []
-    # Who read them; empty if it is the sender.
+    # The instance that read them; empty for the sender.
     reader: str = ""
 
 
 class LoadRow(Struct, frozen=True, array_like=True):
-    """What the sender has on one server."""
+    """Load that the sender has on one server."""
 
     server: str
-    # For each prompt without a first token: how long it will be read for, its rank, and how long
-    # ago it was sent; milliseconds.
+    # For each prompt without a first token: prefill time, rank, and time since it was sent;
+    # milliseconds.
     works: list[list[int]]
-    # Requests that have begun to be answered.
+    # Requests whose answer has begun.
     running: int
-    # Tokens of all of them.
+    # Tokens of these requests.
     tokens: int
 
 
 class SentPart(Struct, frozen=True, array_like=True):
-    """The sender has sent a prompt with this part to a server, or the server has read it."""
+    """A prompt part that was sent to a server or already prefilled there."""
 
     server: str
     part: str
     tokens: int
     read: bool
-    # How long it counts as being read, milliseconds.
+    # How long it counts as being prefilled.
     for_ms: int
 
 
 class DemandRow(Struct, frozen=True, array_like=True):
-    """Work that the sender sends to a service, milliseconds a second."""
+    """Work that the sender sends to a service, milliseconds per second."""
 
     target: str
-    # Of requests that bear long prompts beside them, and of those that do not.
+    # Work of requests that tolerate long prompts on the same engine, and of those that do not.
     long_ms_s: int
     quick_ms_s: int
-    # The most urgent rank of which a request has waited for too long at the sender.
+    # The most urgent rank with a request that has waited too long at the sender.
     late_rank: int | None = None
-    # Of those that do not bear long prompts and make others late that bear less.
+    # Work of medium prompts: they tolerate no long prompts beside them, and delay shorter ones.
     middle_ms_s: int = 0
 
 
 class LoadNews(Struct, frozen=True, array_like=True):
-    """Everything that the sender has on any server, and the parts that it sent lately."""
+    """Load update: the sender's load on all servers, and the prompt parts it sent recently."""
 
     incarnation: str
-    # Rises with each of an incarnation.
+    # Increases with each update of an incarnation.
     seq: int
     rows: list[LoadRow] = []
     parts: list[SentPart] = []
     demand: list[DemandRow] = []
-    # The sender has nothing on servers that are not named; otherwise these are as they were.
+    # The sender has no load on servers without a row; if false, their load is unchanged.
     whole: bool = True
 
 
 class BundledNews(Struct, frozen=True, array_like=True):
-    """News that are passed on: whose they are, and for how long they were held."""
+    """A forwarded load update, with its origin and the time it was delayed."""
 
     origin: str
     news: LoadNews
@@ -251,17 +252,17 @@
 
 
 class LoadBundle(Struct, frozen=True, array_like=True):
-    """What a teller has gathered from those that tell it and from other tellers."""
+    """Load updates that a relay has collected from its group and from other relays."""
 
     news: list[BundledNews]
 
 
 class CachesAsk(Struct, frozen=True, array_like=True):
-    """Tell me what you know of the engines' caches; I have just started."""
+    """Requests the known contents of the engines' caches; sent after a start."""
 
 
 class CachesServer(Struct, frozen=True, array_like=True):
-    """Parts that an engine is taken to hold, the newest last, and the tokens of each."""
+    """Prompt parts that an engine presumably holds, the newest last, and the tokens of each."""
 
     server: str
     parts: list[str]
@@ -269,40 +270,40 @@
 
 
 class CachesSend(Struct, frozen=True, array_like=True):
-    """What the sender knows of the engines' caches."""
+    """The sender's knowledge of the engines' caches."""
 
     servers: list[CachesServer]
 
 
-# --- credits: slots of servers, leased by one dispatcher for each; see `credit` ------------------
+# --- credits: slots of servers, leased by one dispatcher per server ------------------------------
 
 
 class TierDemand(Struct, frozen=True, array_like=True):
-    """What an instance runs on a server at one tier, and what it would run besides."""
+    """Running and waiting requests of an instance for a server at one tier."""
 
     tier: int
     running: int
-    # Requests that could go to this server; one that waits is named to several servers.
+    # Requests that could go to this server; a waiting request is counted for several servers.
     waiting: int
-    # Those of them for which lower work may be stopped here; each is named to one server only.
+    # Waiting requests that may preempt less urgent work here; each is counted for one server only.
     pressed: int = 0
 
 
 class CreditDemand(Struct, frozen=True, array_like=True):
-    """Lease me slots of this server; sent on change, and now and then as a renewal."""
+    """Requests slots of this server; sent on changes, and periodically as a renewal."""
 
     server: str
-    # Rises with each demand for the server; 1 is the first since the sender started.
+    # Increases with each demand for the server; 1 is the first since the sender started.
     seq: int
-    # The newest grant that the sender knows of, or 0.
+    # The newest grant that the sender received, or 0.
     grant_number: int
-    # The server's limit, as the sender observes it.
+    # The server's limit, as observed by the sender.
     limit: int
     tiers: list[TierDemand] = []
 
 
 class TierGrant(Struct, frozen=True, array_like=True):
-    """Slots for one tier; the assured ones are for no other tier."""
+    """Slots for one tier; the assured ones are reserved for this tier."""
 
     tier: int
     slots: int
@@ -310,7 +311,7 @@
 
 
 class ServerLoad(Struct, frozen=True, array_like=True):
-    """A server's load report, passed on so that only its dispatcher need ask for it."""
+    """A server's load report, forwarded to save the receivers their own probes."""
 
     incarnation: str
     seq: int
@@ -325,42 +326,43 @@
 
 
 class CreditGrant(Struct, frozen=True, array_like=True):
-    """You may use these slots of this server; replaces every grant with a lower number."""
+    """Grants slots of this server; replaces every grant with a lower number."""
 
     server: str
-    # The newest demand that the dispatcher had seen; the time to live counts from its sending.
+    # The newest demand that the dispatcher had received; `ttl_s` counts from its sending.
     demand_seq: int
     number: int
     ttl_s: float
-    # Demand is above the capacity, so report every change of what you need.
+    # Demand exceeds the capacity; the receiver must report every change of its demand.
     contended: bool
-    # Attempts of tiers above the number make way until this many are left; None for none.
+    # Attempts of tiers numbered above `displace_above` are preempted until this many are left; None
+    # for no preemption.
     keep: int | None
     displace_above: int
     tiers: list[TierGrant] = []
-    # Only where it is news to the receiver.
+    # Present only if it is new to the receiver.
     load: ServerLoad | None = None
 
 
 class ClaimAsk(Struct, frozen=True, array_like=True):
-    """What became of the request of yours that holds a key? One of mine waits for it."""
+    """Asks for the result of the receiver's request that holds a key."""
 
-    # Ids of the two requests.
+    # Ids of the request that holds the key, and of the sender's request that waits for it.
     holder: str
     waiter: str
-    # Where the asking instance is reached.
+    # Peer address of the sender.
     address: str
 
 
 class ClaimKept(Struct, frozen=True, array_like=True):
-    """It ended so, and this was its answer."""
+    """The result of a request that held a key, with its answer if that was stored."""
 
     waiter: str
     holder: str
     outcome: str
     reason: str
     status: int | None
-    # False where the answer was too large to keep.
+    # False if the answer was too large to store.
     has_answer: bool
     headers: list[list[str]] = []
     # In Base64, as fields are text or numbers.
@@ -368,81 +370,81 @@
 
 
 class ClaimOpen(Struct, frozen=True, array_like=True):
-    """It is in progress; the end will be sent unasked."""
+    """The request is in progress; its result will be sent when it ends."""
 
     waiter: str
     holder: str
 
 
 class ClaimUnheld(Struct, frozen=True, array_like=True):
-    """Nothing is known here of that request."""
+    """The sender knows no such request."""
 
     waiter: str
     holder: str
-    # How far the sender has read the claims stream: it may have been withdrawn there.
+    # Offset up to which the sender has read the claims stream, which may hold a withdrawal.
     offset: int
 
 
 class ClaimVoteAsk(Struct, frozen=True, array_like=True):
-    """Agree that this request is the one that runs for the key; see `claim_vote`."""
+    """Asks for agreement that this request runs for the key; see `claim_vote`."""
 
-    # The view under which it is asked.
+    # The epoch of the view that the vote belongs to.
     epoch: int
     key: str
     fingerprint: str
     request_id: str
-    # The asking process, and where it is reached.
+    # The asking process, and its peer address.
     incarnation: str
     address: str
 
 
 class ClaimVote(Struct, frozen=True, array_like=True):
-    """I agree, or not."""
+    """The vote on a claim."""
 
     epoch: int
     request_id: str
-    # The answering process.
+    # Incarnation of the voting process.
     voter: str
     agreed: bool
-    # Where not: the request that holds the key as far as the voter knows, and whose it is.
+    # If not agreed: the request that holds the key according to the voter, and its instance.
     holder: str = ""
     holder_fingerprint: str = ""
     holder_instance: str = ""
     holder_incarnation: str = ""
     holder_address: str = ""
-    # The log says so.
+    # The holder's claim is in the log.
     in_log: bool = False
 
 
 class ClaimRelease(Struct, frozen=True, array_like=True):
-    """The request that you agreed to never ran and never will."""
+    """Releases an agreed claim whose request never ran and never will."""
 
     key: str
     request_id: str
 
 
-# --- limits: shares of rate limits, leased by one home for each customer or team; see `limit` -----
+# --- limits: shares of rate limits, leased by one home per customer or team ----------------------
 
 
 class LimitDemand(Struct, frozen=True, array_like=True):
-    """What an instance's callers ask for of one limited customer or team, a second."""
+    """Demand of an instance for one limited customer or team, per second."""
 
     key: str
     requests: float
     tokens: float
-    # The share that it holds from a home before, or 0.
+    # The share that the sender already has, or 0.
     held_requests: float
     held_tokens: float
 
 
 class LimitAsk(Struct, frozen=True, array_like=True):
-    """Lease me shares of these limits; sent when demand changes, and now and then as a renewal."""
+    """Requests shares of these limits; sent on changes of demand, and periodically as a renewal."""
 
     demands: list[LimitDemand] = []
 
 
 class LimitShare(Struct, frozen=True, array_like=True):
-    """A share of one limit, a second; negative where the quantity is not limited."""
+    """A share of one limit, per second; negative if the quantity is not limited."""
 
     key: str
     requests: float
@@ -450,12 +452,12 @@
 
 
 class LimitGrant(Struct, frozen=True, array_like=True):
-    """You may use these shares; each replaces the one before."""
+    """Grants these shares; each replaces the previous one."""
 
     shares: list[LimitShare] = []
 
 
-# --- quarantine: requests that were in flight at a server's crash; see `quarantine` ---------------
+# --- quarantine: requests that were in flight at the crash of a server ---------------------------
 
 
 class Sighting(Struct, frozen=True, array_like=True, order=True):
@@ -466,19 +468,19 @@
 
 
 class CrashRecord(Struct, frozen=True, array_like=True):
-    """What is known of one crash; two records of the same crash are merged."""
+    """What is known about one crash; two records of the same crash are merged."""
 
     server: str
-    # Of the server's life that the crash ended.
+    # The incarnation of the server that ended with the crash.
     incarnation: str
-    # Seconds since it was seen first.
+    # Seconds since the crash was first reported.
     age_s: float
     # Requests that were in flight, and those of them that were sent only after the crash.
     suspects: list[Sighting] = []
     late: list[Sighting] = []
-    # Fingerprints that have completed later, through whichever instance.
+    # Fingerprints of requests that completed later, through any instance.
     cleared: list[str] = []
-    # The server was seen alive in the same life: it was not a crash.
+    # The server was alive in the same incarnation afterwards: it was not a crash.
     retracted: bool = False
 
 
@@ -489,20 +491,20 @@
 
 
 class CrashesAsk(Struct, frozen=True, array_like=True):
-    """Send me all crashes that you know of, unless their hash is this one."""
+    """Requests all crashes that the receiver knows of, unless their hash is this one."""
 
     crashes_hash: int
 
 
 class TrialAsk(Struct, frozen=True, array_like=True):
-    """Let me run this suspect on this server while no other suspect runs there."""
+    """Requests an isolated run of this suspect: no other suspect may run on the server."""
 
     server: str
     fingerprint: str
 
 
 class TrialAnswer(Struct, frozen=True, array_like=True):
-    """You may run it, or another suspect runs there."""
+    """Grants an isolated run, or denies it because another suspect runs there."""
 
     server: str
     fingerprint: str
@@ -510,16 +512,16 @@
 
 
 class TrialEnd(Struct, frozen=True, array_like=True):
-    """The suspect no longer runs alone on this server."""
+    """The isolated run on this server ended."""
 
     server: str
     fingerprint: str
-    # Its connection broke: the server may have crashed.
+    # The connection broke: the server may have crashed.
     broken: bool = False
 
 
 class ModelUse(Struct, frozen=True, array_like=True):
-    """What runs and waits for a model on one instance, averaged since it last told."""
+    """Running and waiting requests of a model on one instance, averaged since the last report."""
 
     model: str
     busy: float
@@ -527,7 +529,7 @@
 
 
 class ModelDemand(Struct, frozen=True, array_like=True):
-    """Use of the models of a service, for the instance that places them in a data centre."""
+    """Use of a service's models, sent to the instance that places them in a data centre."""
 
     service: str
     data_centre: str
@@ -535,25 +537,25 @@
 
 
 class WindowCounts(Struct, frozen=True, array_like=True):
-    """Requests that servers began for one instance in one window, by customer."""
+    """Requests that servers started for one instance in one window, by customer."""
 
     window: int
     counts: dict[str, int]
 
 
 class UsageCounts(Struct, frozen=True, array_like=True):
-    """What one instance has counted in the newest windows, for whoever reports usage."""
+    """Counts of one instance for the newest windows, sent to the instance that reports usage."""
 
     incarnation: str
-    # Rises with each message of an incarnation.
+    # Increases with each message of an incarnation.
     seq: int
-    # Windows before this one get no more requests here.
+    # The sender adds no more requests to windows before this one.
     open_window: int
     windows: list[WindowCounts] = []
 
 
 class DutyStatus(Struct, frozen=True, array_like=True):
-    """I hold the lease of the duties, and can do them."""
+    """The sender holds the lease of the duties, and is able to perform them."""
 
     fence: int
 
