--- a/packages/turmericweir-core/turmericweir_core/records/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/records/__init__.py
@@ -1,4 +1,4 @@
-"""Define the records of the own log: claims, leases and settings, and what makes one valid.
+"""Records of turmericweir's log: claims, leases and settings, with their validation.
 
-Only the own interface writes and reads them; on a platform that keeps the settings they are unused.
+On a platform that stores the settings itself, these records are unused.
 """
--- a/packages/turmericweir-core/turmericweir_core/records/claim_answer.py
+++ b/packages/turmericweir-core/turmericweir_core/records/claim_answer.py
@@ -1,8 +1,8 @@
-"""Answers of calls that ran for an idempotency key, kept for callers who send the key again.
+"""Stored answers of calls with an idempotency key, for callers who repeat the call.
 
-Only the instance that ran the call keeps the answer, in memory: the log carries how a call ended,
-not its body. Bounded by number and by bytes, oldest first out; a caller who comes later than that
-is told that the first call completed, but not with what.
+Only the instance that ran the call stores the answer, in memory: the log records how a call ended,
+not its body. The number and total size of answers are bounded, and the oldest are dropped first.
+Later callers are told only that the first call completed.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 class KeptAnswer(Struct, frozen=True):
-    """A plain service's whole answer, small enough to keep."""
+    """A whole answer of a plain service, small enough to store."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
@@ -24,33 +24,33 @@
 
 
 class KeptEnd(Struct, frozen=True):
-    """How a call ended here, with its answer where that was kept."""
+    """The end of a call on this instance, with its answer if that was stored."""
 
     end: ClaimEnd
     answer: KeptAnswer | None
 
 
 class AnswerStore(Struct):
-    """The newest ends of calls that this instance ran for a key, by request id, oldest first."""
+    """The newest ends of calls with a key on this instance, by request id, oldest first."""
 
     entries: OrderedDict[str, KeptEnd] = field(default_factory=OrderedDict)
-    # Bytes of all kept answers.
+    # Size of all stored answers, bytes.
     size: int = 0
 
 
-def keep_end(store: AnswerStore, options: Options, request_id: str, kept: KeptEnd) -> None:
-    """Keep an end, letting go of the oldest where there are too many or they are too large."""
-    store.entries[request_id] = kept
-    store.size += _size(kept)
+def keep_end(store: AnswerStore, options: Options, request_id: str, stored_end: KeptEnd) -> None:
+    """Store the end of a call, and drop the oldest ends above the limits on number and size."""
+    store.entries[request_id] = stored_end
+    store.size += _size_bytes(stored_end)
     too_many = len(store.entries) > options.claim_answers_max
     while store.entries and (too_many or store.size > options.claim_answer_bytes):
         _, oldest = store.entries.popitem(last=False)
-        store.size -= _size(oldest)
+        store.size -= _size_bytes(oldest)
         too_many = len(store.entries) > options.claim_answers_max
 
 
-def _size(kept: KeptEnd) -> int:
-    answer = kept.answer
+def _size_bytes(stored_end: KeptEnd) -> int:
+    answer = stored_end.answer
     if answer is None:
         return 0
     return len(answer.body) + sum(len(name) + len(value) for name, value in answer.headers)
--- a/packages/turmericweir-core/turmericweir_core/records/lease_record.py
+++ b/packages/turmericweir-core/turmericweir_core/records/lease_record.py
@@ -1,9 +1,8 @@
-"""Records of the `leases` stream: who may give orders to the servers of a service, and since when.
+"""Records of the `leases` stream: leases for giving orders to the servers of a service.
 
 A *scope* is one service in one data centre. Every record names the offset up to which its writer
-had read the stream. That is its condition: it is valid only if no other record of its scope stands
-between that offset and its own. `encode` and `decode` are the only places that know the form on the
-wire.
+had read the stream. The record is valid only if no other record of its scope is between that offset
+and its own. Only `encode` and `decode` depend on the stored format.
 """
 
 from __future__ import annotations
@@ -16,12 +15,12 @@
 from turmericweir_core.records.record_field import text_field, whole_field
 
 LEASES_STREAM: Final = "leases"
-# Succeeds nothing that its writer has read.
+# The `fence` of a grant whose writer has read no earlier lease.
 NO_OFFSET: Final = -1
 
 
 class Scope(Struct, frozen=True, order=True):
-    """What one lease is for: the servers of a service in a data centre."""
+    """The subject of a lease: the servers of a service in a data centre."""
 
     service: str
     data_centre: str
@@ -31,13 +30,13 @@
 
 
 class Act(StrEnum):
-    """What a record does."""
+    """The action of a record."""
 
-    # Its own offset is the fencing number of the lease that it begins.
+    # Begins a lease; the offset of the record is the fencing number of the lease.
     GRANT = "grant"
-    # The same lease, and the same fencing number, from now on anew.
+    # Extends the lease from now on, with the same fencing number.
     RENEW = "renew"
-    # The holder gives no more orders under it, so a successor need not wait.
+    # Ends the lease. The holder gives no more orders, and a successor need not wait.
     RELEASE = "release"
 
 
@@ -48,21 +47,22 @@
     scope: Scope
     instance: str
     incarnation: str
-    # Rises with each record of an incarnation, so that a lost acknowledgement is found again.
+    # Increases with each record of an incarnation; identifies a record whose acknowledgement was
+    # lost.
     number: int
     # Offset up to which the writer had read the stream.
     upto: int
-    # The fencing number that is renewed or released; for a grant the one that it succeeds.
+    # The fencing number that is renewed or released; for a grant the one of the previous lease.
     fence: int
-    # How long it lasts, from before it was sent. Named here so that a reader with another
-    # setting waits long enough.
+    # Duration of the lease, from before the record was sent. Part of the record because a reader
+    # with another setting must wait long enough.
     lease_s: float
-    # What the holder wants its successors to know, as JSON; None for nothing.
+    # JSON data of the holder for its successors; None for nothing.
     note: Any = None
 
 
 def encode(record: LeaseRecord) -> dict[str, Any]:
-    """Turn a record into the JSON object that is appended."""
+    """Return a record as the JSON object that is appended."""
     value = {
         "act": record.act.value,
         "service": record.scope.service,
@@ -76,9 +76,9 @@
     return value if record.note is None else {**value, "note": record.note}
 
 
-# Any: the value is whatever JSON the log held.
+# Any: the value is arbitrary JSON from the log.
 def decode(value: Any) -> LeaseRecord | None:
-    """Validate a record; None for one that is malformed, which every reader then skips alike."""
+    """Return the validated record; None for a malformed one, which every reader skips."""
     try:
         instance, incarnation = value["by"]
         return LeaseRecord(
@@ -89,14 +89,14 @@
             number=whole_field(value["n"]),
             upto=whole_field(value["upto"]),
             fence=whole_field(value["fence"]),
-            lease_s=_seconds(value["lease_s"]),
+            lease_s=_duration_field(value["lease_s"]),
             note=value.get("note"),
         )
     except (AttributeError, KeyError, TypeError, ValueError):
         return None
 
 
-def _seconds(value: Any) -> float:
+def _duration_field(value: Any) -> float:
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 < value < 86_400:
         raise ValueError(f"not a duration of less than a day: {value!r}")
     return float(value)
--- a/packages/turmericweir-core/turmericweir_core/records/settings_model.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_model.py
@@ -1,11 +1,11 @@
-"""What operators may write under each path, and how it becomes the `Config` of the decisions.
+"""Models of the values that operators write, and their conversion to a `Config`.
 
-A written value is validated by one pydantic model for its kind of path, strictly: an unknown field
-or a number in quotes is refused rather than guessed at. Whether a value fits the other settings
-(`settings_refs`) and whether it comes in time (`settings_state`) is decided elsewhere.
+Each kind of path has one strict pydantic model: an unknown field or a number in quotes is an error.
+Consistency with other settings is checked in `settings_refs`, versions and permissions in
+`settings_state`.
 
-These rules are part of what all instances agree on: an instance that refused what another takes
-would hold other settings at the same offset. The hash in the heartbeats shows such a difference.
+All instances must apply the same rules, as different ones lead to different settings at the same
+offset. The hash in the heartbeats reveals such a difference.
 """
 
 from __future__ import annotations
@@ -57,7 +57,7 @@
 Milliseconds = Annotated[float, Field(gt=0, le=86_400_000)]
 
 
-def _is_address(text: str) -> str:
+def _check_address(text: str) -> str:
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host.removeprefix("[").removesuffix("]"))
@@ -68,24 +68,24 @@
     return text
 
 
-def _is_granted_path(text: str) -> str:
+def _check_granted_path(text: str) -> str:
     if not is_subtree(text):
         raise ValueError("expected '/' or the root of a subtree such as /teams/<team>")
     return text
 
 
-Address = Annotated[str, AfterValidator(_is_address)]
-Subtree = Annotated[str, AfterValidator(_is_granted_path)]
+Address = Annotated[str, AfterValidator(_check_address)]
+Subtree = Annotated[str, AfterValidator(_check_granted_path)]
 
 
 class Written(BaseModel):
-    """The base of all values: strict, closed and frozen."""
+    """Base class of all values: strict, without unknown fields, and frozen."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
 
 class WrittenClass(Written):
-    """A service class. Exactly one of the two targets is given."""
+    """A service class, with exactly one of the two targets."""
 
     # 0 is the most urgent tier.
     priority: int = Field(ge=0, le=99)
@@ -94,20 +94,20 @@
     # For classes of plain calls: time to the whole answer.
     latency_target_ms: Milliseconds | None = None
     token_gap_target_ms: Milliseconds | None = None
-    # Given to requests that bring no deadline.
+    # Deadline of requests that do not specify one.
     default_deadline_ms: Milliseconds = 60_000
-    # The share that the class gets even under endless overload.
+    # Share of dispatched work that the class gets even under permanent overload.
     assured_share: float = Field(default=0.02, ge=0, le=0.5)
 
     @model_validator(mode="after")
-    def _one_target(self) -> Self:
+    def _check_one_target(self) -> Self:
         if (self.first_token_target_ms is None) == (self.latency_target_ms is None):
             raise ValueError("expected one of first_token_target_ms and latency_target_ms")
         return self
 
 
 class WrittenLimit(Written):
-    """A rate limit; a field left out does not bound."""
+    """A rate limit; an omitted field means unlimited."""
 
     requests_s: float | None = Field(default=None, gt=0)
     tokens_s: float | None = Field(default=None, gt=0)
@@ -116,15 +116,15 @@
 class WrittenCustomer(Written):
     """A customer."""
 
-    # SHA-256 hex digests of its bearer tokens; several while a token is being replaced.
+    # SHA-256 hex digests of its bearer tokens; several during the replacement of a token.
     token_sha256: list[Digest] = Field(default=[], max_length=32)
-    # Class by model or plain service; "*" for all others.
+    # Class by model or plain service; "*" is the default.
     classes: dict[Name, Name] = Field(default={}, max_length=256)
     limit: WrittenLimit = WrittenLimit()
 
 
 class WrittenRule(Written):
-    """What holds for the calls of a plain service that match."""
+    """Handling of the matching calls of a plain service."""
 
     method: Annotated[str, StringConstraints(pattern=r"^(\*|[A-Z]{1,16})$")] = "*"
     path_prefix: Annotated[str, StringConstraints(pattern=r"^/", max_length=1024)] = "/"
@@ -142,7 +142,7 @@
     checks_fence: bool = False
 
     @model_validator(mode="after")
-    def _fits_kind(self) -> Self:
+    def _check_kind(self) -> Self:
         if self.kind == "model" and not self.models:
             raise ValueError("expected at least one model name in models for kind model")
         if self.kind == "model" and self.rules:
@@ -153,7 +153,7 @@
 
 
 class WrittenServer(Written):
-    """A backend server that the platform's list does not name, or names wrongly."""
+    """A backend server that the platform's list does not contain, or lists with wrong data."""
 
     service: Name
     data_centre: Name
@@ -162,28 +162,28 @@
 
 
 class WrittenModel(Written):
-    """How many servers of a service should hold a model."""
+    """The number of servers of a service that should have a model loaded."""
 
     version: Name = "1"
     min_servers: int = Field(default=1, ge=0, le=1_000_000)
     max_servers: int = Field(default=1_000_000, ge=1, le=1_000_000)
 
     @model_validator(mode="after")
-    def _in_order(self) -> Self:
+    def _check_server_bounds(self) -> Self:
         if self.min_servers > self.max_servers:
             raise ValueError("expected min_servers to be at most max_servers")
         return self
 
 
 class WrittenOperator(Written):
-    """An operator: the digest of the token, and the subtrees that may be written with it."""
+    """An operator: the digest of the token, and the subtrees that it may write."""
 
     token_sha256: Digest
     paths: list[Subtree] = Field(min_length=1, max_length=64)
 
 
 class WrittenPolicy(Written):
-    """How servers are picked."""
+    """The placement policy."""
 
     policy: Literal["baseline", "counts", "credits"]
 
@@ -202,15 +202,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """What stands under a path, and the accepted change that put it there."""
+    """The value of a path, and the accepted change that set it."""
 
     # The offset of that change's record, plus one.
     version: int
     value: Value
     operator: str
-    # Seconds since the epoch by the clock of whoever made the change; shown, never compared.
+    # Seconds since the epoch by the clock of the instance that took the change; for display only.
     at: float
-    # The written form of the value; derived, and kept as hashes and answers need it often.
+    # The written form of the value, cached for hashes and answers.
     written: dict[str, Any] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
@@ -218,7 +218,7 @@
 
 
 def model_of(path: SettingsPath) -> type[Value]:
-    """Name the model of the values under a path."""
+    """Return the model of the values under a path."""
     match path:
         case ClassPath():
             return WrittenClass
@@ -240,11 +240,11 @@
 
 
 def read_value(path: str, raw: object) -> Result[Value, SettingsError]:
-    """Validate what an operator wrote under a path."""
-    return parse_path(path).bind(lambda parsed: _read(path, model_of(parsed), raw))
+    """Return the validated value for a path, or the errors in it."""
+    return parse_path(path).bind(lambda parsed: _validate_value(path, model_of(parsed), raw))
 
 
-def _read(path: str, model: type[Value], raw: object) -> Result[Value, SettingsError]:
+def _validate_value(path: str, model: type[Value], raw: object) -> Result[Value, SettingsError]:
     try:
         return Success(model.model_validate(raw))
     except ValidationError as exc:
@@ -255,11 +255,11 @@
     problems = []
     for error in exc.errors(include_url=False, include_context=False, include_input=False):
         field = ".".join(str(part) for part in error["loc"])
-        problems.append(Problem(field, _expected(model, error["type"], error["msg"])))
+        problems.append(Problem(field, _expected_text(model, error["type"], error["msg"])))
     return problems
 
 
-def _expected(model: type[Value], kind: str, message: str) -> str:
+def _expected_text(model: type[Value], kind: str, message: str) -> str:
     if kind == "extra_forbidden":
         return "no such field; expected " + ", ".join(model.model_fields)
     if kind == "model_type":
@@ -268,7 +268,7 @@
 
 
 def explain(kind: str, message: str) -> str:
-    """Say what was expected, in the words of this project, for an error of the validation."""
+    """Return what was expected, in turmericweir's wording, for a validation error of pydantic."""
     if kind == "missing":
         return "expected this field, which is missing"
     if kind == "string_pattern_mismatch":
@@ -277,19 +277,19 @@
 
 
 def written_form(value: Value) -> dict[str, Any]:
-    """Give a value back as JSON, with the fields that the operator wrote and no others.
+    """Return a value as JSON, with only the fields that the operator wrote.
 
-    Numbers come out in the form of their field's type, so that `1` and `1.0` give the same hash
-    whichever of the two a codec on the way made of it.
+    Numbers have the form of their field's type, which gives `1` and `1.0` the same hash whichever
+    of the two a codec produced.
     """
     return value.model_dump(mode="json", exclude_unset=True)
 
 
-# --- from written values to the Config of the decisions --------------------------------------
+# --- conversion of written values to a Config -------------------------------------------------
 
 
 def read_config(raw: Mapping[str, object], offset: int = 0) -> Result[Config, list[SettingsError]]:
-    """Validate values by path, each on its own, and build the `Config` of them."""
+    """Return the `Config` of the raw values by path, each validated on its own, or all errors."""
     values: dict[str, Value] = {}
     errors: list[SettingsError] = []
     for path, value in raw.items():
@@ -302,8 +302,8 @@
 
 
 def build_config(values: Mapping[str, Value], offset: int = 0) -> Config:
-    """Build the `Config` of validated values by path, at an offset of the settings log."""
-    built = Config(offset=offset, policy=_policy(values))
+    """Return the `Config` of validated values by path, at an offset of the settings log."""
+    new_config = Config(offset=offset, policy=_policy(values))
     caps: dict[LimitPath, Limit] = {}
     for text, value in values.items():
         path = parse_path(text).unwrap()
@@ -311,10 +311,10 @@
             assert isinstance(value, WrittenLimit)
             caps[path] = _limit(value)
         else:
-            _put(built, path, value)
-    _apply_caps(built, caps)
-    _index(built)
-    return built
+            _add_value(new_config, path, value)
+    _apply_limit_caps(new_config, caps)
+    _add_lookups(new_config)
+    return new_config
 
 
 def _policy(values: Mapping[str, Value]) -> Policy:
@@ -322,30 +322,30 @@
     return Policy(value.policy) if isinstance(value, WrittenPolicy) else Policy.COUNTS
 
 
-def _put(built: Config, path: SettingsPath, value: Value) -> None:
+def _add_value(new_config: Config, path: SettingsPath, value: Value) -> None:
     match path, value:
         case ClassPath(name), WrittenClass():
-            built.classes[name] = _class(name, value)
+            new_config.classes[name] = _class(name, value)
         case CustomerPath(name), WrittenCustomer():
-            built.customers[name] = _customer(path, value)
+            new_config.customers[name] = _customer(path, value)
         case TeamLimitPath(name), WrittenLimit():
-            built.teams[name] = _limit(value)
+            new_config.teams[name] = _limit(value)
         case ServicePath(name), WrittenService():
-            built.services[name] = _service(name, value)
+            new_config.services[name] = _service(name, value)
         case ServerPath(name), WrittenServer():
-            built.servers[ServerName(name)] = _server(name, value)
+            new_config.servers[ServerName(name)] = _server(name, value)
         case ModelPath(name), WrittenModel():
             want = config.ModelWant(name, value.version, value.min_servers, value.max_servers)
-            built.wants[name] = want
+            new_config.wants[name] = want
         case OperatorPath(name), WrittenOperator():
             operator = config.Operator(name, value.token_sha256, tuple(value.paths))
-            built.operators[name] = operator
+            new_config.operators[name] = operator
         case PolicyPath(), WrittenPolicy():
-            # `build_config` read it first, since a `Config` is frozen.
+            # Applied by `build_config`, as a `Config` is frozen.
             pass
         case _:
-            # The checker cannot know that `model_of` paired each path with its model.
-            raise AssertionError(f"no value of {type(value).__name__} belongs under {path}")
+            # `model_of` determines the model of each path, which mypy cannot infer.
+            raise AssertionError(f"unexpected value of type {type(value).__name__} for {path}")
 
 
 def _class(name: str, value: WrittenClass) -> config.ServiceClass:
@@ -401,38 +401,40 @@
     )
 
 
-def _apply_caps(built: Config, caps: Mapping[LimitPath, Limit]) -> None:
-    """Apply the limits of `/limits`: a team's own setting can tighten them, never loosen them."""
+def _apply_limit_caps(new_config: Config, caps: Mapping[LimitPath, Limit]) -> None:
+    """Apply the limits of `/limits`, which can only tighten the limits of teams and customers."""
     if not caps:
         return
     default = caps.get(LimitPath(Scope.DEFAULT), NO_LIMIT)
-    for name, customer in built.customers.items():
+    for name, customer in new_config.customers.items():
         own = default if customer.limit == NO_LIMIT else customer.limit
         cap = caps.get(LimitPath(Scope.CUSTOMER, name), NO_LIMIT)
-        built.customers[name] = replace(customer, limit=_tighter(own, cap))
+        new_config.customers[name] = replace(customer, limit=_tighter_limit(own, cap))
     for path, cap in caps.items():
         if path.scope is Scope.TEAM:
-            built.teams[path.name] = _tighter(built.teams.get(path.name, NO_LIMIT), cap)
+            new_config.teams[path.name] = _tighter_limit(
+                new_config.teams.get(path.name, NO_LIMIT), cap
+            )
 
 
-def _tighter(one: Limit, other: Limit) -> Limit:
+def _tighter_limit(one: Limit, other: Limit) -> Limit:
     return Limit(
-        _least(one.requests_s, other.requests_s),
-        _least(one.tokens_s, other.tokens_s),
+        _lower_rate(one.requests_s, other.requests_s),
+        _lower_rate(one.tokens_s, other.tokens_s),
     )
 
 
-def _least(one: float | None, other: float | None) -> float | None:
+def _lower_rate(one: float | None, other: float | None) -> float | None:
     if one is None or other is None:
         return other if one is None else one
     return min(one, other)
 
 
-def _index(built: Config) -> None:
-    for customer in built.customers.values():
+def _add_lookups(new_config: Config) -> None:
+    for customer in new_config.customers.values():
         for digest in customer.token_digests:
-            built.customers_by_token[digest] = customer
-    for service in built.services.values():
+            new_config.customers_by_token[digest] = customer
+    for service in new_config.services.values():
         targets = service.models if service.kind is Kind.MODEL else (service.name,)
         for target in targets:
-            built.service_by_target[Target(target)] = service
+            new_config.service_by_target[Target(target)] = service
--- a/packages/turmericweir-core/turmericweir_core/records/settings_path.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_path.py
@@ -1,7 +1,7 @@
-"""The paths that settings are written under, parsed into one data class for each kind.
+"""Paths of settings, parsed into one data class for each kind.
 
-A path says what a value is, which model validates it, and whose subtree it lies in. Operators hold
-subtrees: a grant of `/teams/kestrel` covers that path and everything below it, and nothing else.
+A path determines the model that validates its value and the subtree that it belongs to. Operators
+are granted subtrees: a grant of `/teams/kestrel` covers that path and everything below it.
 """
 
 from __future__ import annotations
@@ -36,9 +36,9 @@
 
 
 class Scope(StrEnum):
-    """What a path below `/limits` bounds."""
+    """The subject of a limit below `/limits`."""
 
-    # Each customer that has no limit of its own.
+    # Every customer without its own limit.
     DEFAULT = "default"
     TEAM = "team"
     CUSTOMER = "customer"
@@ -53,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CustomerPath:
-    """A customer, in the subtree of a team or, with an empty team, outside of all teams."""
+    """A customer of a team or, with an empty team, of no team."""
 
     customer: str
     team: str = ""
@@ -82,7 +82,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelPath:
-    """How many servers should hold a model."""
+    """The number of servers that should have a model loaded."""
 
     model: str
 
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyPath:
-    """How servers are picked."""
+    """The placement policy."""
 
 
 SettingsPath: TypeAlias = (
@@ -123,9 +123,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """One thing that is wrong with a value."""
+    """One error in a value."""
 
-    # Where in the value, such as `rules.0.method`; empty for the value or path as a whole.
+    # Position in the value, such as `rules.0.method`; empty for the value or path as a whole.
     field: str
     # What was expected there.
     expected: str
@@ -133,54 +133,57 @@
 
 @dataclass(frozen=True, slots=True)
 class SettingsError:
-    """What is wrong with a setting, by path and field."""
+    """The errors in a setting."""
 
     path: str
     problems: tuple[Problem, ...]
 
     def __str__(self) -> str:
-        parts = (f"{it.field}: {it.expected}" if it.field else it.expected for it in self.problems)
-        return f"{self.path}: " + "; ".join(parts)
+        texts = (
+            f"{problem.field}: {problem.expected}" if problem.field else problem.expected
+            for problem in self.problems
+        )
+        return f"{self.path}: " + "; ".join(texts)
 
 
 def parse_path(text: str) -> Result[SettingsPath, SettingsError]:
-    """Parse a path, or say which forms there are."""
+    """Return the parsed path, or an error that lists the valid forms."""
     if not text.startswith("/"):
-        return _refuse(text, "a path that starts with '/'")
+        return _path_error(text, "a path that starts with '/'")
     parts = text[1:].split("/")
     for part in parts:
         if not _NAME.fullmatch(part) and not _is_limit_scope(parts):
-            return _refuse(text, f"names made of {NAME_RULE}; got {part!r}")
-    path = _match(parts)
+            return _path_error(text, f"names made of {NAME_RULE}; got {part!r}")
+    path = _path_from_parts(parts)
     if path is None:
-        return _refuse(text, "one of the forms " + ", ".join(PATH_FORMS))
+        return _path_error(text, "one of the forms " + ", ".join(PATH_FORMS))
     return Success(path)
 
 
 def covers(subtree: str, path: str) -> bool:
-    """Tell whether a path is the root of a subtree or lies below it."""
+    """Return whether a path is the root of a subtree or lies below it."""
     root = subtree.rstrip("/")
     return path == root or path.startswith(root + "/")
 
 
 def is_subtree(text: str) -> bool:
-    """Tell whether a text can be granted to an operator."""
+    """Return whether a text is a subtree that can be granted to an operator."""
     if text == "/":
         return True
     parts = text[1:].split("/")
-    plain = all(_NAME.fullmatch(part) for part in parts)
-    return text.startswith("/") and (plain or _is_limit_scope(parts))
+    has_valid_names = all(_NAME.fullmatch(part) for part in parts)
+    return text.startswith("/") and (has_valid_names or _is_limit_scope(parts))
 
 
-def _refuse(path: str, expected: str) -> Result[SettingsPath, SettingsError]:
+def _path_error(path: str, expected: str) -> Result[SettingsPath, SettingsError]:
     return Failure(SettingsError(path, (Problem("", f"expected {expected}"),)))
 
 
 def _is_limit_scope(parts: list[str]) -> bool:
-    return len(parts) == 2 and parts[0] == "limits" and _limit_path(parts[1]) is not None
+    return len(parts) == 2 and parts[0] == "limits" and _parse_limit_path(parts[1]) is not None
 
 
-def _match(parts: list[str]) -> SettingsPath | None:
+def _path_from_parts(parts: list[str]) -> SettingsPath | None:
     match parts:
         case ["classes", name]:
             return ClassPath(name)
@@ -200,14 +203,14 @@
         case ["operators", operator]:
             return OperatorPath(operator)
         case ["limits", scope]:
-            return _limit_path(scope)
+            return _parse_limit_path(scope)
         case ["policy"]:
             return PolicyPath()
         case _:
             return None
 
 
-def _limit_path(text: str) -> LimitPath | None:
+def _parse_limit_path(text: str) -> LimitPath | None:
     if text == Scope.DEFAULT:
         return LimitPath(Scope.DEFAULT)
     scope, _, name = text.partition(":")
--- a/packages/turmericweir-core/turmericweir_core/records/settings_record.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_record.py
@@ -1,8 +1,8 @@
-"""The records of the settings stream, as they stand in the log.
+"""Records of the settings stream of the platform's log.
 
-A `change` is what one operator asks for. A `snapshot` is the whole state before some offset,
-written so that a reader can start when the records themselves have expired. Everything that is
-read is validated here; a record that does not fit is malformed and changes nothing.
+A `change` is a change that one operator requested. A `snapshot` is the whole state before some
+offset; it lets a reader start after the earlier records have expired. All records are validated
+here; a malformed one changes nothing.
 """
 
 from __future__ import annotations
@@ -23,26 +23,26 @@
 
 
 class _Record(BaseModel):
-    # Closed: a field that a later release adds may change what the record means, and readers that
-    # ignored it would hold another state than those that know it.
+    # Unknown fields are errors: a field of a later release may change the meaning of the record,
+    # and ignoring it would lead to a different state.
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True, allow_inf_nan=False)
 
 
 class ChangeRecord(_Record):
-    """One conditional change of one path."""
+    """A conditional change of one path."""
 
     type: Literal["change"] = "change"
     change_id: ChangeId
     path: Text
-    # The version that the path must have, 0 where it must be absent.
+    # The version that the path must have, 0 if it must not exist.
     expected_version: Offset
     # None deletes the path.
     value: Any
     operator: Text
     at: float
-    # `bootstrap` operators stand in the process files and may write everywhere: without them
-    # nobody could write the first operator. Only entry instances append to the log, and they check
-    # the bearer token; the fold cannot, as tokens are not in the records.
+    # `bootstrap` operators are set in the process files and may write everywhere; they create the
+    # first operators. Entry instances check the bearer token before they append a record; readers
+    # cannot check it, as records contain no tokens.
     authority: Literal["operator", "bootstrap"] = "operator"
 
 
@@ -64,7 +64,7 @@
 
 
 class SnapshotRecord(_Record):
-    """The whole state that the records before an offset give."""
+    """The whole state that results from the records before an offset."""
 
     type: Literal["snapshot"] = "snapshot"
     offset: Offset
@@ -76,15 +76,15 @@
 
 SettingsRecord: TypeAlias = ChangeRecord | SnapshotRecord
 
-_ADAPTER: Final[TypeAdapter[SettingsRecord]] = TypeAdapter(
+_RECORD_ADAPTER: Final[TypeAdapter[SettingsRecord]] = TypeAdapter(
     Annotated[SettingsRecord, Field(discriminator="type")]
 )
 
 
 def read_record(raw: object) -> Result[SettingsRecord, str]:
-    """Validate a record as it was read from the log or a peer."""
+    """Return the validated record from the log or a peer, or the first error in it."""
     try:
-        return Success(_ADAPTER.validate_python(raw))
+        return Success(_RECORD_ADAPTER.validate_python(raw))
     except ValidationError as exc:
         first = exc.errors(include_url=False, include_context=False, include_input=False)[0]
         field = ".".join(str(part) for part in first["loc"])
@@ -93,5 +93,5 @@
 
 
 def log_form(record: SettingsRecord) -> dict[str, Any]:
-    """Give a record as the JSON that is appended to the log."""
+    """Return a record as the JSON that is appended to the log."""
     return record.model_dump(mode="json")
--- a/packages/turmericweir-core/turmericweir_core/records/settings_refs.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_refs.py
@@ -1,12 +1,12 @@
-"""What settings name of each other, so that none is left pointing at nothing.
+"""References between settings, and the check that none of them is left dangling.
 
 Each value provides some references (a class provides its name, a customer its token digests) and
-needs others (a customer needs its classes). Two rules follow: a reference has at most one provider,
-and what is needed stays provided. The fold applies them to the state at the change's own offset, so
-every reader comes to the same answer.
+needs others (a customer needs its classes). A reference has at most one provider, and a needed one
+cannot be removed. The rules are applied to the state at the change's own offset, which gives every
+reader the same result.
 
-The models and services in a customer's `classes` are not references: otherwise a team could keep
-the operators of a service from ever removing it, by naming it.
+The models and services in a customer's `classes` are not references: otherwise a team could prevent
+the removal of a service by naming it.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 
 class RefKind(StrEnum):
-    """What a reference names."""
+    """The kind of thing that a reference names."""
 
     CLASS = "class"
     CUSTOMER = "customer"
@@ -51,25 +51,25 @@
 
 @dataclass(frozen=True, slots=True)
 class Ref:
-    """Something that one setting provides and others may need."""
+    """A name that one setting provides and others may need."""
 
     kind: RefKind
     name: str
 
     def __str__(self) -> str:
-        # Problems are kept in the history, and all of this in state dumps; whoever reads a token's
-        # digest there could try guesses of the token against it.
-        return self.kind if self.kind in _SECRET else f"{self.kind} {self.name!r}"
+        # Prevents token digests from appearing in the history and in state dumps, where they would
+        # allow attempts to guess the token.
+        return self.kind if self.kind in _SECRET_KINDS else f"{self.kind} {self.name!r}"
 
 
-# What some value may need; the rest is only provided once, and its loss needs no search.
-_NEEDABLE: Final = frozenset({RefKind.CLASS, RefKind.SERVICE, RefKind.MODEL})
-_SECRET: Final = frozenset({RefKind.CUSTOMER_TOKEN, RefKind.OPERATOR_TOKEN})
+# Kinds that other values may need; the others are only checked for a second provider.
+_NEEDABLE_KINDS: Final = frozenset({RefKind.CLASS, RefKind.SERVICE, RefKind.MODEL})
+_SECRET_KINDS: Final = frozenset({RefKind.CUSTOMER_TOKEN, RefKind.OPERATOR_TOKEN})
 
 
 @dataclass(frozen=True, slots=True)
 class Need:
-    """A field of a value that names something else."""
+    """A field of a value that refers to another setting."""
 
     field: str
     ref: Ref
@@ -80,7 +80,7 @@
 
 
 def provided(path: SettingsPath, value: Value) -> frozenset[Ref]:
-    """List what a value provides."""
+    """Return the references that a value provides."""
     match path, value:
         case ClassPath(name), WrittenClass():
             return frozenset({Ref(RefKind.CLASS, name)})
@@ -97,7 +97,7 @@
 
 
 def needed(path: SettingsPath, value: Value) -> list[Need]:
-    """List what a value needs."""
+    """Return the references that a value needs."""
     match path, value:
         case CustomerPath(), WrittenCustomer():
             return [
@@ -105,7 +105,7 @@
                 for target, name in value.classes.items()
             ]
         case ServicePath(), WrittenService():
-            return _needed_by_rules(value)
+            return _refs_of_rules(value)
         case _, WrittenServer():
             return [Need("service", Ref(RefKind.SERVICE, value.service))]
         case ModelPath(name), WrittenModel():
@@ -114,7 +114,7 @@
             return []
 
 
-def _needed_by_rules(value: WrittenService) -> list[Need]:
+def _refs_of_rules(value: WrittenService) -> list[Need]:
     return [
         Need(f"rules.{number}.service_class", Ref(RefKind.CLASS, rule.service_class))
         for number, rule in enumerate(value.rules)
@@ -125,49 +125,49 @@
 def check_refs(
     entries: Mapping[str, Entry], providers: Providers, path: str, value: Value | None
 ) -> tuple[Problem, ...]:
-    """List what would be left broken if a value, or nothing, stood under a path."""
+    """Return the problems that setting a path to a value, or removing it, would cause."""
     parsed = parse_path(path).unwrap()
     old = entries.get(path)
     before = provided(parsed, old.value) if old is not None else frozenset()
     after = provided(parsed, value) if value is not None else frozenset()
     needs = needed(parsed, value) if value is not None else []
     return (
-        *_missing(providers, needs),
-        *_taken(providers, path, after),
-        *_still_needed(entries, path, before - after),
+        *_missing_refs(providers, needs),
+        *_refs_set_elsewhere(providers, path, after),
+        *_refs_still_needed(entries, path, before - after),
     )
 
 
-def _missing(providers: Providers, needs: Iterable[Need]) -> Iterable[Problem]:
+def _missing_refs(providers: Providers, needs: Iterable[Need]) -> Iterable[Problem]:
     for need in needs:
         if need.ref not in providers:
             expected = f"expected an existing {need.ref.kind}; there is no {need.ref}"
             yield Problem(need.field, expected)
 
 
-def _taken(providers: Providers, path: str, refs: Iterable[Ref]) -> Iterable[Problem]:
+def _refs_set_elsewhere(providers: Providers, path: str, refs: Iterable[Ref]) -> Iterable[Problem]:
     for ref in sorted(refs, key=lambda ref: (ref.kind, ref.name)):
         holder = providers.get(ref, path)
         if holder != path:
             yield Problem("", f"expected what is not set elsewhere; {ref} is set at {holder}")
 
 
-def _still_needed(
-    entries: Mapping[str, Entry], path: str, lost: frozenset[Ref]
+def _refs_still_needed(
+    entries: Mapping[str, Entry], path: str, removed_refs: frozenset[Ref]
 ) -> Iterable[Problem]:
-    gone = {ref for ref in lost if ref.kind in _NEEDABLE}
-    if not gone:
+    lost_refs = {ref for ref in removed_refs if ref.kind in _NEEDABLE_KINDS}
+    if not lost_refs:
         return
     for other in sorted(entries):
         if other == path:
             continue
         for need in needed(parse_path(other).unwrap(), entries[other].value):
-            if need.ref in gone:
+            if need.ref in lost_refs:
                 yield Problem("", f"{need.ref} is still used at {other}")
 
 
 def index_providers(entries: Mapping[str, Entry]) -> Providers:
-    """Index the provider of each reference."""
+    """Return the path that provides each reference."""
     return {
         ref: path
         for path, entry in entries.items()
--- a/packages/turmericweir-core/turmericweir_core/records/settings_verdict.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_verdict.py
@@ -1,6 +1,6 @@
-"""What becomes of each record of the settings stream, as typed values.
+"""Verdicts on the records of the settings stream, as typed values.
 
-`describe` gives any of them as plain JSON: operators, logs and the history see the same words.
+`describe` returns any of them as plain JSON for operators, logs and the history.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class VerdictKind(StrEnum):
-    """How a record was judged."""
+    """The kind of a verdict."""
 
     ACCEPTED = "accepted"
     CONFLICT = "conflict"
@@ -34,7 +34,7 @@
     change_id: str
     path: str
     operator: str
-    # Seconds since the epoch by the clock of whoever made the change; shown, never compared.
+    # Seconds since the epoch by the clock of the instance that took the change; for display only.
     at: float
     # The offset of its record.
     offset: int
@@ -42,10 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Accepted:
-    """The change is in the state."""
+    """The change was applied."""
 
     subject: Subject
-    # The path's version from now on; 0 when the change deleted it.
+    # The new version of the path; 0 if the change deleted it.
     version: int
 
 
@@ -55,16 +55,16 @@
 
     subject: Subject
     expected_version: int
-    # What stands there: the value that won, or None where the path was deleted.
+    # The current version and value of the path; the value is None if the path was deleted.
     version: int
     value: dict[str, Any] | None
-    # Who set it; empty where the path is absent.
+    # The operator who set it; empty if the path does not exist.
     won_by: str
 
 
 @dataclass(frozen=True, slots=True)
 class Invalid:
-    """The path or value is refused."""
+    """The path or value is invalid."""
 
     subject: Subject
     problems: tuple[Problem, ...]
@@ -72,7 +72,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Forbidden:
-    """The operator held no subtree with the path at that offset."""
+    """No subtree of the operator contained the path at that offset."""
 
     subject: Subject
 
@@ -83,13 +83,13 @@
 
     subject: Subject
     first_offset: int
-    # How it was judged then.
+    # The earlier verdict.
     first: VerdictKind
 
 
 @dataclass(frozen=True, slots=True)
 class Malformed:
-    """The record is not one of the settings stream; it changes nothing."""
+    """The record is not valid in the settings stream; it changes nothing."""
 
     offset: int
     reason: str
@@ -97,7 +97,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotMatched:
-    """A snapshot says what this reader holds too."""
+    """A snapshot matches the state of this reader."""
 
     offset: int
     snapshot_offset: int
@@ -105,7 +105,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotMismatched:
-    """A snapshot is damaged, or says other than this reader holds; it is ignored."""
+    """A snapshot is damaged, or differs from the state of this reader; it is ignored."""
 
     offset: int
     snapshot_offset: int
@@ -114,7 +114,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SnapshotUnchecked:
-    """A snapshot is sound in itself, of an offset whose hash this reader has not kept."""
+    """A snapshot is intact, but this reader no longer has the hash for its offset."""
 
     offset: int
     snapshot_offset: int
@@ -122,27 +122,27 @@
 
 @dataclass(frozen=True, slots=True)
 class NotAppended:
-    """The log did not take the change; it changed nothing and never will."""
+    """The log did not accept the change; it changed nothing and never will."""
 
     change_id: str
     path: str
     reason: str
 
 
-# Verdicts that the fold gives on a change that it sees for the first time.
+# Verdicts on a change that is read for the first time.
 ChangeVerdict: TypeAlias = Accepted | Conflict | Invalid | Forbidden
 SnapshotVerdict: TypeAlias = SnapshotMatched | SnapshotMismatched | SnapshotUnchecked
 Verdict: TypeAlias = ChangeVerdict | Repeated | Malformed | SnapshotVerdict
-# What an operator who waits for a change can be told.
+# Final results that can be reported to the operator who submitted a change.
 Settlement: TypeAlias = ChangeVerdict | Repeated | NotAppended
 
 
 def kind_of(verdict: Verdict | NotAppended) -> VerdictKind:
-    """Name the kind of a verdict."""
-    return _KINDS[type(verdict)]
+    """Return the kind of a verdict."""
+    return _KIND_BY_TYPE[type(verdict)]
 
 
-_KINDS: dict[type[Verdict | NotAppended], VerdictKind] = {
+_KIND_BY_TYPE: dict[type[Verdict | NotAppended], VerdictKind] = {
     Accepted: VerdictKind.ACCEPTED,
     Conflict: VerdictKind.CONFLICT,
     Invalid: VerdictKind.INVALID,
@@ -157,7 +157,7 @@
 
 
 def describe(verdict: Verdict | NotAppended) -> dict[str, Any]:
-    """Give a verdict as plain JSON."""
+    """Return a verdict as plain JSON."""
     fields = asdict(verdict)
     subject = fields.pop("subject", {})
     return {"verdict": kind_of(verdict).value, **subject, **fields}
--- a/packages/turmericweir-core/turmericweir_core/records/usage_note.py
+++ b/packages/turmericweir-core/turmericweir_core/records/usage_note.py
@@ -1,4 +1,4 @@
-"""What the holder of the duties notes in its lease: the windows that it has settled."""
+"""The note of the duty holder in its lease record: the usage windows that it has settled."""
 
 from __future__ import annotations
 
@@ -8,31 +8,34 @@
 
 
 class UsageNote(Struct, frozen=True):
-    """Windows whose counts stand fast."""
+    """Usage windows whose counts are final."""
 
-    # The newest window that was settled; None before any was.
+    # The newest settled window; None if there is none.
     newest: int | None = None
-    # Requests by customer of the windows that the platform may not have taken yet.
+    # Requests by customer for windows that the platform may not have accepted yet.
     counts: dict[int, dict[str, int]] = field(default_factory=dict)
 
 
 def write_note(note: UsageNote) -> dict[str, Any]:
-    """Turn a note into the JSON object that is kept."""
-    return {"newest": note.newest, "counts": {str(at): each for at, each in note.counts.items()}}
+    """Return a note as the JSON object that is stored."""
+    return {
+        "newest": note.newest,
+        "counts": {str(window): customers for window, customers in note.counts.items()},
+    }
 
 
-# Any: the value is whatever JSON the store held.
+# Any: the value is arbitrary JSON from the store.
 def read_note(value: Any) -> UsageNote:
-    """Validate a note; one that is malformed or missing says nothing."""
+    """Return the validated note; an empty one if it is malformed or missing."""
     try:
         newest = value["newest"]
-        counts = {int(at): _counts(each) for at, each in value["counts"].items()}
+        counts = {int(window): _parse_counts(row) for window, row in value["counts"].items()}
     except (AttributeError, KeyError, TypeError, ValueError):
         return UsageNote()
     return UsageNote(newest if isinstance(newest, int) else None, counts)
 
 
-def _counts(value: Any) -> dict[str, int]:
-    if not all(isinstance(each, int) for each in value.values()):
-        raise ValueError("counts are whole numbers")
+def _parse_counts(value: Any) -> dict[str, int]:
+    if not all(isinstance(count, int) for count in value.values()):
+        raise ValueError("a usage count is not a whole number")
     return dict(value)
