--- a/packages/turmericweir-core/turmericweir_core/base/reasons.py
+++ b/packages/turmericweir-core/turmericweir_core/base/reasons.py
@@ -1,6 +1,6 @@
-"""Every reason and message that a caller or an operator can be given, in one place.
+"""All reasons why a request ends, and the message for each.
 
-Codes are stable: callers and dashboards match on them. The sentences may change.
+The codes are stable, as callers and dashboards match on them. The messages may change.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 
 class Reason(StrEnum):
-    """Why a request ended as it did."""
+    """Why a request ended."""
 
     OK = "ok"
     # Refused before anything ran.
@@ -33,7 +33,7 @@
     CLAIM_UNAVAILABLE = "claim_unavailable"
     # The idempotency key was used before with another request.
     KEY_REUSED = "key_reused"
-    # Ended after a server had begun, or may have begun.
+    # Ended after a server started, or may have started.
     SERVER_LOST = "server_lost"
     SERVER_ERROR = "server_error"
     RETRIES_EXHAUSTED = "retries_exhausted"
@@ -58,10 +58,12 @@
     Reason.DEADLINE: "The deadline passed before a server could begin; nothing was run.",
     Reason.NO_SERVER: "No server for this target can be reached.",
     Reason.NO_SETTINGS: "This instance has no settings yet.",
-    Reason.KEY_UNPROVEN: "This instance cannot tell at present whether the key is still good.",
-    Reason.SETTINGS_IN_DOUBT: "This instance cannot tell at present whether its settings are new.",
+    Reason.KEY_UNPROVEN: "This instance cannot verify at present that the key is still valid.",
+    Reason.SETTINGS_IN_DOUBT: (
+        "This instance cannot verify at present that its settings are the newest."
+    ),
     Reason.STOPPING: "This instance is stopping and takes no new requests.",
-    Reason.DISPLACED: "Work of a more urgent class took the place of this request.",
+    Reason.DISPLACED: "This request was preempted by work of a more urgent class.",
     Reason.CLAIM_UNAVAILABLE: (
         "The idempotency key could not be claimed, so this request was not run; "
         "send it again with the same key, as an earlier one may have been run."
@@ -72,7 +74,7 @@
     Reason.RETRIES_EXHAUSTED: "The answer broke off and the retry budget is spent.",
     Reason.QUARANTINED: "This request was in flight at repeated server crashes and is refused.",
     Reason.CALLER_LEFT: "The caller closed the connection.",
-    Reason.EVIDENCE_LOST: "The call may have run; what became of it is not known.",
+    Reason.EVIDENCE_LOST: "The call may have run; its result is not known.",
     Reason.ALREADY_CLAIMED: "A call with this idempotency key may have run; see the first one.",
     Reason.ALREADY_COMPLETED: (
         "A call with this idempotency key was completed; its answer is no longer kept."
