--- a/packages/turmericweir-core/turmericweir_core/base/reasons.py
+++ b/packages/turmericweir-core/turmericweir_core/base/reasons.py
@@ -58,12 +58,10 @@
     Reason.DEADLINE: "The deadline passed before a server could begin; nothing was run.",
     Reason.NO_SERVER: "No server for this target can be reached.",
     Reason.NO_SETTINGS: "This instance has no settings yet.",
-    Reason.KEY_UNPROVEN: "This instance cannot verify at present that the key is still valid.",
-    Reason.SETTINGS_IN_DOUBT: (
-        "This instance cannot verify at present that its settings are the newest."
-    ),
+    Reason.KEY_UNPROVEN: "This instance cannot tell at present whether the key is still good.",
+    Reason.SETTINGS_IN_DOUBT: "This instance cannot tell at present whether its settings are new.",
     Reason.STOPPING: "This instance is stopping and takes no new requests.",
-    Reason.DISPLACED: "This request was preempted by work of a more urgent class.",
+    Reason.DISPLACED: "Work of a more urgent class took the place of this request.",
     Reason.CLAIM_UNAVAILABLE: (
         "The idempotency key could not be claimed, so this request was not run; "
         "send it again with the same key, as an earlier one may have been run."
@@ -74,7 +72,7 @@
     Reason.RETRIES_EXHAUSTED: "The answer broke off and the retry budget is spent.",
     Reason.QUARANTINED: "This request was in flight at repeated server crashes and is refused.",
     Reason.CALLER_LEFT: "The caller closed the connection.",
-    Reason.EVIDENCE_LOST: "The call may have run; its result is not known.",
+    Reason.EVIDENCE_LOST: "The call may have run; what became of it is not known.",
     Reason.ALREADY_CLAIMED: "A call with this idempotency key may have run; see the first one.",
     Reason.ALREADY_COMPLETED: (
         "A call with this idempotency key was completed; its answer is no longer kept."
