--- a/packages/turmericweir-core/turmericweir_core/placement/admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/admission.py
@@ -1,13 +1,10 @@
-"""Refuse early what cannot be answered in time, and say when to come back.
+"""Refuse requests that cannot be answered in time, with a time to retry after.
 
-A request that waits until its deadline and is then given up has cost its caller all that time, and
-a queue that is longer than its deadlines serves nothing but requests that are about to expire. So
-the wait of a new request is predicted from the work ahead of it, in its own and more urgent tiers,
-over the rate at which this instance's backlog drains; beyond the deadline it is refused at once.
-
-Before a request of an upper tier is refused, lower work makes way: a running attempt is displaced,
-or a waiting request is dropped. Only when nothing of the kind is left is the upper tier refused.
-An answer that is ready is never held back: admission looks at new requests only.
+The wait of a new request is predicted as the work ahead of it, in its own and more urgent tiers,
+over the rate at which this instance's backlog drains. A request whose predicted wait exceeds its
+deadline is refused at once. Before an upper tier is refused, lower work gives way: a running
+attempt is displaced or a waiting request is dropped. Only new and waiting requests are refused,
+never finished answers.
 """
 
 from __future__ import annotations
@@ -21,19 +18,19 @@
 from turmericweir_core.engines import engine_pools
 from turmericweir_core.membership.subset import open_servers
 from turmericweir_core.placement import displacement, predicted_admission
-from turmericweir_core.placement.placement import idle_share
+from turmericweir_core.placement.placement import idle_slots_share
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.pool_load import arrival_rate, drain_rate, note_arrival, pool_load
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Stands in for a rate of nothing, which cannot be divided by.
-MIN_RATE: Final = 1e-9
+# Prevents a division by zero where nothing drains.
+MIN_DRAIN_RATE: Final = 1e-9
 
 
 class Admitted(Struct, frozen=True):
-    """The request may wait; others may have to make way for it."""
+    """The request may wait; another request may have to give way to it."""
 
     # A running request whose attempt is to be displaced.
     displace: Request | None = None
@@ -45,63 +42,64 @@
     """The request ends `not_run` now."""
 
     retry_after_s: float
-    # What it was decided by, for the log.
-    because: dict[str, object] = field(default_factory=dict)
+    # Inputs of the decision, for the log.
+    details: dict[str, object] = field(default_factory=dict)
 
 
-def judge(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
+def decide(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
     """Decide whether a new request may wait for a server."""
     if state.config.policy is Policy.BASELINE:
         return _judge_baseline(state, req)
     if state.config.policy is Policy.PREDICTED:
         return _judge_predicted(state, now, req, pool)
-    wait = predicted_wait(state, now, req, pool)
-    if _is_in_time(state, now, req, wait) and not _queue_is_full(state, req):
+    wait = predicted_wait_s(state, now, req, pool)
+    if _can_finish_in_time(state, now, req, wait) and not _is_queue_full(state, req):
         return Admitted()
-    way = _make_way(state, now, req, pool)
-    return way or Refused(retry_after(state, now, req, wait))
+    lower_work = _find_lower_work(state, now, req, pool)
+    return lower_work or Refused(retry_after(state, now, req, wait))
 
 
 def _judge_baseline(state: State, req: Request) -> Admitted | Refused:
-    if _queue_is_full(state, req):
+    if _is_queue_full(state, req):
         return Refused(state.options.retry_after_min_s)
     return Admitted()
 
 
 def _judge_predicted(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
-    # Whatever becomes of it: engines that are too few for a kind of request refuse most of them,
-    # and would stay too few if only those that are let in counted.
+    # Counts refused requests too. Prevents a kind of request with too few engines from keeping too
+    # few, because most of its requests are refused.
     engine_pools.note_demand(state, now, req, open_servers(state, now, req.target))
     wait = predicted_admission.wait_s(state, now, req, pool)
-    if predicted_admission.may_wait(state, now, req, wait) and not _queue_is_full(state, req):
+    if predicted_admission.can_answer_in_time(state, now, req, wait) and not _is_queue_full(
+        state, req
+    ):
         return Admitted()
-    waiting = displacement.waiting_to_drop(state, pool, req.priority)
-    if waiting is not None:
-        return Admitted(drop=waiting)
-    pause = predicted_admission.retry_after(state, now, req, wait)
-    return Refused(pause, predicted_admission.explain(state, now, req, wait))
+    dropped = displacement.waiting_request_to_drop(state, pool, req.priority)
+    if dropped is not None:
+        return Admitted(drop=dropped)
+    retry_after_s = predicted_admission.retry_after(state, now, req, wait)
+    return Refused(retry_after_s, predicted_admission.explain(state, now, req, wait))
 
 
-def _queue_is_full(state: State, req: Request) -> bool:
+def _is_queue_full(state: State, req: Request) -> bool:
     waiting = queue_state.waiting_count(state.queues, req.target, req.service_class.name)
     return waiting >= state.options.queue_limit
 
 
-def _make_way(state: State, now: float, req: Request, pool: str) -> Admitted | None:
-    """Find lower work that makes way for a request that would have to be refused.
+def _find_lower_work(state: State, now: float, req: Request, pool: str) -> Admitted | None:
+    """Find lower work that gives way to a request that would otherwise be refused.
 
-    Failure without it: a counter request is refused while an essay mark runs on the slot that it
-    needed. One piece of lower work goes for each, so no more is lost than upper work gains.
+    At most one piece of lower work is given up for each such request.
     """
-    running = displacement.lowest_running(state, now, req.target, req.priority)
-    if running is not None:
-        return Admitted(displace=running)
-    waiting = displacement.waiting_to_drop(state, pool, req.priority)
-    return None if waiting is None else Admitted(drop=waiting)
+    displaced = displacement.least_urgent_running(state, now, req.target, req.priority)
+    if displaced is not None:
+        return Admitted(displace=displaced)
+    dropped = displacement.waiting_request_to_drop(state, pool, req.priority)
+    return None if dropped is None else Admitted(drop=dropped)
 
 
-def note_admitted(state: State, now: float, req: Request, pool: str) -> None:
-    """Count the work of a request that was let in, for the prediction of later waits."""
+def record_admitted(state: State, now: float, req: Request, pool: str) -> None:
+    """Record the work of an admitted request, for the prediction of later waits."""
     load = pool_load(state.pool_loads, pool)
     note_arrival(load, state.options, now, req.priority, queue_state.cost(req))
 
@@ -109,89 +107,93 @@
 # --- the wait --------------------------------------------------------------------------------
 
 
-def predicted_wait(state: State, now: float, req: Request, pool: str) -> float:
-    """Predict how long a new request would wait for a server, seconds."""
+def predicted_wait_s(state: State, now: float, req: Request, pool: str) -> float:
+    """Return how long a new request is predicted to wait for a server, in seconds."""
     load = pool_load(state.pool_loads, pool)
     rate = drain_rate(load)
     if rate is None:
-        # Nothing was learnt yet; it is let in, and its own attempt will tell.
+        # No rate has been observed yet.
         return 0.0
-    ahead = _work_ahead(state, req, pool)
-    above = arrival_rate(load, state.options, now, req.priority)
-    wait = _time_to_drain(state, req, above, ahead, rate)
-    if _is_in_time(state, now, req, wait):
+    work_ahead = _work_ahead(state, req, pool)
+    upper_arrival_rate = arrival_rate(load, state.options, now, req.priority)
+    wait = _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
+    if _can_finish_in_time(state, now, req, wait):
         return wait
-    rate = drain_rate(load, idle_share(state, now, req.target)) or rate
-    return _time_to_drain(state, req, above, ahead, rate)
+    rate = drain_rate(load, idle_slots_share(state, now, req.target)) or rate
+    return _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
 
 
-def _is_in_time(state: State, now: float, req: Request, wait: float) -> bool:
+def _can_finish_in_time(state: State, now: float, req: Request, wait: float) -> bool:
     return wait <= state.options.admit_share * (req.deadline - now)
 
 
 def _work_ahead(state: State, req: Request, pool: str) -> float:
-    """Sum the work that is served before a new request: of its own tier only what is on time."""
-    upper, own = 0.0, 0.0
+    """Sum the work served before a new request; late work of its own tier does not count."""
+    upper_work, own_work = 0.0, 0.0
     for queue in queue_state.pool_queues(state.queues, pool):
         if queue.service_class.priority < req.priority:
-            upper += queue.work
+            upper_work += queue.work
         elif queue.service_class.priority == req.priority:
-            own += queue.work - queue.late_work
-    return upper + own
+            own_work += queue.work - queue.late_work
+    return upper_work + own_work
 
 
-class InVain(Struct, frozen=True):
-    """A late request that would only wait until its deadline."""
+class UnservableRequest(Struct, frozen=True):
+    """A late request that would expire before it is served."""
 
     request: Request
     retry_after_s: float
 
 
-def in_vain(state: State, now: float, pool: str) -> list[InVain]:
-    """List late requests that will not be served before their deadlines, by what is known now.
+def unservable_requests(state: State, now: float, pool: str) -> list[UnservableRequest]:
+    """List the late requests that are predicted to expire before they are served.
 
-    Failure: a class is served at the edge of its target while its late ones wait behind, until
-    their deadlines, for nothing; their callers could long have been told when to come back. Only
-    both ends are looked at, so that a tick costs the same whatever number waits: the first has
-    the least time left, and the last the most work ahead.
+    Only the two ends of each late queue are checked, which bounds the cost of a tick: the first has
+    the least time left, the last the most work ahead.
     """
     load = pool_load(state.pool_loads, pool)
-    found: list[InVain] = []
+    unservable: list[UnservableRequest] = []
     if state.config.policy is Policy.PREDICTED:
-        return found
+        return unservable
     for queue in queue_state.pool_queues(state.queues, pool):
-        rate = drain_rate(load, idle_share(state, now, queue.target)) if queue.late else None
+        rate = drain_rate(load, idle_slots_share(state, now, queue.target)) if queue.late else None
         if rate is None:
             continue
-        # Of its own tier as well: what arrives there is on time, and goes before.
-        above = arrival_rate(load, state.options, now, queue.service_class.priority + 1)
-        for req, late_ahead in queue.late_ends():
-            ahead = _work_ahead(state, req, pool) + late_ahead
-            wait = _time_to_drain(state, req, above, ahead, rate)
-            too_late = not req.may_have_run and wait > req.deadline - now
-            # Lower work makes way for it first, as for a new request.
-            if too_late and _make_way(state, now, req, pool) is None:
-                found.append(InVain(req, retry_after(state, now, req, wait)))
-    return found
-
-
-def _time_to_drain(state: State, req: Request, above: float, ahead: float, rate: float) -> float:
-    """Give the time in which work drains while more urgent work goes on arriving.
-
-    What arrived above lately is taken to go on for as long again as it was averaged over, and not
-    for ever. Failure: a burst of a middle class leaves the lowest its assured share, any work ahead
-    then looks later than its deadline, and it is refused until well after the burst has ended.
+        # Arrivals of the same tier are on time and are served first, so they count as well.
+        upper_arrival_rate = arrival_rate(
+            load, state.options, now, queue.service_class.priority + 1
+        )
+        for req, late_work_ahead in queue.late_ends():
+            work_ahead = _work_ahead(state, req, pool) + late_work_ahead
+            wait = _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
+            is_hopeless = not req.may_have_run and wait > req.deadline - now
+            # Lower work gives way first, as for a new request.
+            if is_hopeless and _find_lower_work(state, now, req, pool) is None:
+                unservable.append(UnservableRequest(req, retry_after(state, now, req, wait)))
+    return unservable
+
+
+def _drain_time_s(
+    state: State, req: Request, upper_arrival_rate: float, work_ahead: float, rate: float
+) -> float:
+    """Return the time in which work drains while more urgent work keeps arriving.
+
+    The recent arrival rate of more urgent work is assumed to last for one more averaging window.
+    Prevents a short burst of a middle class from causing refusals of the lowest class after it
+    ended.
     """
-    during = max(rate - above, rate * req.service_class.assured_share, MIN_RATE)
-    window = state.options.arrival_window_s
-    drained = during * window
-    if ahead <= drained:
-        return ahead / during
-    return window + (ahead - drained) / max(rate, MIN_RATE)
+    rate_in_window = max(
+        rate - upper_arrival_rate, rate * req.service_class.assured_share, MIN_DRAIN_RATE
+    )
+    window_s = state.options.arrival_window_s
+    drained_in_window = rate_in_window * window_s
+    if work_ahead <= drained_in_window:
+        return work_ahead / rate_in_window
+    return window_s + (work_ahead - drained_in_window) / max(rate, MIN_DRAIN_RATE)
 
 
 def retry_after(state: State, now: float, req: Request, wait: float) -> float:
-    """Give the time after which the backlog will have drained enough for a request like this."""
+    """Return the time after which the backlog has drained enough for such a request."""
     options = state.options
-    surplus = wait - (req.deadline - now)
-    return min(options.retry_after_max_s, max(options.retry_after_min_s, surplus))
+    overrun_s = wait - (req.deadline - now)
+    return min(options.retry_after_max_s, max(options.retry_after_min_s, overrun_s))
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_books.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_books.py
@@ -1,8 +1,8 @@
-"""Keep the books of what runs: every start and end of an attempt is entered here, once.
+"""Record the start and the end of each attempt, exactly once.
 
-From them placement, admission and prediction learn: what runs by tier, what is left to generate on
-each server, how fast servers and pools are, how long answers are. The time of each token is not
-entered: running attempts are sampled on ticks, so that the hottest event stays cheap.
+Placement, admission and prediction learn from these records: what runs by tier, the work left on
+each server, the pace of servers and pools, and the length of answers. Tokens are not recorded one
+by one; running attempts are sampled on ticks instead.
 """
 
 from __future__ import annotations
@@ -33,50 +33,50 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Tokens from which on the pace of an attempt that did not complete is worth learning from.
-_PACE_TOKENS = 8
-# Statuses from here on say that the server failed.
-_SERVER_FAULT = 500
+# Fewer tokens of an incomplete answer say too little about the pace.
+_PACE_MIN_TOKENS = 8
+# Lowest status that counts as a failure of the server.
+_SERVER_ERROR_STATUS_MIN = 500
 
 
 def note_started(state: State, now: float, req: Request, attempt: Attempt, pool: str) -> None:
-    """Enter an attempt that begins."""
+    """Record the start of an attempt."""
     attempt.pool = pool
     attempt.work = cost(req)
     pool_load.note_start(pool_load.pool_load(state.pool_loads, pool), attempt.tier)
-    work = state.predicted_work
+    work_by_server = state.predicted_work
     server = state.servers.by_name.get(attempt.server)
     if server is not None and state.config.policy is Policy.PREDICTED:
         engine_model.note_started(state, now, req, attempt, server)
     if req.kind is Kind.MODEL:
-        work[attempt.server] = work.get(attempt.server, 0.0) + attempt.work
+        work_by_server[attempt.server] = work_by_server.get(attempt.server, 0.0) + attempt.work
         attempt.gap_late_s = req.service_class.token_gap_target_s or inf
         prefix.note_sent(state.prefixes, state.options, now, attempt.server, req.prefixes)
 
 
 def note_ended(state: State, now: float, req: Request, attempt: Attempt) -> None:
-    """Enter the end of an attempt, whatever became of it."""
+    """Record the end of an attempt, whatever its result."""
     load = pool_load.pool_load(state.pool_loads, attempt.pool)
     pool_load.note_end(load, attempt.tier)
     displacement.note_ended(state, attempt.cancelled, attempt.pool)
     engine_model.note_ended(state, attempt)
     if req.kind is not Kind.MODEL:
         return
-    work = state.predicted_work
-    left = work.get(attempt.server, 0.0) - attempt.work
-    work[attempt.server] = max(0.0, left)
+    work_by_server = state.predicted_work
+    work_left = work_by_server.get(attempt.server, 0.0) - attempt.work
+    work_by_server[attempt.server] = max(0.0, work_left)
     server = state.servers.by_name.get(attempt.server)
     if server is not None:
         straggler.sample_end(state.stragglers, state.options, server.service.name, attempt)
-    if attempt.tokens >= _PACE_TOKENS:
+    if attempt.tokens >= _PACE_MIN_TOKENS:
         pool_load.note_pace(load, state.options, now - attempt.started, float(attempt.tokens))
 
 
-def note_outcome(state: State, now: float, attempt: Attempt, end: AttemptEnd) -> None:
-    """Remember whether a server failed; what this instance stopped itself says nothing of it."""
+def record_outcome(state: State, now: float, attempt: Attempt, end: AttemptEnd) -> None:
+    """Record whether a server failed; an end that this instance caused does not count."""
     match end:
         case EndComplete(status=status):
-            failed = status >= _SERVER_FAULT
+            failed = status >= _SERVER_ERROR_STATUS_MIN
         case EndCancelled():
             if attempt.cancelled not in (CancelReason.SILENT, CancelReason.SERVER_DEAD):
                 return
@@ -88,8 +88,8 @@
     reliability.note_end(state.reliability, now, attempt.server, failed=failed)
 
 
-def report_end(now: float, attempt: Attempt, end: AttemptEnd) -> list[Effect]:
-    """Count the end of an attempt by server, and time it where the answer is whole."""
+def count_end(now: float, attempt: Attempt, end: AttemptEnd) -> list[Effect]:
+    """Count the end of an attempt by server, and time complete answers."""
     effects: list[Effect] = [Count(f"attempt.{_end_name(attempt, end)}.{attempt.server}")]
     if isinstance(end, EndComplete):
         effects.append(Timing(f"attempt.completed.{attempt.server}", now - attempt.started))
@@ -103,7 +103,7 @@
         case EndRefused():
             return "refused"
         case EndUnsent():
-            # What was reported as begun counts as broken, as `attempt_flow` takes it.
+            # Matches `attempt_flow`, which treats an attempt reported as sent as broken.
             return "broken" if attempt.sent else "unsent"
         case EndBroken():
             return "broken"
@@ -115,20 +115,20 @@
             assert_never(unreachable)
 
 
-def note_completed(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
-    """Learn from an attempt whose answer is whole."""
+def record_completed(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
+    """Learn from an attempt with a complete answer."""
     options = state.options
     if req.kind is Kind.MODEL:
         if attempt.first_token_at is not None and state.config.policy is Policy.PREDICTED:
             engine_pools.note_generated(state, req, now - attempt.first_token_at)
         return predict.note_length(state.predictor, options, req)
-    elapsed = now - attempt.started
+    elapsed_s = now - attempt.started
     load = pool_load.pool_load(state.pool_loads, attempt.pool)
-    pool_load.note_pace(load, options, elapsed, 1.0)
+    pool_load.note_pace(load, options, elapsed_s, 1.0)
     server = state.servers.by_name.get(attempt.server)
     if server is not None:
         concurrency.note_latency(
-            state.server_limits, options, now, attempt.server, server.slots, elapsed
+            state.server_limits, options, now, attempt.server, server.slots, elapsed_s
         )
     return []
 
@@ -137,12 +137,12 @@
     """Learn from the first token of an attempt."""
     engine_model.note_first_token(state, now, req, attempt)
     if attempt.tier != most_urgent(state.config):
-        # Lower tiers wait at the engine behind upper ones, which says nothing of its limit.
+        # Lower tiers wait at the engine behind upper ones, which says nothing about its limit.
         return
-    waited = now - attempt.started
+    waited_s = now - attempt.started
     target_s = req.service_class.target_s
     concurrency.note_first_token(
-        state.server_limits, state.options, attempt.server, waited, target_s
+        state.server_limits, state.options, attempt.server, waited_s, target_s
     )
 
 
@@ -150,7 +150,7 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Sample what runs, judge the servers by it and adapt their limits."""
+    """Sample running attempts, judge servers by them, and adapt their limits."""
     if state.config.policy is Policy.BASELINE:
         return []
     if not straggler.sample_is_due(state.stragglers, state.options, now):
@@ -168,8 +168,8 @@
                     req.attempt,
                     urgent=req.attempt.tier == urgent,
                 )
-    _forget_gone(state)
-    _adjust_engines(state, now)
+    _forget_removed_servers(state)
+    _adjust_engine_limits(state, now)
     effects: list[Effect] = []
     for name in straggler.judge_all(state.stragglers, state.options, now):
         effects.append(Count("straggler.found"))
@@ -177,8 +177,8 @@
     return effects
 
 
-def _adjust_engines(state: State, now: float) -> None:
-    target = _gap_target(state)
+def _adjust_engine_limits(state: State, now: float) -> None:
+    target = _most_urgent_gap_target_s(state)
     for name, pace in state.stragglers.by_server.items():
         server = state.servers.by_name.get(name)
         if server is not None and server.in_flight:
@@ -187,18 +187,18 @@
             )
 
 
-def _gap_target(state: State) -> float | None:
-    """Give the time between tokens that the most urgent class with a promise was promised."""
-    promised = [
-        (each.priority, each.token_gap_target_s)
-        for each in state.config.classes.values()
-        if each.token_gap_target_s is not None
+def _most_urgent_gap_target_s(state: State) -> float | None:
+    """Return the token gap target of the most urgent class that has one."""
+    targets = [
+        (service_class.priority, service_class.token_gap_target_s)
+        for service_class in state.config.classes.values()
+        if service_class.token_gap_target_s is not None
     ]
-    return min(promised)[1] if promised else None
+    return min(targets)[1] if targets else None
 
 
-def _forget_gone(state: State) -> None:
-    """Let go of what is known of servers that left the table."""
+def _forget_removed_servers(state: State) -> None:
+    """Forget the state of servers that left the server table."""
     for name in list(state.stragglers.by_server):
         if name not in state.servers.by_name:
             straggler.forget_server(state.stragglers, name)
@@ -215,7 +215,7 @@
 
 
 def note_report(state: State, now: float, report: ServerReport) -> None:
-    """Judge a server afresh, with an empty cache, where it restarted under the same name."""
+    """Reset a server's state where its report shows a restart under the same name."""
     name = report.server
     server = state.servers.by_name.get(name)
     if server is None or server.report is None:
@@ -225,7 +225,7 @@
 
 
 def judge_afresh(state: State, now: float, name: ServerName) -> None:
-    """Forget what is known of a server that has begun another life: its cache is empty."""
+    """Forget the state of a server that restarted; its cache is empty."""
     straggler.forget_server(state.stragglers, name)
     concurrency.forget_server(state.server_limits, name)
     prefix.forget_server(state.prefixes, now, name)
--- a/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
@@ -1,10 +1,10 @@
-"""Find out that a server is dead while requests wait for it in vain.
+"""Detect dead servers on which running requests wait.
 
-A server that loses power, or a way that is cut, resets nothing: the connection stays open and
-carries nothing, and the caller would wait until its deadline. Silence alone proves nothing, as an
-engine may be busy. So a server on which an attempt has been silent for a while is connected to
-anew, and if that fails twice in a row the attempts that were silent all that time are given up:
-what may run again goes on elsewhere, and the callers of the others are told at once.
+A server that loses power, or a cut network path, resets no connection, so its callers would wait
+until their deadlines. An unresponsive attempt alone proves nothing, as an engine may be busy. So
+the instance opens a new connection to the server; after several failures in a row it cancels the
+attempts that stayed unresponsive. Requests that may run again go on elsewhere, and other callers
+get an error at once.
 """
 
 from __future__ import annotations
@@ -21,73 +21,73 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Silence after which a server is connected to: twice what three steps with a chunk take (85 ms
-# each), so seldom beside a server that lives. Callers give a stream up after two seconds without an
-# event; two tries, each of which takes 0.35 s to fail, leave one that may go on elsewhere 0.8 s.
-_SILENT_S: Final = 0.6
-# An answer that has not begun is silent only beyond so many times its predicted time.
-_PREDICTED_X: Final = 3.0
-# Between two tries of a server that answers, since each is paid for; between two that are not
-# answered, well above the way there and back; and failures in a row that count: a lost packet is
-# one.
-_ALIVE_S: Final = 2.0
-_TRY_S: Final = 0.15
-_FAILURES: Final = 2
+# Longer than several engine steps with a chunk, and short enough that a request can go on elsewhere
+# before callers give the stream up.
+_UNRESPONSIVE_S: Final = 0.6
+# An answer that has not begun is unresponsive only after this multiple of its predicted time.
+_PREDICTED_FACTOR: Final = 3.0
+# Interval between probes of a server that answers, between probes of one that does not, and the
+# failures in a row that count, since one packet may be lost.
+_ANSWERING_PROBE_INTERVAL_S: Final = 2.0
+_RETRY_INTERVAL_S: Final = 0.15
+_FAILURES_MAX: Final = 2
 _MS: Final = 1000.0
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Try the servers on which something is silent."""
-    silent = {
+    """Probe the servers that have unresponsive attempts."""
+    unresponsive = {
         req.attempt.server
         for req in state.requests.values()
-        if req.attempt is not None and _is_silent(state, now, req.attempt)
+        if req.attempt is not None and _is_unresponsive(state, now, req.attempt)
     }
-    tries = state.dead.by_server
-    for name in [each for each in tries if each not in silent]:
-        del tries[name]
+    suspicions = state.dead.by_server
+    for name in [each for each in suspicions if each not in unresponsive]:
+        del suspicions[name]
     effects: list[Effect] = []
-    for name in sorted(silent):
+    for name in sorted(unresponsive):
         server = state.servers.by_name.get(name)
-        known = tries.get(name)
-        if server is None or (known is not None and now < known.try_due):
+        suspicion = suspicions.get(name)
+        if server is None or (suspicion is not None and now < suspicion.try_due):
             continue
-        # Tried again soon, unless this one is answered by then.
-        tries[name] = Suspicion(now + _TRY_S, 0 if known is None else known.failures)
+        # Probed again after this interval unless it answers before.
+        suspicions[name] = Suspicion(
+            now + _RETRY_INTERVAL_S, 0 if suspicion is None else suspicion.failures
+        )
         effects.append(ProbeServer(name, server.entry.address))
     return effects
 
 
-def _is_silent(state: State, now: float, attempt: Attempt) -> bool:
+def _is_unresponsive(state: State, now: float, attempt: Attempt) -> bool:
     if not attempt.sent or attempt.cancelled is not None:
         return False
     if attempt.last_token_at is not None:
-        return now - attempt.last_token_at >= _SILENT_S
-    predicted = engine_model.predicted_ms(state, attempt) or 0.0
-    return now - attempt.started >= max(_SILENT_S, _PREDICTED_X * predicted / _MS)
+        return now - attempt.last_token_at >= _UNRESPONSIVE_S
+    predicted_ms = engine_model.predicted_ms(state, attempt) or 0.0
+    return now - attempt.started >= max(_UNRESPONSIVE_S, _PREDICTED_FACTOR * predicted_ms / _MS)
 
 
 def on_answered(state: State, now: float, name: ServerName) -> None:
-    """Take it that a server lives."""
-    known = state.dead.by_server.get(name)
-    if known is not None:
-        known.failures = 0
-        known.try_due = now + _ALIVE_S
+    """Record that a server answered a probe."""
+    suspicion = state.dead.by_server.get(name)
+    if suspicion is not None:
+        suspicion.failures = 0
+        suspicion.try_due = now + _ANSWERING_PROBE_INTERVAL_S
 
 
 def on_unreachable(state: State, now: float, name: ServerName) -> list[Effect]:
-    """Count a failed try, or attempt to connect, and give up what is silent when it is enough."""
-    known = state.dead.by_server.get(name)
-    if known is None:
+    """Count a failed probe or connection; cancel unresponsive attempts after enough of them."""
+    suspicion = state.dead.by_server.get(name)
+    if suspicion is None:
         return []
-    known.failures += 1
-    if known.failures < _FAILURES:
+    suspicion.failures += 1
+    if suspicion.failures < _FAILURES_MAX:
         return []
     del state.dead.by_server[name]
     effects: list[Effect] = [Count("server.dead"), Log("server_dead", {"peer": name})]
     for req in list(state.requests.values()):
         attempt = req.attempt
-        if attempt is None or attempt.server != name or not _is_silent(state, now, attempt):
+        if attempt is None or attempt.server != name or not _is_unresponsive(state, now, attempt):
             continue
         effects += cancel(req, CancelReason.SERVER_DEAD)
     return effects
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -1,9 +1,9 @@
-"""Bind waiting requests to servers, and make room for the urgent ones where there is none.
+"""Bind waiting requests to servers, and make room for urgent ones.
 
-One pass over a pool: bind the heads of its queues, in the order that `queue_state` gives, for as
-long as `placement` finds a server for any of them; ask for credit for what is left; and displace
-lower work for upper work that still has no place. A pass looks at heads and at a bounded number of
-servers, so it costs the same whatever number of requests waits.
+A pass over a pool binds the heads of its queues in the order of `queue_state` while `placement`
+finds servers for them, asks dispatchers for credit for the rest, and displaces lower work for upper
+work that still waits. A pass checks a bounded number of requests and servers, so its cost does not
+grow with the queue.
 """
 
 from __future__ import annotations
@@ -25,19 +25,18 @@
 from turmericweir_core.state.server_table import Server, known_incarnation
 from turmericweir_core.state.state import State
 
-# Waiting requests of one class that are looked at for a server: a pass costs the same whatever
-# number waits, and more than this are seldom held back at once.
-_LOOKED_AT: Final = 24
+# Waiting requests of one class that a pass checks. Bounds the cost of a pass.
+_CHECKED_MAX: Final = 24
 
 
 def pool_name(state: State, target: Target) -> str:
-    """Name the pool of a target: the service whose servers it shares with others."""
+    """Return the pool of a target: the service whose servers it shares with other targets."""
     service = state.config.service_by_target.get(target)
     return target if service is None else service.name
 
 
 def wait_for_server(state: State, req: Request, *, front: bool = False) -> None:
-    """Let a request wait in its queue."""
+    """Enqueue a request."""
     req.phase = Phase.WAITING
     queue_state.enqueue(
         state.queues,
@@ -52,26 +51,26 @@
 
 
 def dispatch(state: State, now: float, target: Target) -> list[Effect]:
-    """Bind what waits for a target, or for others on the same servers, while any has room."""
+    """Bind requests that wait for a target, or for others in its pool, while servers have room."""
     pool = queue_state.pool_of(state.queues, target)
     if pool is None:
         return []
     if state.config.policy is not Policy.BASELINE:
         queue_state.move_late(state.queues, now)
-    effects = _bind_all(state, now, pool)
-    # Before others are asked to: for whom own lower work makes way, nobody else's has to.
+    effects = _bind_waiting(state, now, pool)
+    # Local lower work is displaced before other instances are asked to displace theirs.
     effects += make_room(state, now, pool)
-    taken = state.credits.grants_taken
+    grants_before = state.credits.grants_taken
     effects += credit.ask(state, now, pool)
-    if state.credits.grants_taken != taken:
-        # This instance is the dispatcher itself, so it has the answer already.
-        effects += _bind_all(state, now, pool)
-        effects += yield_recalled(state)
+    if state.credits.grants_taken != grants_before:
+        # This instance may be the dispatcher itself; its grant then takes effect at once.
+        effects += _bind_waiting(state, now, pool)
+        effects += displace_recalled(state)
     return effects
 
 
 def dispatch_all(state: State, now: float) -> list[Effect]:
-    """Bind whatever waits, in every pool."""
+    """Bind the waiting requests of all pools."""
     effects: list[Effect] = []
     for pool, targets in state.queues.pools.items():
         if targets and queue_state.anything_waits(state.queues, pool):
@@ -79,18 +78,18 @@
     return effects
 
 
-def _bind_all(state: State, now: float, pool: str) -> list[Effect]:
+def _bind_waiting(state: State, now: float, pool: str) -> list[Effect]:
     effects: list[Effect] = []
     while True:
-        bound = _bind_one(state, now, pool)
+        bound = _bind_next(state, now, pool)
         if not bound:
             return effects
         effects += bound
 
 
-def _bind_one(state: State, now: float, pool: str) -> list[Effect]:
+def _bind_next(state: State, now: float, pool: str) -> list[Effect]:
     if state.config.policy is Policy.PREDICTED:
-        return _bind_any(state, now, pool)
+        return _bind_first_placeable(state, now, pool)
     for queue in _serving_order(state, pool):
         req = queue.head()
         tier = _running_tier(state, pool, queue)
@@ -101,15 +100,14 @@
     return []
 
 
-def _bind_any(state: State, now: float, pool: str) -> list[Effect]:
-    """Bind the first request that has a server, also behind others that wait for theirs.
+def _bind_first_placeable(state: State, now: float, pool: str) -> list[Effect]:
+    """Bind the first request that has a server, even behind others that wait.
 
-    Failure where only the first of each queue is looked at: it waits for the one engine that is
-    reading a part of its prompt, and holds up all behind it that have nothing to do with that one.
+    Prevents a request that waits for one engine from holding up requests for other engines.
     """
     for queue in _serving_order(state, pool):
         tier = _running_tier(state, pool, queue)
-        for req in queue.in_turn(_LOOKED_AT):
+        for req in queue.in_turn(_CHECKED_MAX):
             server = pick_server(state, now, req, tier)
             if server is not None:
                 queue_state.note_dispatched(state.queues, queue, req)
@@ -125,11 +123,10 @@
 
 
 def _running_tier(state: State, pool: str, queue: queue_state.ClassQueue) -> int:
-    """Give the tier that the head of a queue is to run at.
+    """Return the tier that the head of a queue runs at.
 
-    Failure: a class that its share has earned a turn is bound, and then waits at the engine behind
-    upper work that never ends, or is displaced at once. So that turn runs at the most urgent tier:
-    upper classes wait for one answer more, and nothing of theirs is stopped for it.
+    A class served by its assured share runs at the most urgent tier. Prevents its request from
+    waiting at the engine behind upper work, or from being displaced at once.
     """
     if state.config.policy is Policy.BASELINE:
         return most_urgent(state.config)
@@ -142,7 +139,7 @@
 def start(
     state: State, now: float, req: Request, server: Server, *, tier: int | None = None
 ) -> list[Effect]:
-    """Begin an attempt of a request on a server."""
+    """Start an attempt of a request on a server."""
     name = attempt_id(req.request_id, req.attempts)
     req.attempts += 1
     attempt = Attempt(name, server.entry.name, now, tier=req.priority if tier is None else tier)
@@ -156,10 +153,10 @@
     if state.config.policy is Policy.PREDICTED:
         fetch = engine_model.best_fetch(state, req, server)
         fetch_from = "" if fetch is None else fetch.address
-        fields = predicted_placement.explain(state, now, req, server)
-        named = {"request_id": req.request_id, "attempt_id": name, "peer": server.entry.name}
-        place = {"service_class": req.service_class.name, "tier": attempt.tier}
-        effects.append(Log("placed", {**named, **place, **fields}))
+        details = predicted_placement.explain(state, now, req, server)
+        ids = {"request_id": req.request_id, "attempt_id": name, "peer": server.entry.name}
+        scheduling = {"service_class": req.service_class.name, "tier": attempt.tier}
+        effects.append(Log("placed", {**ids, **scheduling, **details}))
     attempt_books.note_started(state, now, req, attempt, pool_name(state, req.target))
     return [
         *effects,
@@ -168,36 +165,36 @@
             attempt_id=name,
             server=server.entry.name,
             address=server.entry.address,
-            priority=_rank(req, attempt),
+            priority=_scheduling_rank(req, attempt),
             resume_from=req.delivered if req.kind is Kind.MODEL else 0,
-            fresh_connection=req.went_silent or _is_lost_for_good(req),
+            fresh_connection=req.went_silent or _needs_fresh_connection(req),
             proven_connection=not req.repeatable,
             fetch_from=fetch_from,
         ),
     ]
 
 
-def _is_lost_for_good(req: Request) -> bool:
-    """Tell whether a request that goes out on a dead connection does harm that nothing mends.
+def _needs_fresh_connection(req: Request) -> bool:
+    """Return whether the request must not be lost on a dead connection.
 
-    A reservation may have been made, and nobody can say so to its caller; so it has a connection of
-    its own, which carried nothing before. An answer of a model can be asked for again.
+    A non-repeatable plain call may have had its effect, which the caller cannot learn. It gets a
+    connection that carried nothing before.
     """
     return req.kind is Kind.PLAIN and not req.repeatable
 
 
-def _rank(req: Request, attempt: Attempt) -> int:
-    """Give what its server schedules an attempt by.
+def _scheduling_rank(req: Request, attempt: Attempt) -> int:
+    """Return the rank by which a server schedules an attempt.
 
-    One that has its turn at a more urgent tier keeps its own rank. Failure where it is ranked by
-    that tier: an engine that runs out of memory preempts urgent answers, and it runs on there.
+    An attempt of the assured share keeps its own rank. Prevents an engine that runs out of memory
+    from preempting urgent answers for it.
     """
     rank = req.service_class.rank
     return attempt.tier if rank is None else rank
 
 
 def release(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
-    """Take an attempt that ended off its server."""
+    """Remove an ended attempt from its server."""
     attempt_books.note_ended(state, now, req, attempt)
     server = state.servers.by_name.get(attempt.server)
     if server is None:
@@ -210,7 +207,7 @@
 
 
 def cancel(req: Request, reason: CancelReason) -> list[Effect]:
-    """Order the attempt of a request to stop; the first reason given stands."""
+    """Cancel the attempt of a request; the first reason given stands."""
     attempt = req.attempt
     if attempt is None or attempt.cancelled is not None:
         return []
@@ -219,7 +216,7 @@
 
 
 def displace(state: State, req: Request) -> list[Effect]:
-    """Let the attempt of a request make way; it goes on later from where it was."""
+    """Displace the attempt of a request; it resumes later from its last token."""
     if req.attempt is None or req.attempt.cancelled is not None:
         return []
     displacement.note_displaced(state, req, req.attempt.pool)
@@ -227,8 +224,8 @@
 
 
 def make_room(state: State, now: float, pool: str) -> list[Effect]:
-    """Displace lower work for upper work that waits, and what a dispatcher called back."""
-    effects = yield_recalled(state)
+    """Displace lower work for waiting upper work and for recalled credit."""
+    effects = displace_recalled(state)
     while True:
         victim = displacement.running_to_displace(state, now, pool)
         if victim is None:
@@ -236,8 +233,8 @@
         effects += displace(state, victim)
 
 
-def yield_recalled(state: State) -> list[Effect]:
-    """Displace what runs on credit that its dispatcher called back for upper work."""
+def displace_recalled(state: State) -> list[Effect]:
+    """Displace what runs on credit that its dispatcher recalled for upper work."""
     effects: list[Effect] = []
     for name in sorted(state.credits.recalled):
         server = state.servers.by_name.get(name)
@@ -255,22 +252,22 @@
 def on_credit(
     state: State, now: float, sender: InstanceName, message: CreditDemand | CreditGrant
 ) -> list[Effect]:
-    """Take a credit message, and do what it allows or calls for."""
+    """Handle a credit message, and dispatch or displace accordingly."""
     effects = credit.on_peer(state, now, sender, message)
     server = state.servers.by_name.get(ServerName(message.server))
     if server is not None:
         targets = state.queues.pools.get(server.service.name, ())
         for target in targets[:1]:
             effects += dispatch(state, now, target)
-    return effects + yield_recalled(state)
+    return effects + displace_recalled(state)
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Renew credit, judge servers, and let go of what was called back."""
+    """Renew credit, evaluate servers, and displace what runs on recalled credit."""
     subset.on_tick(state, now)
-    taken = state.credits.grants_taken
+    grants_before = state.credits.grants_taken
     effects = credit.on_tick(state, now)
-    if state.credits.grants_taken != taken:
+    if state.credits.grants_taken != grants_before:
         effects += dispatch_all(state, now)
     effects += attempt_books.on_tick(state, now)
-    return effects + yield_recalled(state)
+    return effects + displace_recalled(state)
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -1,13 +1,12 @@
-"""Which lower work makes way for an upper tier.
+"""Choose the lower work that is displaced for an upper tier.
 
-Two things can be displaced: a running attempt of a model request, which the engine is told to
-cancel and which goes on later from the last token that its caller was sent; and a request that
-still waits, which ends `not_run`. Plain calls that run are never displaced.
+Two things can be displaced: a running attempt of a model request, which the engine cancels and
+which resumes later from the last token sent to its caller; and a waiting request, which ends
+`not_run`. Running plain calls are never displaced.
 
-Never displaced are: work of the same or a more urgent tier; what runs on a slot that its tier was
-assured or on a turn that its share had earned; and the first waiting request of a class, which is
-the one that its assured share serves next. Without these a burst of an upper class could undo what
-keeps the lowest class alive.
+Never displaced are work of the same or a more urgent tier, work on a slot that its tier is assured
+or that it got by its assured share, and the first waiting request of a class. Prevents a burst of
+an upper class from starving the lowest class.
 """
 
 from __future__ import annotations
@@ -31,69 +30,68 @@
 
 
 def running_to_displace(state: State, now: float, pool: str) -> Request | None:
-    """Pick the running request that makes way for what waits in a pool, if any is to."""
+    """Return the running request to displace for what waits in a pool, or None."""
     if state.config.policy in (Policy.BASELINE, Policy.PREDICTED):
-        # With the predicted policy engines are told the tiers and preempt by themselves.
+        # Under the predicted policy engines know the tiers and preempt by themselves.
         return None
     load = pool_load(state.pool_loads, pool)
-    waiting = 0
+    waiting_count = 0
     queues = queue_state.pool_queues(state.queues, pool)
     for queue in sorted(queues, key=lambda queue: queue.service_class.priority):
         tier = queue.service_class.priority
-        waiting += count_ripe(state.options, now, queue, load.displacing + 1)
-        # One attempt at the most for each request that waits: those told before still end.
-        if waiting <= load.displacing or not lower_running(load, tier):
+        waiting_count += count_ripe(state.options, now, queue, load.displacing + 1)
+        # At most one attempt for each waiting request; displaced attempts that still run count.
+        if waiting_count <= load.displacing or not lower_running(load, tier):
             continue
-        victim = _to_make_way(state, now, queue.head(), tier)
+        victim = _attempt_blocking_head(state, now, queue.head(), tier)
         if victim is not None:
             return victim
     return None
 
 
-def _to_make_way(state: State, now: float, head: Request, tier: int) -> Request | None:
-    """Find the attempt whose end lets the head of a queue run on the server that it leaves.
+def _attempt_blocking_head(state: State, now: float, head: Request, tier: int) -> Request | None:
+    """Return the attempt whose end frees a server that the head of a queue can be bound to.
 
-    Failure: the head avoids a server that it has failed on. Lower work there is stopped for it, is
-    bound there again as the head still waits, and is stopped again, without an end; the instance
-    answers nobody. So only servers that the head would be bound to count. In case it is then bound
-    elsewhere for a reason that is not seen here, an attempt that has just begun is left alone: the
-    worst is then some wasted prefills a second, and other events come in between.
+    Servers that the head avoids do not count. Prevents an endless loop in which lower work is
+    displaced, bound to the same server again and displaced again. Attempts that have just begun are
+    not displaced, which bounds the waste if the head is bound elsewhere.
     """
-    begun_before = now - state.options.displace_after_s
-    return _lowest(
+    started_before = now - state.options.displace_after_s
+    return _least_urgent(
         req
         for server in preferred(open_servers(state, now, head.target), head)
         if headroom(state, now, server, tier) == 0
         for req in displaceable(state, server, tier)
-        if req.attempt is not None and req.attempt.started <= begun_before
+        if req.attempt is not None and req.attempt.started <= started_before
     )
 
 
-def lowest_running(state: State, now: float, target: Target, tier: int) -> Request | None:
-    """Find the least urgent running attempt below a tier on the servers of a target."""
-    return _lowest(
+def least_urgent_running(state: State, now: float, target: Target, tier: int) -> Request | None:
+    """Return the least urgent running attempt below a tier on the servers of a target."""
+    return _least_urgent(
         req
         for server in open_servers(state, now, target)
         for req in displaceable(state, server, tier)
     )
 
 
-def _lowest(candidates: Iterable[Request]) -> Request | None:
-    return max(candidates, key=_rank, default=None)
+def _least_urgent(candidates: Iterable[Request]) -> Request | None:
+    return max(candidates, key=_displacement_order, default=None)
 
 
-def _rank(req: Request) -> tuple[int, int]:
-    # The least urgent tier first; within it what has run least, as least of it is lost.
+def _displacement_order(req: Request) -> tuple[int, int]:
+    # The least urgent tier first; within it the attempt with the fewest tokens, which loses the
+    # least work.
     attempt = req.attempt
     return (attempt.tier, -attempt.tokens) if attempt else (-1, 0)
 
 
 def displaceable(state: State, server: Server, tier: int) -> Iterator[Request]:
-    """Yield the requests on a server that may make way for a tier."""
+    """Yield the requests on a server that may be displaced for a tier."""
     if server.service.kind is not Kind.MODEL:
         return
-    for name, each in server.in_flight.items():
-        if each <= tier or is_assured(state, server, each):
+    for name, running_tier in server.in_flight.items():
+        if running_tier <= tier or is_assured(state, server, running_tier):
             continue
         req = state.requests.get(request_of(name))
         if req is None or req.attempt is None or req.attempt.attempt_id != name:
@@ -103,28 +101,30 @@
 
 
 def recalled(state: State, server: Server) -> list[Request]:
-    """List what makes way on a server, because its dispatcher called credit back."""
+    """List what to displace on a server because its dispatcher recalled credit."""
     credit = state.credits.held.get(server.entry.name)
-    over = excess(state, server)
-    if credit is None or over <= 0:
+    excess_slots = excess(state, server)
+    if credit is None or excess_slots <= 0:
         return []
-    ending = sum(1 for _ in _told_to_end(state, server))
-    victims = sorted(displaceable(state, server, credit.displace_above), key=_rank, reverse=True)
-    return victims[: max(0, over - ending)]
+    ending_slots = sum(1 for _ in _ending_requests(state, server))
+    victims = sorted(
+        displaceable(state, server, credit.displace_above), key=_displacement_order, reverse=True
+    )
+    return victims[: max(0, excess_slots - ending_slots)]
 
 
-def _told_to_end(state: State, server: Server) -> Iterator[Request]:
+def _ending_requests(state: State, server: Server) -> Iterator[Request]:
     for name in server.in_flight:
         req = state.requests.get(request_of(name))
         if req is not None and req.attempt is not None and req.attempt.cancelled is not None:
             yield req
 
 
-def waiting_to_drop(state: State, pool: str, tier: int) -> Request | None:
-    """Pick the waiting request below a tier that is dropped first, if any may be.
+def waiting_request_to_drop(state: State, pool: str, tier: int) -> Request | None:
+    """Return the waiting request below a tier that is dropped first, or None.
 
-    It is the newest of the least urgent class, a late one if there is any. One that has begun is
-    kept, since its caller could not be told `not_run`, and so is the first of each class.
+    This is the newest request of the least urgent class, late ones first. The first request of each
+    class is never dropped, nor one that may have run, since `not_run` would be wrong for it.
     """
     lower = [
         queue
@@ -140,13 +140,13 @@
 
 
 def note_displaced(state: State, req: Request, pool: str) -> None:
-    """Count an attempt that was told to make way."""
+    """Record the displacement of an attempt."""
     req.displaced += 1
     pool_load(state.pool_loads, pool).displacing += 1
 
 
 def note_ended(state: State, reason: CancelReason | None, pool: str) -> None:
-    """Count an attempt that made way and ended."""
+    """Record the end of a displaced attempt."""
     if reason is CancelReason.DISPLACED:
         load = pool_load(state.pool_loads, pool)
         load.displacing = max(0, load.displacing - 1)
--- a/packages/turmericweir-core/turmericweir_core/placement/moving.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/moving.py
@@ -1,18 +1,15 @@
-"""When a running answer is moved off a server that has become slow.
-
-`straggler` keeps new work from a slow server; what runs there already would stay to its end, each
-token later than its class was promised. So an answer whose tokens come late is stopped there and
-goes on elsewhere after the last token that its caller was sent. That costs a prefill, so all of
-this must hold:
-
-- two gaps in a row were above the promise of its class, or one after another answer's there was,
-  and well above what the other servers of the service show, so that one pause of the engine or of
-  this process moves nothing;
-- the others keep the promise at this moment: when all are slow, as in a rush, moving would only add
-  prefills to the load;
-- another server has room for it now;
-- it may be run again, the retry budget pays for it, and it was not moved before. One move at the
-  most for each request, so that two servers which slow down in turn do not pass it to and fro.
+"""Move a running answer off a server that has become slow.
+
+`straggler` keeps new work from a slow server; this module stops answers that already run there and
+resumes them elsewhere after the last token sent to the caller. A move costs a prefill, so all of
+these must hold:
+
+- two token gaps in a row exceeded the target of the class, or one did after a late gap of another
+  answer on the server, and the gaps are well above those of other servers of the service;
+- most other servers meet their targets now, since under overload a move would only add prefills;
+- another server has room now;
+- the request may run again, the retry budget allows it, and it was not moved before, which prevents
+  requests from moving back and forth between two slow servers.
 """
 
 from __future__ import annotations
@@ -38,16 +35,16 @@
 def on_late_gap(
     state: State, now: float, req: Request, attempt: Attempt, gap_s: float
 ) -> list[Effect]:
-    """Take a gap above the promise, and stop the attempt where its answer is to go on elsewhere.
+    """Handle a token gap above the target, and move the answer if that helps.
 
-    Its server is given no new work from then on, until its pace shows that it is well again.
+    The server gets no new work until its pace shows that it has recovered.
     """
     attempt.late_gaps += 1
-    late_before = straggler.was_late_before(state.stragglers, now, attempt.server, gap_s)
+    was_late_before = straggler.was_late_before(state.stragglers, now, attempt.server, gap_s)
     straggler.note_late(state.stragglers, now, attempt.server)
-    if attempt.late_gaps < state.options.move_late_gaps and not late_before:
+    if attempt.late_gaps < state.options.move_late_gaps and not was_late_before:
         return []
-    if not _may_move(state, req, attempt) or not _would_help(state, now, req, attempt, gap_s):
+    if not _can_move(state, req, attempt) or not _would_move_help(state, now, req, attempt, gap_s):
         return []
     if not spend_retry(state, now, req):
         return []
@@ -59,7 +56,7 @@
     return effects + cancel(req, CancelReason.MOVED)
 
 
-def _may_move(state: State, req: Request, attempt: Attempt) -> bool:
+def _can_move(state: State, req: Request, attempt: Attempt) -> bool:
     if attempt.cancelled is not None or req.moved or not req.repeatable:
         return False
     if req.sends_max is not None and req.sends >= req.sends_max:
@@ -67,54 +64,66 @@
     return req.tries < state.options.attempts_max
 
 
-def _would_help(state: State, now: float, req: Request, attempt: Attempt, gap_s: float) -> bool:
+def _would_move_help(
+    state: State, now: float, req: Request, attempt: Attempt, gap_s: float
+) -> bool:
     server = state.servers.by_name.get(attempt.server)
-    # Cheapest first: in a rush this is asked for many tokens, and the peers' pace answers it.
+    # Ordered by cost: most calls end at the comparison with other servers.
     if server is None or not straggler.is_behind(
         state.stragglers, state.options, server.service.name, attempt.server, gap_s
     ):
         return False
-    return _others_keep_pace(state, now, server) and _has_room(state, now, req, attempt)
+    return _is_service_in_time(state, now, server) and _has_server_with_room(
+        state, now, req, attempt
+    )
 
 
-def _others_keep_pace(state: State, now: float, server: Server) -> bool:
-    """Tell whether most of the other servers that this instance hears of now are in time.
+def _is_service_in_time(state: State, now: float, server: Server) -> bool:
+    """Return whether most other servers with answers of this instance are in time now.
 
-    Their average pace lags: when all slow down at once, it shows them well for a second longer.
-    Where nothing else runs, the average is all there is.
+    Their average pace lags by about a second when all slow down at once, so it is used only where
+    no other server runs an answer.
     """
-    seen: dict[ServerName, bool] = {}
+    in_time_by_server: dict[ServerName, bool] = {}
     for req in state.requests.values():
-        other = req.attempt
-        if other is None or other.last_token_at is None or other.server == server.entry.name:
+        running_attempt = req.attempt
+        if (
+            running_attempt is None
+            or running_attempt.last_token_at is None
+            or running_attempt.server == server.entry.name
+        ):
             continue
         if req.service_class.token_gap_target_s is None:
-            # The engine may let a lower class stand still for an upper one.
+            # The engine may pause a lower class in favour of an upper one.
             continue
-        peer = state.servers.by_name.get(other.server)
+        peer = state.servers.by_name.get(running_attempt.server)
         if peer is not None and peer.service.name == server.service.name:
-            in_time = now - other.last_token_at <= other.gap_late_s
-            seen[other.server] = in_time or seen.get(other.server, False)
-    for name in seen:
-        seen[name] &= not straggler.was_late(state.stragglers, state.options, now, name)
-    return not seen or 2 * sum(seen.values()) > len(seen)
-
-
-def _has_room(state: State, now: float, req: Request, attempt: Attempt) -> bool:
+            is_in_time = now - running_attempt.last_token_at <= running_attempt.gap_late_s
+            in_time_by_server[running_attempt.server] = is_in_time or in_time_by_server.get(
+                running_attempt.server, False
+            )
+    for name in in_time_by_server:
+        in_time_by_server[name] &= not straggler.was_late(
+            state.stragglers, state.options, now, name
+        )
+    return not in_time_by_server or 2 * sum(in_time_by_server.values()) > len(in_time_by_server)
+
+
+def _has_server_with_room(state: State, now: float, req: Request, attempt: Attempt) -> bool:
     return any(
         server.entry.name != attempt.server
         and server.entry.name not in req.avoid
         and not straggler.was_late(state.stragglers, state.options, now, server.entry.name)
-        and (headroom(state, now, server, req.priority) > 0 or _may_get_credit(state, now, server))
+        and (headroom(state, now, server, req.priority) > 0 or _can_get_credit(state, now, server))
         for server in open_servers(state, now, req.target)
     )
 
 
-def _may_get_credit(state: State, now: float, server: Server) -> bool:
-    """Tell whether a server's dispatcher is likely to grant a slot as soon as it is asked.
+def _can_get_credit(state: State, now: float, server: Server) -> bool:
+    """Return whether a server's dispatcher is likely to grant a slot at once.
 
-    Failure without: where nothing is short an instance holds no more credit than it uses. It would
-    find no room anywhere, ask nobody, since nothing waits, and leave its answers where they are.
+    Without contention an instance holds only the credit it uses, so missing credit does not mean
+    that the server is full.
     """
     if state.config.policy is not Policy.CREDITS:
         return False
--- a/packages/turmericweir-core/turmericweir_core/placement/placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/placement.py
@@ -1,21 +1,19 @@
-"""Which server a waiting request goes to, if any may take it now.
+"""Choose the server that a waiting request goes to, if any may take it now.
 
-`pick_server` answers for the head of a queue; the policy in force decides how. Binding is late: a
-request that gets no server stays in its queue and is asked about again whenever capacity frees up.
+`pick_server` answers for the head of a queue by the policy in force. Binding is late: a request
+without a server stays in its queue and is tried again whenever capacity frees up.
 
-- Baseline takes the servers in turn, up to their slots and a queue as long again.
-- Counts estimates a server's load from this instance's own requests there and the server's last
-  report, and leaves room for the other instances that read the same report: each takes its share
-  of what looks free first, or all of them would run to the one server that looked idle a moment
-  ago.
+- Baseline takes the server with the fewest requests sent so far, up to twice its slots.
+- Counts estimates a server's load from this instance's requests and the server's last report. Each
+  instance first takes its share of what looks free, since all of them read the same report.
 - Predicted sends a request where a model of each server has it begin first (see
   `predicted_placement`).
-- Credits goes by the slots that the server's dispatcher leased to this instance, and by counts with
-  a cautious limit where there is none (see `credit`).
+- Credits uses the slots that the server's dispatcher leased to this instance, or counts with a
+  cautious limit where there is none (see `credit`).
 
-Among the servers with room the least loaded one is taken, by the share of its slots in use, unless
-another one holds the request's prefix and is not much busier than the mean. Slow servers count as
-more loaded, in proportion (see `straggler`).
+Among the servers with room the one with the least share of its slots in use is taken, unless
+another holds the request's prefix and is not much busier than the mean. Slow servers count as more
+loaded, in proportion (see `straggler`).
 """
 
 from __future__ import annotations
@@ -40,9 +38,8 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Headroom of a server whose place in this instance's reach is not known: nothing may be sent, and
-# nothing that runs there would make room by ending.
-UNKNOWN_ROOM = -1
+# Headroom of a server that may get no request, and where displacing one would free no room.
+NO_HEADROOM = -1
 
 
 def pick_server(state: State, now: float, req: Request, tier: int) -> Server | None:
@@ -60,8 +57,10 @@
 
 
 def _pick_baseline(candidates: list[Server]) -> Server | None:
-    room = [server for server in candidates if len(server.in_flight) < 2 * server.slots]
-    return min(room, key=lambda server: server.sent, default=None)
+    servers_with_room = [
+        server for server in candidates if len(server.in_flight) < 2 * server.slots
+    ]
+    return min(servers_with_room, key=lambda server: server.sent, default=None)
 
 
 def _pick_least_loaded(
@@ -74,68 +73,68 @@
     ]
     if not loads:
         return None
-    loads = _within_share(state, now, loads) or loads
-    warm = _warmest(state, req, loads)
+    loads = _servers_within_share(state, now, loads) or loads
+    warm = _server_with_longest_prefix(state, req, loads)
     if warm is not None:
         return warm
     return min(loads, key=lambda pair: pair[0])[1]
 
 
-def _within_share(
+def _servers_within_share(
     state: State, now: float, loads: list[tuple[float, Server]]
 ) -> list[tuple[float, Server]]:
-    """Leave out servers where this instance has taken its part of what looked free.
+    """Leave out servers where this instance has used its share of what looked free.
 
-    Failure: a server has just become idle, and its report says so to all instances at once. Each
-    sends it all that it has, and the callers wait behind a server that looked idle a moment ago.
-    So of what a report shows free each instance takes its part first, and more only where it has
-    taken its part everywhere.
+    Prevents all instances from sending their queues to a server that has just become idle.
     """
     if state.config.policy is not Policy.COUNTS:
         return loads
-    return [pair for pair in loads if _share_left(state, now, pair[1]) > 0]
+    return [pair for pair in loads if _remaining_share(state, now, pair[1]) > 0]
 
 
-def _share_left(state: State, now: float, server: Server) -> int:
-    sharing = sharing_instances(state, any_target(server))
-    then = server.own_at_report
-    free = usable_slots(state, server) - then - others_load(state, now, server)
-    return then + max(1, free // sharing) - len(server.in_flight)
+def _remaining_share(state: State, now: float, server: Server) -> int:
+    """Count the requests left of this instance's share of a server."""
+    instance_count = sharing_instances(state, any_target(server))
+    own_requests = server.own_at_report
+    free_slots = usable_slots(state, server) - own_requests - others_load(state, now, server)
+    return own_requests + max(1, free_slots // instance_count) - len(server.in_flight)
 
 
-def _warmest(state: State, req: Request, loads: list[tuple[float, Server]]) -> Server | None:
-    """Pick the server with the longest known prefix among those that are not much too busy.
+def _server_with_longest_prefix(
+    state: State, req: Request, loads: list[tuple[float, Server]]
+) -> Server | None:
+    """Return the server with the longest known prefix among those that are not too busy.
 
-    Failure without the bound: a prefix that all requests of a class share draws every one of them
-    to the server that saw it first, and they queue there while the others idle.
+    The load bound prevents a prefix shared by a whole class from drawing all its requests to one
+    server while the others idle.
     """
     scores = match_scores(state.prefixes, state.options, req.prefixes) if req.prefixes else {}
     if not scores:
         return None
     options = state.options
     mean = sum(load for load, _ in loads) / len(loads)
-    bound = max(options.affinity_load_floor, options.affinity_load_factor * mean)
+    load_limit = max(options.affinity_load_floor, options.affinity_load_factor * mean)
     best: Server | None = None
     best_rank = (0.0, 0.0)
     for load, server in loads:
         rank = (scores.get(server.entry.name, 0.0), -load)
-        if load <= bound and rank > best_rank:
+        if load <= load_limit and rank > best_rank:
             best, best_rank = server, rank
     return best
 
 
 def _load_share(state: State, now: float, server: Server) -> float:
-    """Give the share of a server's slots in use, as the choice between servers sees it."""
+    """Return the share of a server's slots in use, for the choice between servers."""
     options = state.options
-    slots = usable_slots(state, server) * max(1e-3, _weight(state, server))
+    slots = usable_slots(state, server) * max(1e-3, _pace_weight(state, server))
     load = estimated_load(state, now, server) / slots
-    # Of two servers with as many requests, the one with less left to generate is free sooner. At
-    # most one request's worth, so that a wrong prediction does little.
+    # Of two servers with equal counts, the one with less work left is free sooner. At most one
+    # request's worth, which limits the effect of a wrong prediction.
     work = state.predicted_work.get(server.entry.name, 0.0)
     load += (work / (work + options.predict_default)) / slots
     if server.entry.data_centre != state.me.data_centre:
         load += options.remote_penalty
-    # Random ties keep instances that see the same reports from choosing alike.
+    # Random ties keep instances with the same reports from choosing the same server.
     return load + state.rng.random() * 1e-3
 
 
@@ -144,9 +143,9 @@
 
 def headroom(state: State, now: float, server: Server, tier: int) -> int:
     """Count the requests of a tier that this instance may still send to a server."""
-    if _weight(state, server) == 0.0:
-        # A stopped straggler is sent nothing but probes.
-        return UNKNOWN_ROOM
+    if _pace_weight(state, server) == 0.0:
+        # A stopped straggler gets only probes.
+        return NO_HEADROOM
     match state.config.policy:
         case Policy.BASELINE:
             return 2 * server.slots - len(server.in_flight)
@@ -160,41 +159,38 @@
             assert_never(unreachable)
 
 
-def _weight(state: State, server: Server) -> float:
+def _pace_weight(state: State, server: Server) -> float:
     return straggler.server_weight(state.stragglers, server.entry.name)
 
 
 def usable_slots(state: State, server: Server) -> int:
-    """Give the requests that a server can be given at once, by its adaptive limit."""
+    """Return the concurrent requests that a server can take, by its adaptive limit."""
     return limited_slots(state.server_limits, server.entry.name, server.slots)
 
 
-def idle_share(state: State, now: float, target: Target) -> float:
-    """Estimate this instance's part of the slots that stand idle, as far as reports show.
+def idle_slots_share(state: State, now: float, target: Target) -> float:
+    """Estimate this instance's share of the idle slots, by the servers' reports.
 
-    Failure without it: after a pause of the instance, or when many callers come at once, it has
-    slots for a few of its requests, and for the rest as soon as its dispatchers have answered. By
-    what runs until then the last of them would come too late, and would be refused though servers
-    stand idle.
+    Prevents refusals while servers idle: after a pause, or in a burst, the current drain rate is
+    too low because dispatchers have not granted credit yet.
     """
-    idle = sum(
+    idle_slots = sum(
         max(0.0, usable_slots(state, server) - estimated_load(state, now, server))
         for server in open_servers(state, now, target)
     )
-    return idle / sharing_instances(state, target)
+    return idle_slots / sharing_instances(state, target)
 
 
 def estimated_load(state: State, now: float, server: Server) -> float:
-    """Estimate the requests on a server, by this and all other instances."""
+    """Estimate the requests of all instances on a server."""
     return float(len(server.in_flight) + others_load(state, now, server))
 
 
 def others_load(state: State, now: float, server: Server) -> int:
     """Estimate the requests of other instances on a server, by its last report.
 
-    What this instance had there when the report came is taken off, not what it has now: or its own
-    requests that have ended since would be taken for others', and the room that they left would
-    stand empty until the next report.
+    The count of this instance's requests at the time of the report is subtracted. Prevents its
+    requests that ended since from being counted as those of others until the next report.
     """
     report = server.report
     if report is None or now - server.report_at > state.options.report_valid_s:
@@ -203,40 +199,39 @@
 
 
 def _counts_headroom(state: State, now: float, server: Server, tier: int) -> int:
-    urgent = most_urgent(state.config)
-    weighed = max(1, floor(usable_slots(state, server) * _weight(state, server)))
-    slots = weighed + state.options.slack_slots
-    if server.service.kind is Kind.MODEL and tier == urgent:
-        # The engine preempts lower tiers for it, so only its own tier takes up room.
-        return slots - sum(1 for each in server.in_flight.values() if each <= tier)
-    free = slots - len(server.in_flight) - others_load(state, now, server)
-    if server.service.kind is Kind.PLAIN and tier > urgent:
-        # A running plain call cannot be preempted, so some slots are kept for the urgent.
-        free -= ceil(state.options.reserve_share * weighed)
-    if free <= 0:
-        return 1 if _runs_nothing(state, server) else free
-    return free
-
-
-def _runs_nothing(state: State, server: Server) -> bool:
-    """Tell whether this instance runs nothing on any server of a service.
-
-    Failure: other instances refill the servers the moment that one of their own requests ends, so
-    each report shows them full, and an instance that runs nothing there never gets a turn; its
-    callers wait until their deadlines. One request beyond what looks free ends that, and costs the
-    servers one request for each such instance at the most.
+    most_urgent_tier = most_urgent(state.config)
+    weighted_slots = max(1, floor(usable_slots(state, server) * _pace_weight(state, server)))
+    slots = weighted_slots + state.options.slack_slots
+    if server.service.kind is Kind.MODEL and tier == most_urgent_tier:
+        # The engine preempts lower tiers for it, so only requests of its own tier take up room.
+        return slots - sum(1 for running_tier in server.in_flight.values() if running_tier <= tier)
+    free_slots = slots - len(server.in_flight) - others_load(state, now, server)
+    if server.service.kind is Kind.PLAIN and tier > most_urgent_tier:
+        # A running plain call cannot be preempted, so some slots are reserved for the most urgent
+        # tier.
+        free_slots -= ceil(state.options.reserve_share * weighted_slots)
+    if free_slots <= 0:
+        return 1 if _is_without_running_requests(state, server) else free_slots
+    return free_slots
+
+
+def _is_without_running_requests(state: State, server: Server) -> bool:
+    """Return whether this instance runs nothing on any server of a service.
+
+    Such an instance may send one request beyond what looks free. Prevents starvation where other
+    instances refill the servers at once and each report shows them full.
     """
     load = state.pool_loads.by_pool.get(server.service.name)
     return load is None or not any(load.running.values())
 
 
 def _cautious_headroom(state: State, now: float, server: Server, tier: int) -> int:
-    """Count by own counts, but never beyond a small part of the server."""
+    """Return the headroom by counts, limited to a small share of the server."""
     share = state.options.credit_fallback_share
     limit = max(1, int(usable_slots(state, server) * share))
     if tier == most_urgent(state.config):
-        # Lower work of this instance must not keep the most urgent tier off the server.
-        used = sum(1 for each in server.in_flight.values() if each <= tier)
+        # Lower work of this instance must not block the most urgent tier.
+        used = sum(1 for running_tier in server.in_flight.values() if running_tier <= tier)
     else:
         used = len(server.in_flight)
     return min(limit - used, _counts_headroom(state, now, server, tier))
@@ -248,29 +243,31 @@
 def _straggler_to_probe(
     state: State, now: float, req: Request, candidates: list[Server]
 ) -> Server | None:
-    """Pick a stopped straggler for a request of the lowest tier in use, where a probe is due.
+    """Return a stopped straggler that is due for a probe by this request, or None.
 
-    Never for an answer that was moved: it moves once at the most, so if the probe finds the server
-    slow still, its caller has late tokens to the end.
+    An answer that was moved never probes, since it cannot move again if the server is still slow.
     """
     if req.moved:
         return None
     for server in candidates:
-        if _weight(state, server) > 0.0:
+        if _pace_weight(state, server) > 0.0:
             continue
-        due = straggler.may_probe(
-            state.stragglers, now - _patience(state, req), server.entry.name, len(server.in_flight)
+        is_due = straggler.may_probe(
+            state.stragglers,
+            now - _lower_class_wait_s(state, req),
+            server.entry.name,
+            len(server.in_flight),
         )
-        if due and req.repeatable:
+        if is_due and req.repeatable:
             return server
     return None
 
 
-def _patience(state: State, req: Request) -> float:
-    """Give the extra time that a probe waits, in case a request of a lower class comes along.
+def _lower_class_wait_s(state: State, req: Request) -> float:
+    """Return the extra time that a probe waits for a request of a lower class.
 
-    Failure without an end to it: the lower classes have no traffic at present, and a server that is
-    well again is never found out.
+    The wait is limited. Prevents a recovered server from never being probed where lower classes
+    have no traffic.
     """
     queues = target_classes(state.queues, req.target)
     lowest = all(queue.service_class.priority <= req.priority for queue in queues)
@@ -281,7 +278,7 @@
 
 
 def must_probe(state: State, now: float, server: Server) -> bool:
-    """Tell whether a server's load is worth asking for."""
+    """Return whether a server should be asked for its load."""
     if state.config.policy is Policy.CREDITS:
         return credit.must_probe(state, now, server)
     if server.report is None or server.entry.name in state.subsets.used:
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
@@ -1,15 +1,12 @@
-"""Refuse what cannot be answered in time, by the model of the engines.
-
-The wait of a new request is what waits here before it, of its own and more urgent ranks, spread
-over the engines of its kind, and the shortest wait at any of them. All instances are taken to have
-as much waiting as this one. Beyond its time it is refused at once, and told when the rest will be
-through. Failure where all engines are counted: one of six reads long prompts in a rush of quick
-answers, and each that is let in for a sixth of its wait leaves unserved after eight seconds.
-
-An answer has to end in time as well. Beside prompts that are read without a break an engine makes
-a token in 50 ms rather than 8, and a long answer is cut at its deadline, after it has taken a
-prompt's reading and a slot for all that time. Where its caller estimated the length, it is refused
-before.
+"""Refuse requests that cannot be answered in time, by the model of the engines.
+
+The predicted wait is the work of the local requests of the same or more urgent ranks, multiplied by
+the number of instances and spread over the engines of the request's kind, plus the shortest wait at
+any of these. Only engines of its kind count, since the others may be idle without serving it.
+
+The answer must end in time as well. Beside prefills, decoding slows down several times, and a long
+answer could be cut at its deadline after it used a prefill and a slot. Where the caller estimated
+the length, such a request is refused.
 """
 
 from __future__ import annotations
@@ -29,13 +26,12 @@
     from turmericweir_core.state.state import State
 
 _MS: Final = 1000.0
-# Share of the time that is left which the predicted wait may take: what is admitted beyond it
-# mostly ends unanswered, after its caller has waited.
-_WAIT_SHARE: Final = 0.8
+# Share of the remaining time that the predicted wait may take.
+_WAIT_SHARE_MAX: Final = 0.8
 
 
 def wait_s(state: State, now: float, req: Request, pool: str) -> float:
-    """Predict how long a new request waits for its first token, seconds."""
+    """Return how long a new request is predicted to wait for its first token, in seconds."""
     servers = open_servers(state, now, req.target)
     if not servers or servers[0].service.kind is not Kind.MODEL:
         return 0.0
@@ -53,29 +49,34 @@
 
 
 def _queued_ms(state: State, servers: list[Server], queue: queue_state.ClassQueue) -> float:
-    book = engine_model.book_of(state, servers[0].entry.name)
-    return sum(engine_model.own_work_ms(state, book, each) for each in queue.waiting())
+    record = engine_model.book_of(state, servers[0].entry.name)
+    return sum(
+        engine_model.own_work_ms(state, record, waiting_request)
+        for waiting_request in queue.waiting()
+    )
 
 
-def may_wait(state: State, now: float, req: Request, wait: float) -> bool:
-    """Tell whether a request with such a wait can still be answered."""
-    left = req.deadline - now
-    return wait <= _WAIT_SHARE * left and wait + generation_s(state, now, req) <= left
+def can_answer_in_time(state: State, now: float, req: Request, predicted_wait_s: float) -> bool:
+    """Return whether a request with this predicted wait can still be answered."""
+    remaining_s = req.deadline - now
+    return (
+        predicted_wait_s <= _WAIT_SHARE_MAX * remaining_s
+        and predicted_wait_s + predicted_generation_s(state, now, req) <= remaining_s
+    )
 
 
-def generation_s(state: State, now: float, req: Request) -> float:
-    """Predict how long an answer takes from its first event on, seconds; 0.0 where nothing tells.
+def predicted_generation_s(state: State, now: float, req: Request) -> float:
+    """Return the predicted duration of an answer from its first event, in seconds, or 0.0.
 
-    By its caller's estimate of its length, and the time between events that this instance sees at
-    the engines that would run it. Only of the least urgent kind that these serve: nothing tells how
-    far an estimate is off, and to turn a more urgent caller away by one while less urgent answers
-    begin would serve nobody better.
+    Based on the caller's estimate of its length and the observed token gap at the engines that
+    would run it. Applies only to the least urgent class in use: estimates may be wrong, and a more
+    urgent request must not be refused in favour of less urgent ones.
     """
     servers = open_servers(state, now, req.target)
     if req.expected_tokens is None or not servers or not _is_least_urgent(state, req):
         return 0.0
     engines = engine_pools.choose(state, now, req, servers)
-    gap_s = straggler.gap_seen(state.stragglers, now, (each.entry.name for each in engines))
+    gap_s = straggler.gap_seen(state.stragglers, now, (server.entry.name for server in engines))
     if gap_s is None:
         return 0.0
     tokens = req.expected_tokens
@@ -85,24 +86,24 @@
 
 
 def _is_least_urgent(state: State, req: Request) -> bool:
-    others = queue_state.target_classes(state.queues, req.target)
-    return all(rank_of(each.service_class) <= rank_of(req.service_class) for each in others)
+    queues = queue_state.target_classes(state.queues, req.target)
+    return all(rank_of(queue.service_class) <= rank_of(req.service_class) for queue in queues)
 
 
 def retry_after(state: State, now: float, req: Request, wait: float) -> float:
-    """Give the time after which a request like this would be answered in time."""
+    """Return the time after which such a request could be answered in time."""
     options = state.options
-    overrun = wait + generation_s(state, now, req) - (req.deadline - now)
-    surplus = max(wait - req.service_class.target_s, overrun)
-    return min(options.retry_after_max_s, max(options.retry_after_min_s, surplus))
+    deadline_overrun_s = wait + predicted_generation_s(state, now, req) - (req.deadline - now)
+    excess_s = max(wait - req.service_class.target_s, deadline_overrun_s)
+    return min(options.retry_after_max_s, max(options.retry_after_min_s, excess_s))
 
 
 def explain(state: State, now: float, req: Request, wait: float) -> dict[str, object]:
-    """Give what a refusal rested on, for its log line."""
+    """Return the inputs of a refusal for its log line."""
     return {
         "service_class": req.service_class.name,
         "wait_ms": round(wait * _MS),
-        "answer_ms": round(generation_s(state, now, req) * _MS),
+        "answer_ms": round(predicted_generation_s(state, now, req) * _MS),
         "expected_tokens": req.expected_tokens,
         "left_ms": round((req.deadline - now) * _MS),
         "settings_version": state.settings_offset(),
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
@@ -1,17 +1,15 @@
-"""The policy *predicted*: where a request would begin first, by the model of each server.
+"""The predicted policy: send a request where a model of each server has it begin first.
 
-For an engine the time until a request begins is the wait for the prompts before it and the work of
-its own prompt, less what the engine holds of it. Among the engines where it begins in time the one
-that has the least to read is taken, and where none is in time the one where it begins first. So
-requests that share a part of their prompts meet at the engine that holds it for as long as that
-makes none of them late. A part that nobody holds is read at its home, the same for all instances by
-a hash, so that an instance which has just started finds what others had read before.
+For an engine, the time until a request begins is the wait for earlier prompts plus the work of its
+own prompt that is not cached there. Among engines where it begins in time, the one with the least
+uncached work is preferred; where none is in time, the one where it begins first. Requests with a
+common prefix thus go to the engine that holds it while that delays none of them. A prefix that no
+engine is known to hold has a home engine by rendezvous hashing, the same for all instances.
 
-A request waits here while the engine of its choice reads one of its parts for another request: sent
-at once, it would have the part read a second time. No engine is sent more than its memory holds.
+A request waits here while its best engine prefills one of its parts for another request, which
+prevents a second prefill of the part. No engine is sent more than its memory holds.
 
-For a plain service the least loaded server is taken, one of the own data centre first while it has
-room.
+For a plain service the least loaded server is taken, preferably in the local data centre.
 """
 
 from __future__ import annotations
@@ -33,34 +31,33 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# What a server of another data centre costs more: the way there and back, milliseconds.
+# Added cost of a server in another data centre: the round trip.
 _REMOTE_MS: Final = 3.0
 _MS: Final = 1000.0
-# How much the work of its own prompt counts for a request that is late wherever it goes.
+# Weight of the prefill work for a request that is late on every engine.
 _LATE_WORK_WEIGHT: Final = 3.0
-# Tokens that are no difference between two engines.
-_SAME_READ: Final = 512.0
-# What engines of other data centres seem to read longer. An answer from there is cut when the data
-# centres lose each other, and a few hundred tokens are read in some milliseconds; parts of
-# thousands are still read once for all of them.
-_REMOTE_READ_MS: Final = 12.0
-# What an engine without a free slot costs more than an empty one.
-_CROWD_MS: Final = 100.0
-# A request for which its own engines have no room goes to the others after such a part of the time
-# in which it should have begun: late there, but a moment's crowd sends nobody there.
-_SPILL_SHARE: Final = 0.5
-# Behind all ranks.
+# Differences in uncached tokens up to this size are ignored.
+_NEGLIGIBLE_TOKENS: Final = 512.0
+# Added prefill cost of engines in other data centres. Prevents remote answers, which a partition
+# would cut, for a cached part of a few hundred tokens.
+_REMOTE_PREFILL_MS: Final = 12.0
+# Added cost of an engine without a free slot, compared to an empty one.
+_CONGESTION_MS: Final = 100.0
+# Share of its start target after which a request may use engines of other kinds. Prevents spilling
+# in a short burst.
+_SPILL_WAIT_SHARE: Final = 0.5
+# Higher than all ranks.
 _LAST_RANK: Final = 1_000_000
-# The chance that the home of a part holds it though nobody has told of it.
-_HOME_SHARE: Final = 0.5
-# A straggler that is stopped is given work only where all others are far behind it.
+# Probability that the home engine holds a part that no instance reported.
+_HOME_CACHED_PROBABILITY: Final = 0.5
+# Lower bound of a straggler's weight, which keeps it usable if all others are far behind.
 _STRAGGLER_WEIGHT_MIN: Final = 0.1
 
 
 def pick(
     state: State, now: float, req: Request, tier: int, candidates: list[Server]
 ) -> Server | None:
-    """Pick the server for a request that is to run at a tier, or None where it has to wait."""
+    """Return the server for a request that is to run at a tier, or None where it has to wait."""
     if not candidates:
         return None
     if candidates[0].service.kind is Kind.MODEL:
@@ -71,25 +68,23 @@
 # --- engines ---------------------------------------------------------------------------------
 
 
-class _Choice(Struct, frozen=True):
-    """What sending a request to an engine would mean."""
+class _EngineChoice(Struct, frozen=True):
+    """The predicted effect of sending a request to an engine."""
 
     server: Server
-    # Time until it begins there, milliseconds, if all goes as predicted.
+    # Predicted time until it begins there.
     begin_ms: float
-    # Of that, the wait for others, and the work of its own prompt.
+    # The parts of `begin_ms`: the wait for others, and the work of its own prompt.
     wait_ms: float
-    own_ms: float
-    # Tokens that the engine would read for it, and have from another engine.
-    read: float
-    fetched: float
-    # It has to wait for that engine: another request has it read its first parts just now, or the
-    # engine has enough to do.
-    held_back: bool
-    # In another data centre.
-    remote: bool
-    # What its requests there are worth in time, milliseconds.
-    crowd_ms: float
+    own_work_ms: float
+    # Tokens that the engine would prefill, and fetch from another engine.
+    uncached_tokens: float
+    fetched_tokens: float
+    # It has to wait: another request's prefill of its parts is under way, or the engine is full.
+    is_held_back: bool
+    is_remote: bool
+    # Added cost of the requests already there.
+    congestion_ms: float
 
 
 def _pick_engine(
@@ -97,118 +92,118 @@
 ) -> Server | None:
     if urgent_first.has_to_wait(state, now, req):
         return None
-    own_kind = engine_pools.choose(state, now, req, candidates)
-    best = _best_engine(state, now, req, own_kind)
-    if best.held_back and _may_spill(state, now, req, own_kind):
-        others = engine_pools.spill(state, now, req, candidates)
-        best = _best_engine(state, now, req, others) if others else best
-    return None if best.held_back else best.server
+    engines_of_kind = engine_pools.choose(state, now, req, candidates)
+    best_choice = _best_engine(state, now, req, engines_of_kind)
+    if best_choice.is_held_back and _can_spill(state, now, req, engines_of_kind):
+        other_engines = engine_pools.spill(state, now, req, candidates)
+        best_choice = _best_engine(state, now, req, other_engines) if other_engines else best_choice
+    return None if best_choice.is_held_back else best_choice.server
 
 
-def _may_spill(state: State, now: float, req: Request, own_kind: list[Server]) -> bool:
-    """Tell whether a request may go to engines that are kept for long prompts.
+def _can_spill(state: State, now: float, req: Request, engines_of_kind: list[Server]) -> bool:
+    """Return whether a request may go to engines reserved for long prompts.
 
-    Failure without: most engines of a service are taken away, one is left for the quick answers and
-    one for long prompts, and half of the most urgent callers leave unanswered while less urgent
-    prompts begin. There its events pause for longer than promised, which is better than none.
+    Prevents decode requests from expiring where too few decode engines are left; on prefill engines
+    their token gaps exceed the target.
     """
-    if engine_pools.bears_chunks(state, req.service_class, own_kind[0].service):
+    if engine_pools.bears_chunks(state, req.service_class, engines_of_kind[0].service):
         return False
-    return now - req.arrived >= _SPILL_SHARE * req.service_class.target_s
+    return now - req.arrived >= _SPILL_WAIT_SHARE * req.service_class.target_s
 
 
-def _best_engine(state: State, now: float, req: Request, candidates: list[Server]) -> _Choice:
+def _best_engine(state: State, now: float, req: Request, candidates: list[Server]) -> _EngineChoice:
     holdings = engine_model.holdings_of(state, req, candidates[0])
-    choices = [_weigh(state, now, req, server, holdings) for server in candidates]
+    choices = [_evaluate(state, now, req, server, holdings) for server in candidates]
     home = max(candidates, key=lambda server: rendezvous_weight(_hash_key(req), server.entry.name))
     left_ms = (req.service_class.target_s * state.options.in_time_share - (now - req.arrived)) * _MS
-    least = min(choice.read for choice in choices)
+    least_uncached = min(choice.uncached_tokens for choice in choices)
     spare_ms = state.options.spare_wait_share * req.service_class.target_s * _MS
 
-    def rank(choice: _Choice) -> tuple[bool, float, float]:
-        again = choice.read > least + _SAME_READ
-        in_time = choice.begin_ms <= left_ms
-        good = in_time and (not again or choice.wait_ms <= spare_ms)
-        return _rank(choice, good, home)
+    def rank(choice: _EngineChoice) -> tuple[bool, float, float]:
+        is_repeated_prefill = choice.uncached_tokens > least_uncached + _NEGLIGIBLE_TOKENS
+        is_in_time = choice.begin_ms <= left_ms
+        is_good = is_in_time and (not is_repeated_prefill or choice.wait_ms <= spare_ms)
+        return _choice_order(choice, is_good, home)
 
     return min(choices, key=rank)
 
 
-def _weigh(
+def _evaluate(
     state: State, now: float, req: Request, server: Server, holdings: engine_model.Holdings
-) -> _Choice:
+) -> _EngineChoice:
+    """Predict the effect of sending a request to an engine."""
     options = state.options
-    book = engine_model.book_of(state, server.entry.name)
-    spared = engine_model.held_back_tokens(book, now, req)
-    held_back = spared > 0
-    fetched = 0
-    extra_ms = 0.0
-    if not held_back:
+    record = engine_model.book_of(state, server.entry.name)
+    saved_tokens = engine_model.held_back_tokens(record, now, req)
+    is_held_back = saved_tokens > 0
+    fetched_tokens = 0
+    fetch_ms = 0.0
+    if not is_held_back:
         fetch = engine_model.best_fetch(state, req, server, holdings)
         if fetch is not None:
-            spared = fetched = fetch.tokens
-            extra_ms = engine_model.fetch_ms(options, server, fetch)
-    own = engine_model.own_work_ms(state, book, req, spared) + extra_ms
-    wait = engine_model.waiting_ms(book, now, rank_of(req.service_class))
-    return _Choice(
+            saved_tokens = fetched_tokens = fetch.tokens
+            fetch_ms = engine_model.fetch_ms(options, server, fetch)
+    own_ms = engine_model.own_work_ms(state, record, req, saved_tokens) + fetch_ms
+    wait_ms = engine_model.waiting_ms(record, now, rank_of(req.service_class))
+    return _EngineChoice(
         server=server,
-        begin_ms=_cost_ms(state, now, server, wait + own),
-        wait_ms=wait,
-        own_ms=own,
-        read=float(max(0, engine_model.uncached_tokens(book, req) - spared)),
-        fetched=float(fetched),
-        held_back=held_back or not _has_room(state, now, req, server),
-        remote=server.entry.data_centre != state.me.data_centre,
-        crowd_ms=_crowd_ms(engine_model.requests_at(book, now), server.slots),
+        begin_ms=_cost_ms(state, now, server, wait_ms + own_ms),
+        wait_ms=wait_ms,
+        own_work_ms=own_ms,
+        uncached_tokens=float(max(0, engine_model.uncached_tokens(record, req) - saved_tokens)),
+        fetched_tokens=float(fetched_tokens),
+        is_held_back=is_held_back or not _can_take(state, now, req, server),
+        is_remote=server.entry.data_centre != state.me.data_centre,
+        congestion_ms=_congestion_ms(engine_model.requests_at(record, now), server.slots),
     )
 
 
-def _crowd_ms(requests: int, slots: int) -> float:
-    """Give what the requests at an engine cost the next one, milliseconds.
+def _congestion_ms(requests: int, slots: int) -> float:
+    """Return the cost of the requests at an engine for the next one, in milliseconds.
 
-    Failure without: all callers whose prompts begin with the same few hundred tokens are sent to
-    the engine that holds these, until it has no slot left, while others are nearly empty.
+    Prevents a common short prefix from filling one engine while others are nearly empty.
     """
-    return _CROWD_MS * (requests / max(1, slots)) ** 2
+    return _CONGESTION_MS * (requests / max(1, slots)) ** 2
 
 
-def _rank(choice: _Choice, good: bool, home: Server) -> tuple[bool, float, float]:
-    """Order engines: where a request begins in time by what is read, the others by both.
+def _choice_order(choice: _EngineChoice, is_good: bool, home: Server) -> tuple[bool, float, float]:
+    """Return the sort key of an engine: by uncached work if in time, else by begin time too.
 
-    A part is read a second time only by an engine that has time to spare. Failure without that: in
-    a rush each request that its own engine has no time for has its long part read by another one,
-    which makes others late there, and all engines read the same parts.
+    Only engines with time to spare prefill a part again. Prevents all engines from prefilling the
+    same parts under overload.
     """
-    # Nobody may have told of the home: it held the part before this process was started.
-    known = 1.0 - _HOME_SHARE if choice.server is home else 1.0
-    cost_ms = choice.own_ms * known + choice.crowd_ms
-    if good:
-        return (False, cost_ms + _REMOTE_READ_MS * choice.remote, choice.begin_ms)
+    # The home engine may hold a part from before this process started.
+    uncached_share = 1.0 - _HOME_CACHED_PROBABILITY if choice.server is home else 1.0
+    cost_ms = choice.own_work_ms * uncached_share + choice.congestion_ms
+    if is_good:
+        return (False, cost_ms + _REMOTE_PREFILL_MS * choice.is_remote, choice.begin_ms)
     return (True, choice.begin_ms + _LATE_WORK_WEIGHT * cost_ms, 0.0)
 
 
-def _has_room(state: State, now: float, req: Request, server: Server) -> bool:
-    book = engine_model.book_of(state, server.entry.name)
-    requests = engine_model.requests_at(book, now)
+def _can_take(state: State, now: float, req: Request, server: Server) -> bool:
+    """Return whether an engine can take a request now."""
+    record = engine_model.book_of(state, server.entry.name)
+    requests = engine_model.requests_at(record, now)
     if not requests:
-        # Whatever its size: an engine that has nothing else to do is as good as it gets.
+        # An idle engine takes a request of any size.
         return True
     if requests >= server.slots:
         return False
-    room = server.service.kv_tokens * state.options.engine_memory_share
-    if room and engine_model.tokens_at(book, now) + engine_model.size_of(req) > room:
+    memory_tokens = server.service.kv_tokens * state.options.engine_memory_share
+    if (
+        memory_tokens
+        and engine_model.tokens_at(record, now) + engine_model.size_of(req) > memory_tokens
+    ):
         return False
-    wait = engine_model.waiting_ms(book, now, rank_of(req.service_class))
-    return wait <= _wait_limit_s(state, now, req, server) * _MS
+    wait_ms = engine_model.waiting_ms(record, now, rank_of(req.service_class))
+    return wait_ms <= _wait_limit_s(state, now, req, server) * _MS
 
 
 def _wait_limit_s(state: State, now: float, req: Request, server: Server) -> float:
-    """Give how long a request may wait at an engine before it begins there, seconds.
+    """Return how long a request may wait at an engine before it begins there, in seconds.
 
-    The longer a quick answer has waited here, the longer there. Failure without: an engine always
-    has a long prompt in hand, of which more is left than a quick answer may wait. So each moment a
-    long prompt is sent, which may wait longer, and the quick ones stay here until their callers
-    leave. At the engine they go before all long prompts but the one in hand.
+    For a decode request the limit grows with the time it has waited here. Prevents long prompts,
+    which may wait longer, from taking every place at a busy engine until decode requests expire.
     """
     limit = state.options.engine_wait_share * req.service_class.target_s
     if engine_pools.bears_chunks(state, req.service_class, server.service):
@@ -217,13 +212,13 @@
 
 
 def _cost_ms(state: State, now: float, server: Server, begin_ms: float) -> float:
-    """Give the time until a request begins at an engine, and what a failure would add to it, ms."""
+    """Return the time until a request begins at an engine plus the cost of its failures, in ms."""
     name = server.entry.name
-    cost = begin_ms / max(_STRAGGLER_WEIGHT_MIN, straggler.server_weight(state.stragglers, name))
-    cost += state.options.failure_ms * excess_failures(state.reliability, now, name)
+    cost_ms = begin_ms / max(_STRAGGLER_WEIGHT_MIN, straggler.server_weight(state.stragglers, name))
+    cost_ms += state.options.failure_ms * excess_failures(state.reliability, now, name)
     if server.entry.data_centre != state.me.data_centre:
-        cost += _REMOTE_MS
-    return cost
+        cost_ms += _REMOTE_MS
+    return cost_ms
 
 
 def _hash_key(req: Request) -> str:
@@ -231,42 +226,44 @@
 
 
 def explain(state: State, now: float, req: Request, server: Server) -> dict[str, object]:
-    """Give what a placement rested on, for its log line."""
+    """Return the inputs of a placement for its log line."""
     name = server.entry.name
-    book = engine_model.book_of(state, name)
-    news = [now - each.heard.at for each in book.peers.values()]
-    found: dict[str, object] = {
-        "requests_there": engine_model.requests_at(book, now),
-        "peers_told": len(news),
-        "oldest_news_ms": round(max(news, default=0.0) * _MS),
+    record = engine_model.book_of(state, name)
+    update_ages_s = [now - each.heard.at for each in record.peers.values()]
+    fields: dict[str, object] = {
+        "requests_there": engine_model.requests_at(record, now),
+        "peers_told": len(update_ages_s),
+        "oldest_news_ms": round(max(update_ages_s, default=0.0) * _MS),
         "excess_failures": round(excess_failures(state.reliability, now, name), 3),
         "waited_ms": round((now - req.arrived) * _MS),
         "left_ms": round((req.deadline - now) * _MS),
         "settings_version": state.settings_offset(),
     }
     if server.service.kind is Kind.MODEL:
-        found["read_tokens"] = engine_model.uncached_tokens(book, req)
-        found["least_read"] = min(
+        fields["read_tokens"] = engine_model.uncached_tokens(record, req)
+        fields["least_read"] = min(
             engine_model.uncached_tokens(engine_model.book_of(state, each.entry.name), req)
             for each in open_servers(state, now, req.target)
         )
-        found["prompt_tokens"] = req.prompt_tokens
-        found["wait_ms"] = round(engine_model.waiting_ms(book, now, rank_of(req.service_class)))
-        found["reading_engines"] = engine_pools.reading_engines(state, req.target)
-        found["reading"] = engine_pools.reading_of(state, req, server.service).value
+        fields["prompt_tokens"] = req.prompt_tokens
+        fields["wait_ms"] = round(engine_model.waiting_ms(record, now, rank_of(req.service_class)))
+        fields["reading_engines"] = engine_pools.reading_engines(state, req.target)
+        fields["reading"] = engine_pools.reading_of(state, req, server.service).value
         holdings = engine_model.holdings_of(state, req, server)
-        choice = _weigh(state, now, req, server, holdings)
-        found["begin_ms"] = round(choice.begin_ms)
-        found["fetch_tokens"] = round(choice.fetched)
-        found["pace"] = round(book.pace, 2)
-        found["tokens_there"] = engine_model.tokens_at(book, now)
-    return found
+        choice = _evaluate(state, now, req, server, holdings)
+        fields["begin_ms"] = round(choice.begin_ms)
+        fields["fetch_tokens"] = round(choice.fetched_tokens)
+        fields["pace"] = round(record.pace, 2)
+        fields["tokens_there"] = engine_model.tokens_at(record, now)
+    return fields
 
 
 def shortest_wait_ms(state: State, now: float, candidates: list[Server]) -> float:
-    """Give the shortest wait at any engine, milliseconds; 0.0 where there is none."""
-    books = (engine_model.book_of(state, server.entry.name) for server in candidates)
-    return min((engine_model.waiting_ms(book, now, _LAST_RANK) for book in books), default=0.0)
+    """Return the shortest wait at any engine in milliseconds; 0.0 where there is none."""
+    records = (engine_model.book_of(state, server.entry.name) for server in candidates)
+    return min(
+        (engine_model.waiting_ms(record, now, _LAST_RANK) for record in records), default=0.0
+    )
 
 
 # --- plain services --------------------------------------------------------------------------
@@ -284,7 +281,7 @@
         cost = load + 3.0 * excess_failures(state.reliability, now, name)
         if server.entry.data_centre != state.me.data_centre:
             cost += state.options.plain_near_share
-        # Random ties keep instances that know the same from choosing alike.
+        # Random ties keep instances with the same state from choosing the same server.
         cost += state.rng.random() * 1e-3
         if best is None or cost < best_cost:
             best, best_cost = server, cost
--- a/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
@@ -107,8 +107,8 @@
         return [Count("attempt.late_end")]
     attempt = req.attempt
     effects = release(state, now, req, attempt)
-    attempt_books.note_outcome(state, now, attempt, event.end)
-    effects += attempt_books.report_end(now, attempt, event.end)
+    attempt_books.record_outcome(state, now, attempt, event.end)
+    effects += attempt_books.count_end(now, attempt, event.end)
     if state.config.policy is Policy.PREDICTED:
         effects.append(_end_log(now, req, attempt, event.end))
     req.attempt = None
@@ -150,7 +150,7 @@
         case EndComplete(status, answer):
             if attempt.first_token_at is None:
                 silence.note_begun(state, now, attempt)
-            learnt = attempt_books.note_completed(state, now, req, attempt)
+            learnt = attempt_books.record_completed(state, now, req, attempt)
             finished = finish(
                 state,
                 now,
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -88,12 +88,12 @@
 
 def _admission(state: State, now: float, req: Request) -> list[Effect]:
     """Refuse what cannot be answered in time, and let lower work make way before that."""
-    verdict = admission.judge(state, now, req, pool_name(state, req.target))
+    verdict = admission.decide(state, now, req, pool_name(state, req.target))
     match verdict:
-        case admission.Refused(pause, because):
-            refused = Log("not_admitted", {"request_id": req.request_id, **because})
+        case admission.Refused(pause, details):
+            refused = Log("not_admitted", {"request_id": req.request_id, **details})
             return [
-                *([refused] if because else []),
+                *([refused] if details else []),
                 *finish(state, now, req, Outcome.NOT_RUN, Reason.OVERLOAD, retry_after_s=pause),
             ]
         case admission.Admitted(displaced, dropped):
@@ -116,7 +116,7 @@
     if trial.must_wait(state, now, req):
         trial.hold(state, req)
         return []
-    admission.note_admitted(state, now, req, pool_name(state, req.target))
+    admission.record_admitted(state, now, req, pool_name(state, req.target))
     wait_for_server(state, req)
     return dispatch(state, now, req.target)
 
@@ -173,7 +173,7 @@
     """Tell callers now whose late requests would only wait until their deadlines."""
     effects: list[Effect] = []
     for pool in state.queues.pools:
-        while found := admission.in_vain(state, now, pool):
+        while found := admission.unservable_requests(state, now, pool):
             for each in found:
                 queue_state.remove(state.queues, each.request)
                 effects += finish(
--- a/tests/core/placement/test_admission.py
+++ b/tests/core/placement/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission: cases from `cases/admission.test`, and that no upper tier suffers for a lower one."""
+"""Test admission: the cases of `cases/admission.test`, and properties under random load."""
 
 from __future__ import annotations
 
@@ -21,49 +21,47 @@
 
 @pytest.mark.parametrize("case", load_cases("admission.test"), ids=str)
 def test_admission(case: Case) -> None:
-    """Admit, refuse and displace as the case says."""
+    """Check a case of `cases/admission.test`."""
     check_lines(case, run_script(case.lines("in")))
 
 
-def shed(world: LoadWorld) -> Iterable[Account]:
-    """Give the accounts of those that were refused or dropped for want of capacity."""
+def shed_accounts(world: LoadWorld) -> Iterable[Account]:
+    """Yield the accounts of requests that were refused or dropped for lack of capacity."""
     for told in world.told.values():
         for account in told.accounts:
             if account.reason in (Reason.OVERLOAD, Reason.DISPLACED):
                 yield account
 
 
-def displaceable_below(world: LoadWorld, tier: int) -> list[str]:
-    """List lower work that could make way, by what the servers run and what waits."""
-    found: list[str] = []
+def displaceable_work_below(world: LoadWorld, tier: int) -> list[str]:
+    """List running and waiting work below a tier that could be displaced."""
+    displaceable: list[str] = []
     for state in world.states.values():
         for req in state.requests.values():
             if req.priority <= tier:
                 continue
             attempt = req.attempt
             if attempt is None:
-                first = min(
+                oldest_arrival = min(
                     (
                         each.arrived
                         for each in state.requests.values()
                         if each.attempt is None and each.priority == req.priority
                     ),
                 )
-                droppable = not req.may_have_run and req.arrived > first
+                droppable = not req.may_have_run and req.arrived > oldest_arrival
             else:
-                # A turn that its share had earned runs at the most urgent tier.
+                # An attempt of the assured share runs at the most urgent tier.
                 droppable = (
                     req.kind is Kind.MODEL and attempt.cancelled is None and attempt.tier > tier
                 )
             if droppable:
-                found.append(req.request_id)
-    return found
+                displaceable.append(req.request_id)
+    return displaceable
 
 
-def test_displacement_is_no_failed_attempt() -> None:
-    # A quote has to make way again and again, and then its server is lost. That is its first
-    # failure, so it is tried again, once it is known that its server did not crash, and its caller
-    # gets the whole answer.
+def test_displacement_does_not_count_as_failure() -> None:
+    """Guards against counting displacements as failed attempts."""
     world = LoadWorld(servers=2, slots=1, options=Options(slack_slots=0))
     world.arrive("quote", name="q")
     for _ in range(2 * world.options.attempts_max):
@@ -91,28 +89,28 @@
 
 @settings(max_examples=150, deadline=None)
 @given(STEPS, st.sampled_from(list(Kind)), st.sampled_from([Policy.COUNTS, Policy.CREDITS]))
-def test_upper_tier_is_never_shed_while_lower_work_could_make_way(
+def test_lower_work_is_displaced_before_upper_work_is_refused(
     steps: list[tuple[str, str]], kind: Kind, policy: Policy
 ) -> None:
-    # A burst of all classes on two servers, with queues so short and deadlines so tight that many
-    # must be refused. Whenever one is, nothing below it may be left that could have made way; and
-    # nothing of an upper tier is ever stopped or dropped for a lower one.
+    """Guards against refusing a request while lower work could be displaced, and against the
+    reverse.
+    """
     options = Options(queue_limit=3, pace_weight=1.0)
     world = LoadWorld(servers=1, slots=2, policy=policy, kind=kind, options=options)
     world.advance(0.2)
     for step, class_name in steps:
-        told = {name: len(each.accounts) for name, each in world.told.items()}
-        cancelled = len(world.cancelled)
+        account_counts = {name: len(each.accounts) for name, each in world.told.items()}
+        cancelled_count = len(world.cancelled)
         if step == "arrive":
             tier = CLASSES[class_name].priority
-            before = displaceable_below(world, tier)
+            displaceable = displaceable_work_below(world, tier)
             world.arrive(class_name, deadline_s=1.5)
-            new = world.told[class_name].accounts[told[class_name] :]
-            if any(each.reason is Reason.OVERLOAD for each in new):
-                assert not before, f"{class_name} was refused before {before}"
+            new_accounts = world.told[class_name].accounts[account_counts[class_name] :]
+            if any(each.reason is Reason.OVERLOAD for each in new_accounts):
+                assert not displaceable, f"{class_name} was refused before {displaceable}"
             for name, each in world.told.items():
                 if CLASSES[name].priority <= tier:
-                    dropped = each.accounts[told[name] :]
+                    dropped = each.accounts[account_counts[name] :]
                     assert all(it.reason is not Reason.DISPLACED for it in dropped)
         elif step == "end" and world.running:
             running = world.oldest()
@@ -122,20 +120,17 @@
         else:
             world.advance(0.3)
             for name, each in world.told.items():
-                # Late ones that would wait in vain are refused on ticks.
-                new = each.accounts[told[name] :]
-                if any(it.reason is Reason.OVERLOAD for it in new):
-                    assert not displaceable_below(world, CLASSES[name].priority)
-        for request_id, reason in world.cancelled[cancelled:]:
+                # Late requests that would expire are refused on ticks.
+                new_accounts = each.accounts[account_counts[name] :]
+                if any(it.reason is Reason.OVERLOAD for it in new_accounts):
+                    assert not displaceable_work_below(world, CLASSES[name].priority)
+        for request_id, reason in world.cancelled[cancelled_count:]:
             if reason is CancelReason.DISPLACED:
                 assert not request_id.startswith("counter")
 
 
-def test_backlog_of_a_moment_is_not_refused_before_idle_servers() -> None:
-    # An instance goes on after a pause in which its credit has lapsed, and all that its callers
-    # sent meanwhile comes at once. It has few slots until its demands are answered. Judged by the
-    # rate of these alone, the end of the backlog would come too late, and its callers, of the most
-    # urgent tier, would be refused before engines that stand idle.
+def test_backlog_after_a_pause_is_admitted() -> None:
+    """Guards against refusals after a pause, when credit has lapsed and engines are idle."""
     world = LoadWorld(
         instances=2, servers=4, slots=8, policy=Policy.CREDITS, options=Options(pace_weight=1.0)
     )
@@ -153,7 +148,7 @@
     for _ in range(32):
         world.arrive("counter", deadline_s=4.0)
 
-    assert list(shed(world)) == []
+    assert list(shed_accounts(world)) == []
     for instance, event in world.take_late():
         world.event(instance, event)
     world.advance(0.5)
@@ -162,10 +157,10 @@
 
 @settings(max_examples=60, deadline=None)
 @given(STEPS, st.sampled_from(list(Policy)))
-def test_every_request_ends_once_and_not_run_is_true(
+def test_every_request_ends_once_and_not_run_is_accurate(
     steps: list[tuple[str, str]], policy: Policy
 ) -> None:
-    """Give each request one account, and `not_run` only where no server was asked to run it."""
+    """Guards against missing or double accounts, and `not_run` for a request that was sent."""
     world = LoadWorld(
         servers=1, slots=2, policy=policy, options=Options(queue_limit=3, pace_weight=1.0)
     )
@@ -184,10 +179,10 @@
         world.advance(0.1)
     accounts = [account for each in world.told.values() for account in each.accounts]
     assert len({each.request_id for each in accounts}) == len(accounts) == arrived
-    begun = {each.request_id for each in world.started}
+    started_ids = {each.request_id for each in world.started}
     for account in accounts:
         if account.outcome is Outcome.NOT_RUN:
-            assert account.request_id not in begun
-    for account in shed(world):
+            assert account.request_id not in started_ids
+    for account in shed_accounts(world):
         assert account.retry_after_s is not None
         assert account.retry_after_s >= 1.0
--- a/tests/core/placement/test_dead_server.py
+++ b/tests/core/placement/test_dead_server.py
@@ -1,4 +1,4 @@
-"""Servers that die without a word, and the callers that wait for them."""
+"""Test the detection of dead servers and the requests that run on them."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 )
 
 
-def silent_on(world: StoreWorld, *, repeatable: bool) -> StartAttempt:
-    """Have a stream begin and fall silent."""
+def unresponsive_stream(world: StoreWorld, *, repeatable: bool) -> StartAttempt:
+    """Start a stream that sends one event and then nothing."""
     start = start_of(
         world.arrive(
             "1",
@@ -42,8 +42,8 @@
     return start
 
 
-def tries(world: StoreWorld, name: ServerName) -> int:
-    """Let time pass, every try of a server failing; count them."""
+def count_failed_probes(world: StoreWorld, name: ServerName) -> int:
+    """Let time pass while every probe of a server fails; return the number of probes."""
     count = 0
     for _ in range(40):
         for probe in only(world.wait(0.05), ProbeServer):
@@ -54,15 +54,11 @@
 
 
 @pytest.mark.parametrize("repeatable", [False, True])
-def test_a_caller_of_a_dead_server_is_not_left_waiting(repeatable: bool) -> None:
-    """The server loses power after the first event; its connection stays open and silent.
-
-    The caller would wait for the rest until its deadline, twelve seconds. A new connection fails
-    twice: what may go on elsewhere does, and the caller of the other is told at once.
-    """
+def test_dead_server_ends_its_requests(repeatable: bool) -> None:
+    """Guards against callers that wait until their deadline for a server without power."""
     world = StoreWorld(engines=5)
-    start = silent_on(world, repeatable=repeatable)
-    assert tries(world, start.server) >= 2
+    start = unresponsive_stream(world, repeatable=repeatable)
+    assert count_failed_probes(world, start.server) >= 2
     (cancelled,) = only(world.effects, CancelAttempt)
     assert cancelled.attempt_id == start.attempt_id
     effects = world.end(start, EndCancelled(0))
@@ -72,19 +68,15 @@
         assert account_of(effects).account.outcome is Outcome.UNKNOWN
 
 
-def test_a_stream_goes_on_elsewhere_before_its_caller_gives_it_up() -> None:
-    """A data centre is cut off; a caller there would wait for two seconds without an event.
-
-    Each new connection to the server takes 0.35 s to fail. Whoever takes the stream up needs some
-    time as well, so the other server has it while at least 0.7 s are left.
-    """
+def test_stream_resumes_before_its_caller_gives_up() -> None:
+    """Guards against resuming a stream too late, where each connection takes 0.35 s to fail."""
     world = StoreWorld(engines=5)
-    start = silent_on(world, repeatable=True)
+    start = unresponsive_stream(world, repeatable=True)
     silent_since = world.now
     failing: list[tuple[float, ServerName]] = []
     while not only(world.effects, CancelAttempt):
-        found = world.wait(0.05)
-        failing += [(world.now + 0.35, each.server) for each in only(found, ProbeServer)]
+        effects = world.wait(0.05)
+        failing += [(world.now + 0.35, each.server) for each in only(effects, ProbeServer)]
         for each in [each for each in failing if each[0] <= world.now]:
             failing.remove(each)
             world.give(ServerUnreachable(each[1], "no connection in 0.35 s"))
@@ -93,10 +85,10 @@
     assert world.now <= silent_since + 1.3
 
 
-def test_a_request_that_cannot_be_sent_counts_as_a_try() -> None:
-    """Others are sent to the server that is silent, and cannot connect to it."""
+def test_failed_send_counts_as_failed_probe() -> None:
+    """Guards against ignoring other requests that could not connect to the server."""
     world = StoreWorld(engines=1)
-    start = silent_on(world, repeatable=False)
+    start = unresponsive_stream(world, repeatable=False)
     world.wait(0.7)
     other = start_of(world.arrive("2", service_class=FIT, prompt_tokens=100))
     assert other.server == start.server
@@ -105,10 +97,10 @@
     assert [each.attempt_id for each in only(world.effects, CancelAttempt)] == [start.attempt_id]
 
 
-def test_a_busy_server_is_left_in_peace() -> None:
-    """Its connection is silent for long, and a new one works each time."""
+def test_busy_server_keeps_its_streams() -> None:
+    """Guards against giving up streams on a busy server that accepts connections."""
     world = StoreWorld(engines=5)
-    start = silent_on(world, repeatable=True)
+    start = unresponsive_stream(world, repeatable=True)
     for _ in range(60):
         for probe in only(world.wait(0.05), ProbeServer):
             world.give(ServerAnswered(probe.server))
@@ -119,27 +111,25 @@
     assert start.server in world.state.servers.by_name
 
 
-def test_one_lost_packet_is_no_death() -> None:
+def test_one_failed_probe_is_not_enough() -> None:
+    """Guards against declaring a server dead after one failed probe."""
     world = StoreWorld(engines=5)
-    start = silent_on(world, repeatable=False)
-    failed = False
+    start = unresponsive_stream(world, repeatable=False)
+    has_failed = False
     for _ in range(60):
         for probe in only(world.wait(0.05), ProbeServer):
-            if failed:
+            if has_failed:
                 world.give(ServerAnswered(probe.server))
             else:
-                failed = True
+                has_failed = True
                 world.give(ServerUnreachable(start.server, "no connection"))
-    assert failed
+    assert has_failed
     assert not only(world.effects, CancelAttempt)
     assert not only(world.effects, FinishRequest)
 
 
-def test_a_long_prompt_is_not_taken_for_a_silent_connection() -> None:
-    """Others were answered at once by that server; this prompt is predicted to take 0.8 s.
-
-    Stopped after 0.3 s, it would be read from the beginning by another engine.
-    """
+def test_long_prefill_is_not_unresponsive() -> None:
+    """Guards against cancelling a long prefill because other answers of the server were fast."""
     world = StoreWorld(engines=5)
     for number in range(3):
         quick = start_of(
@@ -165,12 +155,11 @@
     assert not only(world.effects, CancelAttempt)
 
 
-def test_streams_of_a_crashed_server_go_on_at_once() -> None:
-    """An engine crashes with three streams that may be resumed and have run for half a second.
+def test_streams_of_crashed_server_resume_at_once() -> None:
+    """Guards against delaying the resumption of streams after a crash.
 
-    Their callers leave two seconds after the last event. None of the streams can have crashed the
-    engine as it was begun, so all go on elsewhere at once and together. One that had not begun may
-    be what crashed it, and waits for a server where it runs alone.
+    Streams that had run for a while cannot have caused the crash; one that had not begun may have,
+    and must wait for an isolated run.
     """
     world = StoreWorld(engines=1)
     fields = {"service_class": FIT, "repeatable": True, "sends_max": 2, "prompt_tokens": 100}
@@ -184,26 +173,23 @@
     world.wait(0.5)
     for start in starts:
         world.begin(start)
-    unbegun = start_of(world.arrive("unbegun", fingerprint="print-unbegun", **fields))
-    world.sent(unbegun)
+    pending_start = start_of(world.arrive("unbegun", fingerprint="print-unbegun", **fields))
+    world.sent(pending_start)
     other = world.entry("lm-2", "lm")
     world.give(RegistryRead(((other, 2),)))
     for start in starts:
         effects = world.end(start, EndBroken("reset", server_alive=False))
         assert start_of(effects).server == other.name
-    assert not only(world.end(unbegun, EndBroken("reset", server_alive=False)), StartAttempt)
+    assert not only(world.end(pending_start, EndBroken("reset", server_alive=False)), StartAttempt)
 
 
-def test_a_call_that_a_server_has_not_run_goes_on_to_another() -> None:
-    """A call that one server may run is refused by a server whose place another one has taken.
-
-    Nothing has run it, so its caller is served by the next server rather than told to come again.
-    """
+def test_refused_call_goes_to_another_server() -> None:
+    """Guards against ending a single-send call because a leaving server refused it unrun."""
     world = StoreWorld(engines=2)
     start = start_of(world.arrive("1", service_class=FIT, prompt_tokens=100, sends_max=1))
     world.sent(start)
-    again = start_of(world.end(start, EndRefused(421, leaving=True)))
-    assert again.server != start.server
-    world.sent(again)
-    effects = world.end(again, EndBroken("reset", server_alive=True))
+    second_start = start_of(world.end(start, EndRefused(421, leaving=True)))
+    assert second_start.server != start.server
+    world.sent(second_start)
+    effects = world.end(second_start, EndBroken("reset", server_alive=True))
     assert account_of(effects).account.outcome is Outcome.UNKNOWN
--- a/tests/core/placement/test_displacement.py
+++ b/tests/core/placement/test_displacement.py
@@ -1,4 +1,4 @@
-"""Which lower work makes way, in cases that runs under load and with random faults found."""
+"""Test which lower work is displaced for upper tiers."""
 
 from __future__ import annotations
 
@@ -18,35 +18,35 @@
 from turmericweir_core.messages.effects import CancelAttempt
 from turmericweir_core.messages.events import EndRefused
 
-# More than any sound run of these tests displaces.
-TOO_MANY = 20
+# Upper bound of displacements in these tests.
+DISPLACEMENTS_MAX = 20
 
 
 @pytest.mark.parametrize("case", load_cases("displacement.test"), ids=str)
 def test_displacement(case: Case) -> None:
-    """Let lower work make way as the case says."""
+    """Check a case of `cases/displacement.test`."""
     check_lines(case, run_script(case.lines("in")))
 
 
 class BoundedWorld(LoadWorld):
-    """A world that fails, rather than hangs, where an instance displaces without end."""
+    """A world that fails instead of hanging where displacement does not end."""
 
     def __init__(self, options: Options) -> None:
         super().__init__(servers=2, slots=1, policy=Policy.COUNTS, options=options)
 
-    def displaced(self) -> int:
-        """Count the orders to make way."""
+    def displacement_count(self) -> int:
+        """Count the displacements."""
         return len(self.cancelled)
 
     def _cancel(self, instance: InstanceName, effect: CancelAttempt) -> None:
         super()._cancel(instance, effect)
-        assert self.displaced() <= TOO_MANY, "it displaces without end"
+        assert (
+            self.displacement_count() <= DISPLACEMENTS_MAX
+        ), "the instance displaces work in an endless loop"
 
 
-def test_lower_work_does_not_make_way_on_a_server_that_the_upper_one_avoids() -> None:
-    # A caller's fitting question is refused by s1 and waits for s0, which is full; a quote runs on
-    # s1. The instance stops the quote to make room, but the question goes on avoiding s1, so the
-    # quote is bound to s1 again and stopped again, with no end: the process answers nobody.
+def test_no_displacement_on_an_avoided_server() -> None:
+    """Guards against an endless loop that displaces work on a server the upper request avoids."""
     world = BoundedWorld(Options(slack_slots=0, displace_wait_share=0.0))
     world.arrive("fitting", name="f0")
     world.arrive("fitting", name="f1")
@@ -55,34 +55,32 @@
     world.end(avoided, EndRefused(503, leaving=False))
     world.advance(1.0)
     assert world.run_of("q0").server == avoided.server
-    assert world.displaced() == 0
+    assert world.displacement_count() == 0
     assert world.waiting() == ["f1"]
 
 
-def test_an_attempt_that_has_just_begun_is_left_alone() -> None:
-    # A quote is bound, and a fitting question comes in the same instant. Were the quote stopped at
-    # once, whatever keeps the question from its place would let the two change places for ever
-    # within one instant, in which no other event is seen. A tick later it makes way.
+def test_new_attempt_is_not_displaced_at_once() -> None:
+    """Guards against two requests that displace each other without end at one time."""
     world = BoundedWorld(Options(slack_slots=0, displace_wait_share=0.0))
     world.arrive("quote", name="q0")
     world.arrive("quote", name="q1")
     world.arrive("fitting", name="f0")
-    assert world.displaced() == 0
+    assert world.displacement_count() == 0
     world.advance(0.2)
-    assert world.displaced() == 1
+    assert world.displacement_count() == 1
     assert "f0" in world.running_ids()
 
 
 # --- any load ----------------------------------------------------------------------------------
 
-# Without assured shares anything lower makes way.
+# Without assured shares, all lower work can be displaced.
 STRICT = {name: replace(each, assured_share=0.0) for name, each in CLASSES.items()}
-# Longer than every upper class's patience and a press of every server after it.
-SETTLED_S = 1.5
+# Longer than the displacement wait of every upper class plus a displacement on every server.
+SETTLE_S = 1.5
 
 
 def play(rng: Random) -> LoadWorld:
-    """Let requests come and go at random before some instances and servers."""
+    """Play random requests on some instances and servers."""
     world = LoadWorld(
         instances=rng.randint(1, 4),
         servers=rng.randint(1, 3),
@@ -112,12 +110,13 @@
 @example(85)
 @example(249)
 def test_no_upper_request_waits_while_lower_work_runs(seed: int) -> None:
-    # A student's homework waits at one instance while essays run, there or elsewhere. No one
-    # is told, or no one who could stop one, and it waits until answers end by themselves.
+    """Guards against upper requests that wait at one instance while lower work runs anywhere."""
     world = play(Random(seed))
-    world.advance(SETTLED_S)
+    world.advance(SETTLE_S)
     tiers = {name: each.priority for name, each in STRICT.items()}
-    lowest_running = max((tiers[each.service_class] for each in world.running.values()), default=-1)
+    least_urgent_running = max(
+        (tiers[each.service_class] for each in world.running.values()), default=-1
+    )
     for state in world.states.values():
         for queue in state.queues.index.values():
-            assert queue.service_class.priority >= lowest_running
+            assert queue.service_class.priority >= least_urgent_running
--- a/tests/core/placement/test_placement.py
+++ b/tests/core/placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Which server a request goes to: subsets, loads, prefixes, and reports that lag."""
+"""Test the choice of a server: subsets, loads, stale reports and prefixes."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def region_state(name: str, servers: int, *, centres: tuple[str, ...] = CENTRES) -> State:
-    """Make an instance of the first data centre before servers of all of them."""
+    """Return the state of an instance of the first data centre, with servers in all of them."""
     service = Service(str(MODEL), Kind.MODEL, (str(MODEL),))
     entries = {
         ServerName(f"s{number}"): ServerEntry(
@@ -50,15 +50,15 @@
 
 
 def subset_names(state: State) -> list[str]:
-    """Name the servers of the subset."""
+    """Return the names of the servers in the subset."""
     return [server.entry.name for server in target_subset(state, MODEL).servers]
 
 
 # --- subsets ---------------------------------------------------------------------------------
 
 
-def test_subset_is_bounded_and_own_data_centre_comes_first() -> None:
-    """Use a bounded number of servers: most of the own data centre, and a few of others."""
+def test_subset_is_bounded_and_prefers_local_data_centre() -> None:
+    """Guards against an unbounded subset, or one that prefers other data centres."""
     state = region_state("entry-1", 300)
     subset = target_subset(state, MODEL).servers
     own = [server for server in subset if server.entry.data_centre == CENTRES[0]]
@@ -68,47 +68,46 @@
 
 
 def test_small_region_is_used_whole() -> None:
-    """Use every server where there are few."""
+    """Guards against leaving out servers of a small region."""
     state = region_state("entry-1", 6)
     assert sorted(subset_names(state)) == [f"s{number}" for number in range(6)]
 
 
 def test_subsets_cover_the_servers_evenly() -> None:
-    """Leave no server of a region out, and crowd none."""
-    used: Counter[str] = Counter()
+    """Guards against subsets that leave servers out or overload some."""
+    uses_by_server: Counter[str] = Counter()
     for number in range(160):
-        used.update(subset_names(region_state(f"entry-{number}", 40, centres=("north",))))
+        uses_by_server.update(subset_names(region_state(f"entry-{number}", 40, centres=("north",))))
     mean = 160 * OPTIONS.subset_size / 40
-    assert len(used) == 40
-    assert min(used.values()) > mean / 2
-    assert max(used.values()) < mean * 1.5
+    assert len(uses_by_server) == 40
+    assert min(uses_by_server.values()) > mean / 2
+    assert max(uses_by_server.values()) < mean * 1.5
 
 
-def test_one_server_that_leaves_moves_only_its_own_place() -> None:
-    """Keep the rest of the subset when a server starts leaving."""
+def test_leaving_server_changes_only_its_place_in_the_subset() -> None:
+    """Guards against a reshuffled subset when one server leaves."""
     state = region_state("entry-1", 100)
     before = set(subset_names(state))
-    gone = target_subset(state, MODEL).servers[0]
-    gone.leaving = True
+    leaving_server = target_subset(state, MODEL).servers[0]
+    leaving_server.leaving = True
     state.servers.version += 1
     after = set(subset_names(state))
-    assert before - after == {gone.entry.name}
+    assert before - after == {leaving_server.entry.name}
     assert len(after - before) == 1
 
 
-def test_subset_that_is_cut_off() -> None:
-    # The rack with all servers of an instance's subset loses its network. Its callers are served by
-    # the servers of the region that it does not use at other times.
+def test_unreachable_subset_falls_back_to_other_servers() -> None:
+    """Guards against unserved callers when all servers of the subset are unreachable."""
     state = region_state("entry-1", 100)
     for server in target_subset(state, MODEL).servers:
         server.unreachable_until = 200.0
-    found = {server.entry.name for server in open_servers(state, 100.0, MODEL)}
-    assert len(found) == 100 - OPTIONS.subset_size
-    assert not found & set(subset_names(state))
+    open_names = {server.entry.name for server in open_servers(state, 100.0, MODEL)}
+    assert len(open_names) == 100 - OPTIONS.subset_size
+    assert not open_names & set(subset_names(state))
 
 
 def test_other_region_is_used_only_when_this_one_has_no_server() -> None:
-    """Leave the servers of another region alone while there are any in this one."""
+    """Guards against use of another region while the local one has servers."""
     state = region_state("entry-1", 9)
     state.members.centres["west"] = RemoteCentre("west", region="far away")
     subset_tick(state, 100.0)
@@ -122,12 +121,11 @@
 
 
 def test_server_that_failed_is_used_again_only_after_a_probe() -> None:
-    # A server is cut off: connections to it time out. Its pause ends, and a caller's request comes
-    # before the probe is answered: it must go to the server that is known to answer.
+    """Guards against sending to a failed server before a probe was answered."""
     world = LoadWorld(servers=2, slots=8, report_s=None)
     world.advance(0.1)
-    failed = world.first.servers.by_name[ServerName("s0")]
-    failed.unreachable_until = world.now + 0.5
+    failed_server = world.first.servers.by_name[ServerName("s0")]
+    failed_server.unreachable_until = world.now + 0.5
     world.advance(1.0)
     for _ in range(6):
         world.arrive("quote")
@@ -143,7 +141,7 @@
 
 
 def test_baseline_takes_servers_in_turn() -> None:
-    """Send to the servers in turn, whatever their load."""
+    """Guards against a baseline policy that depends on load."""
     world = LoadWorld(servers=3, slots=4, policy=Policy.BASELINE)
     for _ in range(9):
         world.arrive("quote")
@@ -151,7 +149,7 @@
 
 
 def test_least_loaded_server_is_taken() -> None:
-    """Send to the server with the smallest share of its slots in use, by all instances."""
+    """Guards against sending to a server that other instances keep busier."""
     world = LoadWorld(servers=3, slots=8, report_s=None)
     for number, running in enumerate((6, 1, 4)):
         report = report_of(ServerName(f"s{number}"), 1, running, 8)
@@ -162,10 +160,10 @@
 
 @pytest.mark.parametrize("policy", [Policy.COUNTS, Policy.CREDITS])
 @pytest.mark.parametrize("instances", [4, 8])
-def test_reports_that_lag_do_not_herd(policy: Policy, instances: int) -> None:
-    # One server has just become idle; the last report of every other one says that it is busy, and
-    # no further report comes. A burst arrives at all instances at once. Were each to believe the
-    # report alone, all of it would go to the idle server.
+def test_stale_reports_do_not_cause_herding(policy: Policy, instances: int) -> None:
+    """Guards against all instances sending a burst to the one server whose stale report shows it
+    idle.
+    """
     world = LoadWorld(instances=instances, servers=4, slots=8, policy=policy, report_s=None)
     world.advance(0.3)
     for name in world.states:
@@ -179,10 +177,8 @@
     assert on_idle <= world.slots + world.options.slack_slots
 
 
-def test_own_requests_that_ended_make_room_before_the_next_report() -> None:
-    # The last report shows the server full of this instance's own requests. They end; no further
-    # report comes. Were the old numbers taken for others' requests, the caller would wait before
-    # an idle server.
+def test_ended_local_requests_free_room_at_once() -> None:
+    """Guards against counting ended local requests as those of other instances."""
     world = LoadWorld(servers=1, slots=2, report_s=None)
     world.advance(0.1)
     for _ in range(3):
@@ -194,9 +190,8 @@
     assert "q" in world.running_ids()
 
 
-def test_instance_that_runs_nothing_gets_a_turn() -> None:
-    # The other instances keep the only server full, so that every report says so. The caller of an
-    # instance that runs nothing there is served all the same.
+def test_instance_without_running_requests_is_served() -> None:
+    """Guards against starvation of an instance where others keep the only server full."""
     world = LoadWorld(servers=1, slots=2, report_s=None, kind=Kind.PLAIN)
     world.event(InstanceName("entry-0"), report_of(ServerName("s0"), 1, 7, 2, Kind.PLAIN))
     world.arrive("quote", name="q1")
@@ -205,7 +200,7 @@
 
 
 def test_server_that_failed_a_request_is_avoided() -> None:
-    """Try another server after one has refused, and the same one only where there is no other."""
+    """Guards against a retry on the server that refused the request."""
     world = LoadWorld(servers=2, slots=4)
     world.arrive("quote", name="q")
     first = world.run_of("q").server
@@ -215,7 +210,7 @@
 
 
 def test_predicted_work_breaks_a_tie() -> None:
-    """Prefer the server whose requests have less left to generate."""
+    """Guards against ignoring the work left where request counts are equal."""
     world = LoadWorld(servers=2, slots=4, options=Options(predict_default=1000.0))
     world.arrive("quote", name="long", max_tokens=1000)
     world.arrive("quote", name="short", max_tokens=10)
@@ -224,24 +219,24 @@
     assert world.run_of("next").server == world.run_of("short").server
 
 
-def test_other_data_centre_only_when_the_own_is_busier() -> None:
-    """Stay in the own data centre while it is not much busier."""
+def test_remote_data_centre_is_used_only_when_local_is_busier() -> None:
+    """Guards against leaving the local data centre while it is not much busier."""
     state = region_state("entry-1", 2, centres=("north", "south"))
     world = LoadWorld(servers=1)
     world.arrive("quote", name="q")
     req = world.first.requests[world.run_of("q").request_id]
     for _ in range(20):
-        picked = placement.pick_server(state, 100.0, req, 2)
-        assert picked is not None
-        assert picked.entry.data_centre == "north"
+        server = placement.pick_server(state, 100.0, req, 2)
+        assert server is not None
+        assert server.entry.data_centre == "north"
     for number in range(4):
         state.servers.by_name[ServerName("s0")].in_flight[world.run_of("q").attempt_id] = 2
         busy = report_of(ServerName("s0"), number, number + 1, 8)
         state.servers.by_name[ServerName("s0")].report = busy
         state.servers.by_name[ServerName("s0")].report_at = 100.0
-    picked = placement.pick_server(state, 100.0, req, 2)
-    assert picked is not None
-    assert picked.entry.data_centre == "south"
+    server = placement.pick_server(state, 100.0, req, 2)
+    assert server is not None
+    assert server.entry.data_centre == "south"
     assert DATA_CENTRE not in CENTRES
 
 
@@ -249,7 +244,7 @@
 
 
 def test_request_follows_its_prefix() -> None:
-    """Send a request where its prefix went before, though another server is less loaded."""
+    """Guards against ignoring a cached prefix for a small difference in load."""
     world = LoadWorld(servers=4, slots=8)
     world.arrive("quote", name="q0", prefixes=("catalogue", "catalogue/shirts"))
     for number in range(1, 4):
@@ -257,9 +252,8 @@
     assert len({world.run_of(f"q{number}").server for number in range(4)}) == 1
 
 
-def test_affinity_gives_way_to_load() -> None:
-    # Every quote has the same catalogue as its prefix. While the servers have room the burst must
-    # spread: the server that saw the catalogue first gets no more than its part, and a bit.
+def test_load_limits_prefix_affinity() -> None:
+    """Guards against filling one server because of a prefix that all requests share."""
     world = LoadWorld(servers=4, slots=8)
     for _ in range(24):
         world.arrive("quote", prefixes=("catalogue",))
@@ -269,30 +263,30 @@
     assert max(by_server.values()) <= mean * OPTIONS.affinity_load_factor + 1
 
 
-def gap_of(server: str, *events: CacheEvent, gap: bool) -> CacheEvents:
-    """Make the cache events of a server."""
+def cache_events(server: str, *events: CacheEvent, gap: bool) -> CacheEvents:
+    """Return cache events of a server."""
     return CacheEvents(ServerName(server), events, gap)
 
 
-def test_gap_makes_a_prefix_unknown_and_not_absent() -> None:
-    """Weigh what stood before a gap less than what is known, and more than nothing."""
+def test_gap_in_cache_events_makes_prefix_uncertain() -> None:
+    """Guards against treating prefixes from before a gap in cache events as certain or absent."""
     prefixes = PrefixMap()
     for server in ("s0", "s1"):
         prefix.note_sent(prefixes, OPTIONS, 1.0, ServerName(server), ("a", "a/b"))
-    prefix.note_cache_events(prefixes, OPTIONS, 2.0, gap_of("s0", gap=True))
+    prefix.note_cache_events(prefixes, OPTIONS, 2.0, cache_events("s0", gap=True))
     scores = prefix.match_scores(prefixes, OPTIONS, ("a", "a/b"))
     assert scores == {"s0": OPTIONS.affinity_unknown_weight, "s1": 1.0}
     stored = CacheEvent(stored=True, prefix="a/b")
-    prefix.note_cache_events(prefixes, OPTIONS, 3.0, gap_of("s0", stored, gap=False))
+    prefix.note_cache_events(prefixes, OPTIONS, 3.0, cache_events("s0", stored, gap=False))
     assert prefix.match_scores(prefixes, OPTIONS, ("a", "a/b"))[ServerName("s0")] == 1.0
 
 
-def test_eviction_leaves_the_shorter_prefix() -> None:
-    """Go by the longest prefix that is left."""
+def test_eviction_keeps_shorter_prefix() -> None:
+    """Guards against forgetting a shorter prefix when a longer one is evicted."""
     prefixes = PrefixMap()
     prefix.note_sent(prefixes, OPTIONS, 1.0, ServerName("s0"), ("a", "a/b"))
     evicted = CacheEvent(stored=False, prefix="a/b")
-    prefix.note_cache_events(prefixes, OPTIONS, 2.0, gap_of("s0", evicted, gap=False))
+    prefix.note_cache_events(prefixes, OPTIONS, 2.0, cache_events("s0", evicted, gap=False))
     assert prefix.match_scores(prefixes, OPTIONS, ("a", "a/b")) == {"s0": 0.5}
     assert prefix.match_scores(prefixes, OPTIONS, ("c",)) == {}
 
@@ -300,7 +294,7 @@
 @settings(deadline=None)
 @given(st.integers(0, 2**16), st.integers(1, 50))
 def test_prefixes_are_bounded(seed: int, keep: int) -> None:
-    """Keep the newest prefixes, and no more than may be kept."""
+    """Guards against unbounded memory for prefixes."""
     options = Options(prefix_keep=keep)
     prefixes = PrefixMap()
     rng = Random(seed)
--- a/tests/core/placement/test_straggler.py
+++ b/tests/core/placement/test_straggler.py
@@ -1,4 +1,4 @@
-"""Slow servers, by this instance's own observation, and limits that adapt to what is seen."""
+"""Test the detection of slow servers, moves off them, and adaptive limits."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
         self.world.advance(0.2)
 
     def run(self, seconds: float, *, waiting: int = 4, class_name: str = "fitting") -> None:
-        """Let the servers work, with so many requests waiting all the time."""
+        """Let the servers work, with a constant number of waiting requests."""
         until = self.world.now + seconds
         while self.world.now < until:
             for _ in range(waiting - len(self.world.waiting())):
@@ -58,9 +58,9 @@
             self.world.advance(0.1)
 
     def _generate(self, running: Running) -> None:
-        due = self._due.get(running.attempt_id, 0.0) + 0.1 * self.pace[running.server]
-        tokens = int(due)
-        self._due[running.attempt_id] = due - tokens
+        tokens_due = self._due.get(running.attempt_id, 0.0) + 0.1 * self.pace[running.server]
+        tokens = int(tokens_due)
+        self._due[running.attempt_id] = tokens_due - tokens
         if tokens:
             self._sent[running.attempt_id] += tokens
             self.world.progress(running, tokens)
@@ -68,17 +68,16 @@
             self.world.end(running)
 
     def weight(self, server: ServerName) -> float:
-        """Give the share of work that a server is given."""
+        """Return the weight of a server in the choice between servers."""
         return straggler.server_weight(self.world.first.stragglers, server)
 
     def started_on(self, server: str, since: int) -> int:
-        """Count the attempts that a server was sent since some number of starts."""
+        """Count the attempts that a server was sent since a number of starts."""
         return sum(1 for each in self.world.started[since:] if each.server == server)
 
 
 def test_slow_server_gets_less_work() -> None:
-    # One of four engines takes twice as long for a token. Its load reports are as good as any. It
-    # gets about half of what the others get, and no answer is stopped for it.
+    """Guards against an equal share of work for an engine at half the pace of the others."""
     bench = Bench()
     bench.pace[S0] = 25.0
     bench.run(20.0)
@@ -90,9 +89,8 @@
     assert not bench.world.cancelled
 
 
-def test_very_slow_server_gets_probes_only_and_comes_back() -> None:
-    # One engine slows down to a tenth. Work stops going there but for a probe every few seconds,
-    # one at a time; once it is well again the probes show it, and it gets its part again.
+def test_very_slow_server_gets_only_probes_until_it_recovers() -> None:
+    """Guards against work on a very slow server, and against leaving it out after it recovered."""
     bench = Bench()
     bench.run(5.0)
     bench.pace[S0] = 5.0
@@ -110,8 +108,8 @@
     assert bench.started_on("s0", since) > 10
 
 
-def test_probes_are_of_the_lowest_class() -> None:
-    """Let no class make a probe while a lower one is there to make it."""
+def test_lowest_class_probes() -> None:
+    """Guards against probes by a class while a lower one has requests."""
     bench = Bench(answer=20)
     bench.run(5.0, class_name="quote")
     bench.pace[S0] = 5.0
@@ -128,9 +126,8 @@
     assert {each.service_class for each in probes} == {"quote"}
 
 
-def test_upper_class_makes_the_probe_where_no_lower_one_comes() -> None:
-    # The lower class has gone quiet while a server was out. It is well again; the upper class finds
-    # that out after a while, so that its callers have the whole service once more.
+def test_upper_class_probes_without_lower_traffic() -> None:
+    """Guards against leaving out a recovered server where the lower class has no traffic."""
     bench = Bench(answer=20)
     bench.run(5.0, class_name="quote")
     bench.pace[S0] = 5.0
@@ -143,8 +140,8 @@
     assert bench.weight(S0) == 1.0
 
 
-def test_all_slow_is_nobody_slow() -> None:
-    """Judge by the median of the peers, so that a rush takes no server out."""
+def test_uniformly_slow_servers_are_no_stragglers() -> None:
+    """Guards against stopping servers where all of them are slow under load."""
     bench = Bench()
     bench.run(5.0)
     for server in bench.pace:
@@ -153,8 +150,8 @@
     assert all(bench.weight(server) == 1.0 for server in bench.pace)
 
 
-def test_two_servers_do_not_judge_each_other() -> None:
-    """Find no straggler among two."""
+def test_no_straggler_among_two_servers() -> None:
+    """Guards against a straggler verdict among two servers."""
     bench = Bench(servers=2)
     bench.pace[S0] = 5.0
     bench.run(20.0)
@@ -164,25 +161,25 @@
 @settings(deadline=None)
 @given(st.lists(st.floats(0.001, 10.0), min_size=3, max_size=12))
 def test_at_least_half_of_the_servers_stay_in_use(gaps: list[float]) -> None:
-    """Take no more than half of a service's servers out, whatever the gaps."""
+    """Guards against stopping more than half of a service's servers."""
     state = StragglerState()
     for number, gap in enumerate(gaps):
         pace = straggler.ServerPace("lm", gap_s=gap, samples=99)
         state.by_server[ServerName(f"s{number}")] = pace
     straggler.judge_all(state, OPTIONS, 1.0)
-    well = sum(1 for pace in state.by_server.values() if pace.weight == 1.0)
-    assert 2 * well >= len(gaps)
+    normal_servers = sum(1 for pace in state.by_server.values() if pace.weight == 1.0)
+    assert 2 * normal_servers >= len(gaps)
 
 
 def attempt_with(tokens: int, first: float, last: float) -> Attempt:
-    """Make an attempt that has received tokens between two times."""
+    """Return an attempt that received tokens between two times."""
     return Attempt(
         AttemptId("r.0"), S0, started=0.0, tokens=tokens, first_token_at=first, last_token_at=last
     )
 
 
-def test_silence_of_an_urgent_attempt_counts() -> None:
-    """Take a stream that stands still for a gap as long as the silence."""
+def test_stopped_urgent_stream_counts_as_gap() -> None:
+    """Guards against missing an urgent stream that has stopped."""
     state = StragglerState()
     attempt = attempt_with(10, first=1.0, last=1.1)
     straggler.sample_attempt(state, OPTIONS, 1.1, "lm", attempt, urgent=True)
@@ -190,8 +187,8 @@
     assert state.by_server[S0].gap_s > 0.5
 
 
-def test_lower_attempt_that_the_engine_preempted_is_no_evidence() -> None:
-    """Hold it against no server that it lets a lower tier stand still."""
+def test_preempted_lower_attempt_is_ignored() -> None:
+    """Guards against judging a server by lower-tier attempts that it preempted."""
     state = StragglerState()
     attempt = attempt_with(10, first=1.0, last=1.1)
     straggler.sample_attempt(state, OPTIONS, 1.1, "lm", attempt, urgent=False)
@@ -199,8 +196,8 @@
     assert state.by_server[S0].gap_s < 0.02
 
 
-def test_short_answers_count_by_their_end() -> None:
-    """Sample an answer that ended before its first sample."""
+def test_short_answers_are_sampled_at_their_end() -> None:
+    """Guards against missing an answer that ended before its first sample."""
     state = StragglerState()
     straggler.sample_end(state, OPTIONS, "lm", attempt_with(11, first=1.0, last=1.2))
     assert abs(state.by_server[S0].gap_s - 0.02) < 1e-9
@@ -218,18 +215,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MoveCase:
-    """What is different from an answer that is moved, and whether it is moved still."""
+    """The differences from an answer that is moved, and whether it is still moved."""
 
     name: str
     moved: bool
     class_name: str = PROMISED
     repeatable: bool = True
-    # Servers that become slow, each to a token in this time.
+    # Servers that slow down to one token in `slow_gap_s`.
     slow: tuple[ServerName, ...] = (S0,)
     slow_gap_s: float = 0.1
-    # Time between the tokens of the servers that are well.
+    # Token gap of the other servers.
     gap_s: float = 0.02
-    # Fills the other servers with answers of the same class.
+    # Whether the other servers are full of answers of the same class.
     full: bool = False
     budget: float = 5.0
     policy: Policy = Policy.COUNTS
@@ -251,7 +248,7 @@
 
 
 class MoveBench:
-    """One answer on each of four servers, which send their tokens one by one."""
+    """One answer on each of several servers that send tokens one by one."""
 
     def __init__(self, case: MoveCase, *, servers: int = 4) -> None:
         options = Options(slack_slots=0)
@@ -270,7 +267,7 @@
         self.world.arrive(case.class_name, name=name, repeatable=case.repeatable)
 
     def arrive_at(self, server: ServerName, name: str, case: MoveCase) -> None:
-        """Let a request arrive while no other server can be reached."""
+        """Let a request arrive while only one server is reachable."""
         servers = self.world.first.servers.by_name
         others = [each for each in servers.values() if each.entry.name != server]
         for each in others:
@@ -281,7 +278,7 @@
         assert self.world.run_of(name).server == server
 
     def run(self, seconds: float) -> None:
-        """Let every server send its tokens at its pace."""
+        """Let every server send its tokens at its pace for a time."""
         until = self.world.now + seconds
         ticked = self.world.now
         while self.world.now < until:
@@ -296,7 +293,7 @@
                 self.world.advance(self.world.options.tick_s / 100)
 
     def weight(self, server: ServerName) -> float:
-        """Give the share of work that a server is given."""
+        """Return the weight of a server in the choice between servers."""
         return straggler.server_weight(self.world.first.stragglers, server)
 
     def moved(self) -> list[str]:
@@ -306,9 +303,9 @@
 
 @pytest.mark.parametrize("case", MOVE_CASES, ids=lambda case: case.name)
 def test_answer_moves_off_a_straggler(case: MoveCase) -> None:
-    # An engine slows down midway through an answer whose caller was promised a pace. The answer
-    # goes on at another engine after the last token that the caller has, unless that could do harm
-    # or would not help.
+    """Guards against answers that stay on a slow engine, and against moves that are harmful or
+    useless.
+    """
     bench = MoveBench(case)
     world = bench.world
     victim = world.on_server("s0")[0]
@@ -321,35 +318,33 @@
     assert bench.moved() == ([victim.request_id] if case.moved else [])
     if not case.moved:
         return
-    again = world.run_of(victim.request_id)
-    assert again.server != "s0"
+    resumed = world.run_of(victim.request_id)
+    assert resumed.server != "s0"
     req = world.first.requests[victim.request_id]
-    assert again.resume_from == req.delivered - (req.attempt.tokens if req.attempt else 0)
+    assert resumed.resume_from == req.delivered - (req.attempt.tokens if req.attempt else 0)
     assert world.first.retries.tokens == case.budget - 1.0
-    # Nothing new is sent there meanwhile, though the average of its pace still looks well.
+    # New requests avoid the server while its average pace still looks normal.
     bench.arrive("late-comer", case)
     assert world.run_of("late-comer").server != "s0"
-    world.end(again)
+    world.end(resumed)
     assert world.told[PROMISED].count(Outcome.COMPLETED) == 1
 
 
-def test_moved_answer_is_no_probe() -> None:
-    # The end of the old attempt is late, and by then the slow engine is due for a probe. The answer
-    # that was just taken off it does not go back as that probe.
+def test_moved_answer_does_not_probe_its_old_server() -> None:
+    """Guards against returning a moved answer to its slow engine as a probe."""
     bench = MoveBench(MOVE_CASES[0])
-    victim = bench.world.on_server("s0")[0]
+    answer = bench.world.on_server("s0")[0]
     bench.world.hold_cancelled = True
     bench.gap_s[S0] = 0.1
     bench.run(0.5)
-    assert bench.moved() == [victim.request_id]
+    assert bench.moved() == [answer.request_id]
     bench.world.now += 2 * OPTIONS.straggler_probe_upper_s
-    bench.world.end(victim, EndCancelled(0))
-    assert bench.world.run_of(victim.request_id).server != S0
+    bench.world.end(answer, EndCancelled(0))
+    assert bench.world.run_of(answer.request_id).server != S0
 
 
-def test_answer_moved_off_one_engine_is_no_probe_of_another() -> None:
-    # One engine was stopped a while ago and is due for a probe. An answer is moved off a second one
-    # that slows down. It goes to an engine that is well: it could not be moved once more.
+def test_moved_answer_does_not_probe_another_server() -> None:
+    """Guards against using a moved answer to probe another stopped engine."""
     bench = MoveBench(MOVE_CASES[0], servers=6)
     bench.gap_s[S0] = 0.1
     bench.run(0.5)
@@ -365,9 +360,8 @@
 
 
 @pytest.mark.parametrize("reason", [CancelReason.MOVED, CancelReason.DISPLACED])
-def test_nothing_goes_on_for_a_caller_that_left(reason: CancelReason) -> None:
-    # An answer is to go on elsewhere, and its caller leaves before its old attempt has ended. As
-    # nobody would read the rest, it is not begun anew.
+def test_answer_is_not_resumed_after_caller_left(reason: CancelReason) -> None:
+    """Guards against resuming an answer whose caller left before the old attempt ended."""
     bench = MoveBench(MOVE_CASES[0])
     world = bench.world
     world.hold_cancelled = True
@@ -382,8 +376,7 @@
 
 
 def test_move_asks_for_credit() -> None:
-    # Nothing is short, so the instance holds no credit but for the server that it uses. That one
-    # slows down. No other server seems to have room until its dispatcher is asked for it.
+    """Guards against missing a move because the instance holds no credit for other servers."""
     bench = MoveBench(MoveCase("credits", moved=True, policy=Policy.CREDITS))
     name = bench.world.on_server("s0")[0].request_id
     for running in list(bench.world.running.values()):
@@ -397,9 +390,8 @@
     assert bench.world.run_of(name).server != S0
 
 
-def test_slow_one_of_two_has_a_pause() -> None:
-    # Of two servers neither is a majority, so there is no verdict. An answer leaves the one whose
-    # tokens come late all the same, and the requests that come next are not sent there for a while.
+def test_slow_one_of_two_servers_is_paused() -> None:
+    """Guards against new work on the slow one of two servers right after a move."""
     bench = MoveBench(MOVE_CASES[0], servers=2)
     name = bench.world.on_server("s0")[0].request_id
     bench.gap_s[S0] = 0.1
@@ -413,7 +405,7 @@
 
 
 def test_answer_is_moved_once() -> None:
-    # Two engines slow down in turn. The answer is not passed to and fro between them.
+    """Guards against an answer that moves back and forth between two slow engines."""
     case = MOVE_CASES[0]
     bench = MoveBench(case)
     name = bench.world.on_server("s0")[0].request_id
@@ -429,9 +421,8 @@
     assert bench.world.run_of(name).server == second
 
 
-def test_newcomer_on_a_slow_engine_moves_at_once() -> None:
-    # One answer has shown that the engine is slow but has no promise left to keep, as it was moved
-    # before. An answer that began there since then moves at its own first late gap.
+def test_new_answer_on_known_slow_engine_moves_at_first_late_gap() -> None:
+    """Guards against waiting for a second late gap on an engine already known to be slow."""
     bench = MoveBench(MOVE_CASES[0])
     first = bench.world.on_server("s0")[0].request_id
     bench.world.first.requests[RequestId(first)].moved = True
@@ -442,11 +433,11 @@
     assert bench.moved() == ["newcomer"]
 
 
-def test_one_long_pause_moves_nothing() -> None:
-    """Take one late gap for a pause of the engine, whose next tokens come in time again."""
+def test_single_pause_moves_nothing() -> None:
+    """Guards against a move after a single late gap."""
     bench = MoveBench(MOVE_CASES[0])
     for _ in range(5):
-        # Long enough for one token at this pace, and not for a second one.
+        # Long enough for one late token, but not for two.
         bench.gap_s[S0] = 0.2
         bench.run(0.15)
         bench.gap_s[S0] = 0.02
@@ -458,7 +449,7 @@
 
 
 def test_plain_limit_follows_latency() -> None:
-    """Step back while calls take longer than they did, and come back when they do not."""
+    """Guards against a limit that does not follow the latency of plain calls."""
     state = LimitState()
     now = 0.0
     for _ in range(100):
@@ -468,8 +459,8 @@
     for _ in range(60):
         now += 0.1
         concurrency.note_latency(state, OPTIONS, now, S0, 20, 0.5)
-    low = concurrency.limited_slots(state, S0, 20)
-    assert low <= 10
+    lowered_limit = concurrency.limited_slots(state, S0, 20)
+    assert lowered_limit <= 10
     for _ in range(200):
         now += 0.1
         concurrency.note_latency(state, OPTIONS, now, S0, 20, 0.05)
@@ -477,7 +468,7 @@
 
 
 def test_engine_limit_keeps_the_promised_gap() -> None:
-    """Step back while tokens come slower than promised, down to a floor."""
+    """Guards against a limit that ignores late tokens, or falls below its floor."""
     state = LimitState()
     now = 0.0
     for _ in range(100):
@@ -491,7 +482,7 @@
 
 
 def test_engine_limit_keeps_the_promised_first_token() -> None:
-    """Step back while first tokens come later than promised."""
+    """Guards against a limit that ignores late first tokens."""
     state = LimitState()
     now = 0.0
     for _ in range(20):
@@ -504,7 +495,7 @@
 @settings(deadline=None)
 @given(st.lists(st.floats(0.001, 100.0), max_size=60), st.integers(1, 64))
 def test_limit_stays_in_its_bounds(latencies: list[float], slots: int) -> None:
-    """Never forbid a server altogether, and never allow more than its slots."""
+    """Guards against a limit below one request or above the server's slots."""
     state = LimitState()
     for number, latency in enumerate(latencies):
         concurrency.note_latency(state, OPTIONS, float(number), S0, slots, latency)
