--- a/packages/turmericweir-core/turmericweir_core/engines/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/__init__.py
@@ -1,1 +1,1 @@
-"""Predict engines: what each has to do and holds, how fast it is, and how they are shared out."""
+"""Predict engines: their pending work, caches and speed, and how they are shared out."""
--- a/packages/turmericweir-core/turmericweir_core/engines/load_news.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_news.py
@@ -1,11 +1,11 @@
-"""Instances tell each other what they have on each server, and what they sent where.
+"""Exchange load updates: what each instance has on each server, and the parts it sent.
 
-All instances send to the same servers, and a server's own word on its load is late and, on some
-platforms, paid for. So whoever sends a request, or sees one begin, tells the others of the region.
-Each news holds everything that its sender has anywhere, so a lost one is made up for by the next.
+All instances send to the same servers, and a server's report of its load is delayed and, on some
+platforms, costs money. So an instance announces each request it sends or sees begin to the others
+of the region. Each update holds all load of its sender, so the next one makes up for a lost one.
 
-Where there are few, everyone tells everyone, with a gap that grows with their number. Where there
-are many, each tells its teller, and `load_relay` passes it on.
+With few instances each sends to every other, at an interval that grows with their number. With
+many, each sends to its relay instance, and `load_relay` passes the updates on.
 """
 
 from __future__ import annotations
@@ -23,184 +23,190 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# The gap between two datagrams to the same peers: at the least, and for each peer.
-_GAP_MIN_S: Final = 0.02
-_GAP_PEER_S: Final = 0.0025
-# Between two datagrams to a teller, which waits for others before it passes them on.
-_GAP_TELLER_S: Final = 0.05
-# What has not changed is told again after so long, as an earlier datagram may be lost.
-_RENEW_S: Final = 0.5
-# Parts in one datagram; with more, the oldest are left out, and found out by reading them again.
-_PARTS_MAX: Final = 24
-# Smaller parts are read in a moment by whoever lacks them, and are not worth telling of.
+# Minimum interval between datagrams to the same peers, and the part of it for each peer.
+_INTERVAL_MIN_S: Final = 0.02
+_INTERVAL_PER_PEER_S: Final = 0.0025
+# Interval between datagrams to a relay, which gathers them before it passes them on.
+_RELAY_INTERVAL_S: Final = 0.05
+# Interval after which unchanged load is sent again, since datagrams may be lost.
+_RENEWAL_INTERVAL_S: Final = 0.5
+# Parts in one datagram; older ones are left out and found by prefilling them again.
+_PARTS_PER_UPDATE_MAX: Final = 24
+# Smaller parts are prefilled quickly and not worth announcing.
 _PART_TOKENS_MIN: Final = 256
-# News count for a moment only; what is not heard for so long is dropped as well.
-_FORGET_S: Final = 5.0
+# Interval after which the load of an instance without updates is dropped.
+_FORGET_AFTER_S: Final = 5.0
 _MS: Final = 1000.0
-# Work, rank and age.
-_FIELDS: Final = 3
+# Work, rank and age of a prompt.
+_WORK_FIELDS: Final = 3
 
 
 def due_news(state: State, now: float) -> list[Effect]:
-    """Tell the others, if there is anything to tell and the gap is over."""
-    news = state.news
-    if now < news.send_due or state.config.policy is not Policy.PREDICTED:
+    """Send a load update to the other instances if one is due."""
+    update_state = state.news
+    if now < update_state.send_due or state.config.policy is not Policy.PREDICTED:
         return []
     plan = load_relay.plan(state, now)
     if plan.teller is not None:
-        return _tell_teller(state, now)
+        return _send_to_relay(state, now)
     if not plan.is_direct:
-        return load_relay.pass_on(state, now, _build)
-    renew = now >= news.renew_due and news.told_load
-    if not (state.engines.changed or renew):
+        return load_relay.send_gathered(state, now, _build_update)
+    is_renewal_due = now >= update_state.renew_due and update_state.told_load
+    if not (state.engines.changed or is_renewal_due):
         return []
-    news.send_due = now + max(_GAP_MIN_S, _GAP_PEER_S * len(plan.direct))
-    built = _build(state, now)
-    # Having nothing is told once more, in case the datagram that says so is lost.
-    news.told_load = bool(built.rows) or (news.told_load and not renew)
-    return [SendDatagram(each.name, each.peer_address, built) for each in plan.direct]
-
-
-def _tell_teller(state: State, now: float) -> list[Effect]:
-    """Tell the teller, now and then also nothing: it passes things on to those that tell it."""
-    news = state.news
-    teller = news.plan.teller
-    if teller is None or not (state.engines.changed or now >= news.renew_due):
+    update_state.send_due = now + max(_INTERVAL_MIN_S, _INTERVAL_PER_PEER_S * len(plan.direct))
+    update = _build_update(state, now)
+    # An empty update is sent once more, in case the first one is lost.
+    update_state.told_load = bool(update.rows) or (update_state.told_load and not is_renewal_due)
+    return [SendDatagram(each.name, each.peer_address, update) for each in plan.direct]
+
+
+def _send_to_relay(state: State, now: float) -> list[Effect]:
+    """Send an update to the relay; empty ones too, since it passes updates only to its senders."""
+    update_state = state.news
+    relay = update_state.plan.teller
+    if relay is None or not (state.engines.changed or now >= update_state.renew_due):
         return []
-    news.send_due = now + _GAP_TELLER_S
-    return [SendDatagram(teller.name, teller.peer_address, _build(state, now))]
+    update_state.send_due = now + _RELAY_INTERVAL_S
+    return [SendDatagram(relay.name, relay.peer_address, _build_update(state, now))]
 
 
-def _build(state: State, now: float) -> LoadNews:
-    news = state.news
-    news.seq += 1
-    news.renew_due = now + _RENEW_S
+def _build_update(state: State, now: float) -> LoadNews:
+    """Return an update with all load of this instance and the parts not announced yet."""
+    update_state = state.news
+    update_state.seq += 1
+    update_state.renew_due = now + _RENEWAL_INTERVAL_S
     state.engines.changed = False
     parts = [each for each in state.engines.unsaid if each.tokens >= _PART_TOKENS_MIN]
     state.engines.unsaid.clear()
     rows = [
-        row_of(name, book, now)
-        for name, book in state.engines.by_server.items()
-        if book.prefills or book.running
+        load_row(name, record, now)
+        for name, record in state.engines.by_server.items()
+        if record.prefills or record.running
     ]
     demand = engine_pools.demand_rows(state, now)
-    return LoadNews(state.me.incarnation, news.seq, rows, parts[-_PARTS_MAX:], demand)
+    return LoadNews(
+        state.me.incarnation, update_state.seq, rows, parts[-_PARTS_PER_UPDATE_MAX:], demand
+    )
 
 
-def row_of(name: ServerName, book: EngineBook, now: float) -> LoadRow:
-    """Describe what this instance has on a server."""
+def load_row(name: ServerName, record: EngineBook, now: float) -> LoadRow:
+    """Return the row of a load update for a server."""
     works = [
         [round(each.work_ms), each.rank, round((now - each.sent_at) * _MS)]
-        for each in book.prefills.values()
+        for each in record.prefills.values()
     ]
-    tokens = sum(each.tokens for each in book.prefills.values()) + sum(book.running.values())
-    return LoadRow(name, works, len(book.running), tokens)
+    tokens = sum(each.tokens for each in record.prefills.values()) + sum(record.running.values())
+    return LoadRow(name, works, len(record.running), tokens)
 
 
 # --- receiving -------------------------------------------------------------------------------
 
 
-def on_news(state: State, now: float, sender: InstanceName, news: LoadNews) -> None:
-    """Take what another instance has, and pass it on where it wants that."""
-    if take_news(state, now, sender, news):
-        load_relay.note_news(state, now, sender, news)
+def on_news(state: State, now: float, sender: InstanceName, update: LoadNews) -> None:
+    """Record another instance's load, and relay it if this instance is its relay."""
+    if record_update(state, now, sender, update):
+        load_relay.gather_update(state, now, sender, update)
 
 
 def on_bundle(state: State, now: float, sender: InstanceName, bundle: LoadBundle) -> None:
-    """Take what a teller passes on."""
+    """Record the updates that a relay passed on."""
     plan = state.news.plan
     if plan.teller is not None and plan.teller.name == sender:
         state.news.teller_heard_at = now
     for each in bundle.news:
         origin = InstanceName(each.origin)
-        if origin != state.me.name and take_news(state, now, origin, each.news, each.held_ms):
-            load_relay.note_passed(state, now, sender, origin, each.news)
+        if origin != state.me.name and record_update(state, now, origin, each.news, each.held_ms):
+            load_relay.gather_sum(state, now, sender, origin, each.news)
 
 
-def take_news(
-    state: State, now: float, origin: InstanceName, news: LoadNews, held_ms: float = 0.0
+def record_update(
+    state: State, now: float, origin: InstanceName, update: LoadNews, held_ms: float = 0.0
 ) -> bool:
-    """Take news; older ones of the same life are dropped, and False is given."""
-    known = state.news.origins.get(origin)
-    if known is None or known.incarnation != news.incarnation:
+    """Record an update; return False where it is not newer than the last one of its incarnation."""
+    origin_state = state.news.origins.get(origin)
+    if origin_state is None or origin_state.incarnation != update.incarnation:
         _forget_origin(state, origin)
-        known = state.news.origins[origin] = Origin(news.incarnation, -1, Heard(now))
-    if news.seq <= known.seq:
+        origin_state = state.news.origins[origin] = Origin(update.incarnation, -1, Heard(now))
+    if update.seq <= origin_state.seq:
         return False
-    known.seq = news.seq
-    known.heard.at = now
-    engine_pools.take_rows(state, now, origin, news.demand)
-    _take_rows(state, now - held_ms / _MS, origin, known, news)
-    _take_parts(state, now, news)
+    origin_state.seq = update.seq
+    origin_state.heard.at = now
+    engine_pools.record_peer_demand(state, now, origin, update.demand)
+    _record_rows(state, now - held_ms / _MS, origin, origin_state, update)
+    _record_parts(state, now, update)
     return True
 
 
-def _take_rows(
-    state: State, then: float, origin: InstanceName, known: Origin, news: LoadNews
+def _record_rows(
+    state: State, sent_at: float, origin: InstanceName, origin_state: Origin, update: LoadNews
 ) -> None:
-    named: set[ServerName] = set()
-    for row in news.rows:
+    reported_servers: set[ServerName] = set()
+    for row in update.rows:
         name = ServerName(row.server)
         if not row.works and not row.running:
-            _drop(state, origin, known, name)
+            _drop_load(state, origin, origin_state, name)
         elif name in state.servers.by_name:
-            named.add(name)
-            _take_row(engine_model.book_of(state, name), then, origin, known.heard, row)
-    if news.whole:
-        for name in known.servers - named:
-            _drop(state, origin, known, name)
-    known.servers |= named
+            reported_servers.add(name)
+            _record_row(engine_model.book_of(state, name), sent_at, origin, origin_state.heard, row)
+    if update.whole:
+        for name in origin_state.servers - reported_servers:
+            _drop_load(state, origin, origin_state, name)
+    origin_state.servers |= reported_servers
 
 
-def _drop(state: State, origin: InstanceName, known: Origin, name: ServerName) -> None:
-    known.servers.discard(name)
-    book = state.engines.by_server.get(name)
-    if book is not None:
-        book.changes += 1
-        book.peers.pop(origin, None)
+def _drop_load(state: State, origin: InstanceName, origin_state: Origin, name: ServerName) -> None:
+    origin_state.servers.discard(name)
+    record = state.engines.by_server.get(name)
+    if record is not None:
+        record.changes += 1
+        record.peers.pop(origin, None)
 
 
-def _take_row(
-    book: EngineBook, then: float, origin: InstanceName, heard: Heard, row: LoadRow
+def _record_row(
+    record: EngineBook, sent_at: float, origin: InstanceName, receipt: Heard, row: LoadRow
 ) -> None:
-    before = book.peers.get(origin)
-    fewer = before is not None and len(row.works) < len(before.pending)
-    if fewer or not engine_model.has_pending(book, then):
-        book.reading_since = then
+    previous = record.peers.get(origin)
+    has_fewer_prompts = previous is not None and len(row.works) < len(previous.pending)
+    if has_fewer_prompts or not engine_model.has_pending(record, sent_at):
+        record.reading_since = sent_at
     pending = [
-        Pending(float(work), rank, then - age / _MS) for work, rank, age in _threes(row.works)
+        Pending(float(work), rank, sent_at - age / _MS)
+        for work, rank, age in _valid_works(row.works)
     ]
-    book.changes += 1
-    book.peers[origin] = PeerLoad(heard, pending, row.running, row.tokens)
+    record.changes += 1
+    record.peers[origin] = PeerLoad(receipt, pending, row.running, row.tokens)
 
 
-def _threes(works: list[list[int]]) -> list[tuple[int, int, int]]:
-    return [(each[0], each[1], each[2]) for each in works if len(each) >= _FIELDS]
+def _valid_works(works: list[list[int]]) -> list[tuple[int, int, int]]:
+    return [(each[0], each[1], each[2]) for each in works if len(each) >= _WORK_FIELDS]
 
 
-def _take_parts(state: State, now: float, news: LoadNews) -> None:
-    for part in news.parts:
+def _record_parts(state: State, now: float, update: LoadNews) -> None:
+    for part in update.parts:
         server = state.servers.by_name.get(ServerName(part.server))
         if server is None:
             continue
-        book = engine_model.book_of(state, server.entry.name)
+        record = engine_model.book_of(state, server.entry.name)
         if part.read:
-            engine_model.note_cached(book, server, part.part, part.tokens)
-        elif part.part not in book.cached:
-            engine_model.note_reading(book, part.part, now + part.for_ms / _MS)
+            engine_model.record_cached(record, server, part.part, part.tokens)
+        elif part.part not in record.cached:
+            engine_model.record_prefilling(record, part.part, now + part.for_ms / _MS)
 
 
 def _forget_origin(state: State, origin: InstanceName) -> None:
-    known = state.news.origins.pop(origin, None)
-    if known is not None:
-        for name in list(known.servers):
-            _drop(state, origin, known, name)
+    origin_state = state.news.origins.pop(origin, None)
+    if origin_state is not None:
+        for name in list(origin_state.servers):
+            _drop_load(state, origin, origin_state, name)
 
 
 def forget_silent(state: State, now: float) -> None:
-    """Let go of what was told by those that were not heard for long."""
-    silent = [
-        origin for origin, known in state.news.origins.items() if now - known.heard.at > _FORGET_S
+    """Forget the load of instances without a recent update."""
+    stale_origins = [
+        origin
+        for origin, origin_state in state.news.origins.items()
+        if now - origin_state.heard.at > _FORGET_AFTER_S
     ]
-    for origin in silent:
+    for origin in stale_origins:
         _forget_origin(state, origin)
--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -1,13 +1,13 @@
-"""Pass news of load on where there are too many instances for each to tell each.
+"""Relay load updates where there are too many instances for each to send to every other.
 
-Each instance tells its teller (`telling`), which gathers what comes within a moment. It sends the
-sum of what all that tell it have on each server to the other tellers, as far as it has changed, and
-passes both these sums and the news of its own to those that tell it. So everyone gets a few
-datagrams a second whatever the number of instances, and each server has a few sums in place of
-hundreds of rows.
+Each instance sends its updates to its relay instance (`telling`), which gathers them for a moment.
+A relay sends the changed sums of its group's load to the other relays, and passes these sums and
+the updates of its group on to the group. So each instance receives a few datagrams a second
+whatever the number of instances, and each server has a few sums instead of hundreds of rows.
 
-A teller serves whoever tells it, so views of who tells whom need not agree. An instance that hears
-nothing from its teller turns to the next one by hash, long before the teller counts as gone.
+A relay serves every instance that sends to it, so the instances' views need not agree. An instance
+that receives nothing from its relay switches to the next one by hash, long before membership drops
+the relay.
 """
 
 from __future__ import annotations
@@ -38,184 +38,194 @@
 
 Build = Callable[["State", float], LoadNews]
 
-# Between two looks at who tells whom.
-_PLAN_S: Final = 0.25
-# A teller gathers news for so long: this and the gap of those that tell it are the age of news.
-_GATHER_S: Final = 0.12
-# A teller is heard at least so often: those that tell it know that it lives, and what it told the
-# others goes on counting.
-_BUNDLE_S: Final = 0.4
-# All rows are told again after so long, as a datagram may be lost; between, only what has changed.
-_WHOLE_S: Final = 1.0
-# Whoever has told nothing for so long is told nothing any more; all tell every half second.
-_TOLD_S: Final = 1.8
-# A teller that is silent for so long is left for the next one, and asked again after so long.
-_SILENT_S: Final = 0.7
-_SILENT_AGAIN_S: Final = 4.0
-# Parts that are passed on at a time; the oldest are left out.
-_PARTS_MAX: Final = 120
+# Interval between evaluations of the plan.
+_PLAN_INTERVAL_S: Final = 0.25
+# Time for which a relay gathers updates. With the senders' interval it bounds the age of updates.
+_GATHER_INTERVAL_S: Final = 0.12
+# Maximum interval between bundles to the group: shows that the relay is alive, and keeps the
+# reported load valid.
+_BUNDLE_INTERVAL_MAX_S: Final = 0.4
+# Interval between sums with all rows, as datagrams may be lost; other sums hold only changed rows.
+_COMPLETE_SUM_INTERVAL_S: Final = 1.0
+# Instances without an update for this long leave the group; all send every half second.
+_GROUP_TIMEOUT_S: Final = 1.8
+# Time without data after which an instance replaces its relay, and time after which it may use that
+# relay again.
+_RELAY_TIMEOUT_S: Final = 0.7
+_RELAY_RETRY_AFTER_S: Final = 4.0
+# Parts in one bundle; older ones are left out.
+_PARTS_PER_BUNDLE_MAX: Final = 120
 # Prompts of one server in a sum.
-_WORKS_MAX: Final = 32
+_WORKS_PER_SERVER_MAX: Final = 32
 _MS: Final = 1000.0
-# Marks the name of a teller as that of all that tell it.
-_SUM: Final = "+"
+# Suffix that marks a relay's name as the origin of its group's sum.
+_SUM_SUFFIX: Final = "+"
 
 
 def plan(state: State, now: float) -> TellingPlan:
-    """Give whom this instance tells its load."""
-    found = state.news.plan
-    # Where each tells each, a peer that was met just now is told as well.
-    stale = found.is_direct and state.engines.changed
-    if now < found.due and not stale and not _teller_is_silent(state, now):
-        return found
+    """Return the instances to which this one sends its load."""
+    current_plan = state.news.plan
+    # With direct updates, a newly discovered peer gets the next update as well.
+    is_outdated = current_plan.is_direct and state.engines.changed
+    if now < current_plan.due and not is_outdated and not _is_relay_unresponsive(state, now):
+        return current_plan
     me = state.me.name
     if telling.is_direct(state, now):
         region = membership.region_instances(state, now)
-        found = TellingPlan(direct=[each for each in region if each.name != me])
+        current_plan = TellingPlan(direct=[each for each in region if each.name != me])
     else:
-        found = _plan_tellers(state, now)
-    found.due = now + _PLAN_S
-    state.news.plan = found
-    return found
+        current_plan = _plan_with_relays(state, now)
+    current_plan.due = now + _PLAN_INTERVAL_S
+    state.news.plan = current_plan
+    return current_plan
 
 
-def _teller_is_silent(state: State, now: float) -> bool:
+def _is_relay_unresponsive(state: State, now: float) -> bool:
     news = state.news
-    return news.plan.teller is not None and now - news.teller_heard_at > _SILENT_S
+    return news.plan.teller is not None and now - news.teller_heard_at > _RELAY_TIMEOUT_S
 
 
-def _plan_tellers(state: State, now: float) -> TellingPlan:
+def _plan_with_relays(state: State, now: float) -> TellingPlan:
+    """Return the plan of an instance that uses a relay, or is one."""
     news = state.news
-    if _teller_is_silent(state, now) and news.plan.teller is not None:
-        news.silent_teller, news.silent_until = news.plan.teller.name, now + _SILENT_AGAIN_S
-    here = membership.live_instances(state, now, state.me.data_centre)
-    tellers = telling.tellers(here)
+    if _is_relay_unresponsive(state, now) and news.plan.teller is not None:
+        news.silent_teller, news.silent_until = news.plan.teller.name, now + _RELAY_RETRY_AFTER_S
+    local_instances = membership.live_instances(state, now, state.me.data_centre)
+    local_relays = telling.tellers(local_instances)
     me = state.me.name
-    others = [each for each in telling.all_tellers(state, now) if each.name != me]
-    if any(each.name == me for each in tellers):
-        return TellingPlan(is_direct=False, tellers=others)
-    heard = [each for each in tellers if each.name != news.silent_teller or now > news.silent_until]
-    name = telling.teller_of(heard or tellers, me)
-    teller = None if name is None else membership.member(state, name)
-    if news.plan.teller is None or teller is None or news.plan.teller.name != teller.name:
+    other_relays = [each for each in telling.all_tellers(state, now) if each.name != me]
+    if any(each.name == me for each in local_relays):
+        return TellingPlan(is_direct=False, tellers=other_relays)
+    usable_relays = [
+        each for each in local_relays if each.name != news.silent_teller or now > news.silent_until
+    ]
+    name = telling.teller_of(usable_relays or local_relays, me)
+    relay = None if name is None else membership.member(state, name)
+    if news.plan.teller is None or relay is None or news.plan.teller.name != relay.name:
         news.teller_heard_at = now
-    return TellingPlan(is_direct=False, teller=teller, tellers=others)
+    return TellingPlan(is_direct=False, teller=relay, tellers=other_relays)
 
 
-# --- a teller --------------------------------------------------------------------------------
+# --- relaying --------------------------------------------------------------------------------
 
 
-def note_news(state: State, now: float, sender: InstanceName, news: LoadNews) -> None:
-    """Keep the news of an instance that tells this one, to pass them on."""
+def gather_update(state: State, now: float, sender: InstanceName, update: LoadNews) -> None:
+    """Keep an update of an instance of this relay's group, to pass it on."""
     peer = membership.member(state, sender)
     if state.news.plan.is_direct or peer is None:
         return
-    passed = state.news.passed_on
-    passed.told_by[sender] = (peer.peer_address, now)
-    # Bounded, as one that is taken for a teller and is none passes nothing on.
-    passed.parts = [*passed.parts, *news.parts][-_PARTS_MAX:]
-    _keep(state, now, sender, news)
+    relay_state = state.news.passed_on
+    relay_state.told_by[sender] = (peer.peer_address, now)
+    # Bounded, because an instance that is wrongly taken for a relay never passes them on.
+    relay_state.parts = [*relay_state.parts, *update.parts][-_PARTS_PER_BUNDLE_MAX:]
+    _gather(state, now, sender, update)
 
 
-def note_passed(
-    state: State, now: float, sender: InstanceName, origin: InstanceName, news: LoadNews
+def gather_sum(
+    state: State, now: float, sender: InstanceName, origin: InstanceName, update: LoadNews
 ) -> None:
-    """Keep the sum that another teller sent, for those that tell this one."""
-    if origin == sender + _SUM and state.news.passed_on.told_by:
-        _keep(state, now, origin, news)
+    """Keep the sum that another relay sent, for this relay's group."""
+    if origin == sender + _SUM_SUFFIX and state.news.passed_on.told_by:
+        _gather(state, now, origin, update)
 
 
-def _keep(state: State, now: float, origin: InstanceName, news: LoadNews) -> None:
-    waiting = state.news.passed_on.news
-    before = waiting.get(origin)
-    if before is not None:
-        news = _merged(before[1], news)
-    waiting[origin] = (now, news)
+def _gather(state: State, now: float, origin: InstanceName, update: LoadNews) -> None:
+    gathered = state.news.passed_on.news
+    previous = gathered.get(origin)
+    if previous is not None:
+        update = _merge(previous[1], update)
+    gathered[origin] = (now, update)
 
 
-def _merged(older: LoadNews, newer: LoadNews) -> LoadNews:
-    """Put two news of one origin together."""
-    parts = [*older.parts, *newer.parts][-_PARTS_MAX:]
+def _merge(older: LoadNews, newer: LoadNews) -> LoadNews:
+    """Merge two updates of one origin."""
+    parts = [*older.parts, *newer.parts][-_PARTS_PER_BUNDLE_MAX:]
     if newer.whole:
         return replace(newer, parts=parts)
     rows = {each.server: each for each in (*older.rows, *newer.rows)}
     return replace(newer, rows=list(rows.values()), parts=parts, whole=older.whole)
 
 
-def pass_on(state: State, now: float, build: Build) -> list[Effect]:
-    """Send what was gathered: sums to the other tellers, and all to those that tell this one."""
-    passed = state.news.passed_on
-    if now < passed.send_due:
+def send_gathered(state: State, now: float, build: Build) -> list[Effect]:
+    """Send the gathered updates: sums to the other relays, and all of them to the group."""
+    relay_state = state.news.passed_on
+    if now < relay_state.send_due:
         return []
-    passed.send_due = state.news.send_due = now + _GATHER_S
-    effects = _drop_silent(state, now)
-    own = build(state, now)
-    summed = _sum(state, now, own)
-    has_news = bool(summed.news.rows or summed.news.parts)
-    is_due = now >= passed.bundle_due
-    if has_news or (is_due and passed.rows):
-        effects += _send(summed, state.news.plan.tellers)
-    if not (has_news or passed.news or is_due):
+    relay_state.send_due = state.news.send_due = now + _GATHER_INTERVAL_S
+    effects = _drop_unresponsive(state, now)
+    own_update = build(state, now)
+    sum_update = _sum_group(state, now, own_update)
+    has_changes = bool(sum_update.news.rows or sum_update.news.parts)
+    is_bundle_due = now >= relay_state.bundle_due
+    if has_changes or (is_bundle_due and relay_state.rows):
+        effects += _send_bundle(sum_update, state.news.plan.tellers)
+    if not (has_changes or relay_state.news or is_bundle_due):
         return effects
-    passed.bundle_due = now + _BUNDLE_S
+    relay_state.bundle_due = now + _BUNDLE_INTERVAL_MAX_S
     bundled = [
-        BundledNews(origin, news, round((now - came_at) * _MS))
-        for origin, (came_at, news) in passed.news.items()
+        BundledNews(origin, news, round((now - received_at) * _MS))
+        for origin, (received_at, news) in relay_state.news.items()
     ]
-    passed.news.clear()
-    bundled.append(BundledNews(state.me.name, own, 0))
+    relay_state.news.clear()
+    bundled.append(BundledNews(state.me.name, own_update, 0))
     bundle = LoadBundle(bundled)
-    told = [SendDatagram(name, address, bundle) for name, (address, _) in passed.told_by.items()]
-    return [*effects, *told]
+    bundles = [
+        SendDatagram(name, address, bundle) for name, (address, _) in relay_state.told_by.items()
+    ]
+    return [*effects, *bundles]
 
 
-def _drop_silent(state: State, now: float) -> list[Effect]:
-    told_by = state.news.passed_on.told_by
-    gone = [name for name, (_, at) in told_by.items() if now - at > _TOLD_S]
-    for name in gone:
-        del told_by[name]
-    return [Log("told_no_more", {"peer": name}) for name in gone]
+def _drop_unresponsive(state: State, now: float) -> list[Effect]:
+    """Drop the instances of the group that sent no recent update."""
+    group = state.news.passed_on.told_by
+    removed = [
+        name for name, (_, received_at) in group.items() if now - received_at > _GROUP_TIMEOUT_S
+    ]
+    for name in removed:
+        del group[name]
+    return [Log("told_no_more", {"peer": name}) for name in removed]
 
 
-def _send(news: BundledNews, to: list[Member]) -> list[Effect]:
-    bundle = LoadBundle([news])
-    return [SendDatagram(each.name, each.peer_address, bundle) for each in to]
+def _send_bundle(update: BundledNews, receivers: list[Member]) -> list[Effect]:
+    bundle = LoadBundle([update])
+    return [SendDatagram(each.name, each.peer_address, bundle) for each in receivers]
 
 
-def _sum(state: State, now: float, own: LoadNews) -> BundledNews:
-    """Sum up what this instance and those that tell it have; rows that have not changed are out."""
-    passed = state.news.passed_on
-    whole = now >= passed.whole_due
+def _sum_group(state: State, now: float, own_update: LoadNews) -> BundledNews:
+    """Return the sum of the group's load; rows that have not changed are left out."""
+    relay_state = state.news.passed_on
+    is_complete = now >= relay_state.whole_due
     rows: list[LoadRow] = []
-    held: dict[ServerName, LoadRow] = {}
-    for name, book in state.engines.by_server.items():
-        row = _row(state, now, name, book)
-        before = passed.rows.get(name)
+    current_rows: dict[ServerName, LoadRow] = {}
+    for name, record in state.engines.by_server.items():
+        row = _sum_row(state, now, name, record)
+        previous = relay_state.rows.get(name)
         if row is None:
-            if before is not None:
+            if previous is not None:
                 rows.append(LoadRow(name, [], 0, 0))
             continue
-        held[name] = row
-        if whole or before is None or _differs(before, row):
+        current_rows[name] = row
+        if is_complete or previous is None or _has_changed(previous, row):
             rows.append(row)
-    passed.rows = held
-    if whole:
-        passed.whole_due = now + _WHOLE_S
-    passed.seq += 1
-    parts = [*passed.parts, *own.parts][-_PARTS_MAX:]
-    passed.parts.clear()
-    demand = _sum_demand(state, now, own.demand)
-    news = LoadNews(state.me.incarnation, passed.seq, rows, parts, demand, whole)
-    return BundledNews(state.me.name + _SUM, news, 0)
-
-
-def _row(state: State, now: float, name: ServerName, book: EngineBook) -> LoadRow | None:
-    told_by = state.news.passed_on.told_by
-    pending = [Pending(each.work_ms, each.rank, each.sent_at) for each in book.prefills.values()]
-    running = len(book.running)
-    tokens = sum(each.tokens for each in book.prefills.values()) + sum(book.running.values())
-    for origin, peer in book.peers.items():
-        if origin in told_by and now - peer.heard.at <= engine_model.PEER_VALID_S:
+    relay_state.rows = current_rows
+    if is_complete:
+        relay_state.whole_due = now + _COMPLETE_SUM_INTERVAL_S
+    relay_state.seq += 1
+    parts = [*relay_state.parts, *own_update.parts][-_PARTS_PER_BUNDLE_MAX:]
+    relay_state.parts.clear()
+    demand = _sum_demand(state, now, own_update.demand)
+    news = LoadNews(state.me.incarnation, relay_state.seq, rows, parts, demand, is_complete)
+    return BundledNews(state.me.name + _SUM_SUFFIX, news, 0)
+
+
+def _sum_row(state: State, now: float, name: ServerName, record: EngineBook) -> LoadRow | None:
+    """Return the sum of the group's load on a server, or None without any."""
+    group = state.news.passed_on.told_by
+    pending = [Pending(each.work_ms, each.rank, each.sent_at) for each in record.prefills.values()]
+    running = len(record.running)
+    tokens = sum(each.tokens for each in record.prefills.values()) + sum(record.running.values())
+    for origin, peer in record.peers.items():
+        if origin in group and now - peer.heard.at <= engine_model.PEER_LOAD_VALID_S:
             pending += peer.pending
             running += peer.running
             tokens += peer.tokens
@@ -223,31 +233,32 @@
         return None
     works = [
         [round(each.work_ms), each.rank, round((now - each.sent_at) * _MS)]
-        for each in pending[:_WORKS_MAX]
+        for each in pending[:_WORKS_PER_SERVER_MAX]
     ]
     return LoadRow(name, works, running, tokens)
 
 
-def _differs(before: LoadRow, row: LoadRow) -> bool:
-    """Tell whether a server's row says something new; prompts only grow older."""
-    same_works = [each[:2] for each in before.works] == [each[:2] for each in row.works]
-    return (before.running, before.tokens) != (row.running, row.tokens) or not same_works
+def _has_changed(previous: LoadRow, row: LoadRow) -> bool:
+    """Return whether a server's row has changed; the age of prompts does not count."""
+    has_same_works = [each[:2] for each in previous.works] == [each[:2] for each in row.works]
+    return (previous.running, previous.tokens) != (row.running, row.tokens) or not has_same_works
 
 
 def _sum_demand(state: State, now: float, own: list[DemandRow]) -> list[DemandRow]:
-    told_by = state.news.passed_on.told_by
-    summed = {each.target: each for each in own}
+    """Return the sum of the group's demand."""
+    group = state.news.passed_on.told_by
+    rows_by_target = {each.target: each for each in own}
     for target, peers in state.pools.peers.items():
-        told = [row for origin, row in peers.items() if origin in told_by]
-        if not told:
+        group_demand = [row for origin, row in peers.items() if origin in group]
+        if not group_demand:
             continue
-        mine = summed.get(target, DemandRow(target, 0, 0))
-        ranks = [mine.late_rank, *urgent_first.told_ranks(state, now, target, told_by)]
-        summed[target] = DemandRow(
+        own_row = rows_by_target.get(target, DemandRow(target, 0, 0))
+        ranks = [own_row.late_rank, *urgent_first.reported_late_ranks(state, now, target, group)]
+        rows_by_target[target] = DemandRow(
             target,
-            mine.long_ms_s + round(sum(each.long_ms for each in told)),
-            mine.quick_ms_s + round(sum(each.quick_ms for each in told)),
+            own_row.long_ms_s + round(sum(each.long_ms for each in group_demand)),
+            own_row.quick_ms_s + round(sum(each.quick_ms for each in group_demand)),
             min((each for each in ranks if each is not None), default=None),
-            mine.middle_ms_s + round(sum(each.middle_ms for each in told)),
+            own_row.middle_ms_s + round(sum(each.middle_ms for each in group_demand)),
         )
-    return list(summed.values())
+    return list(rows_by_target.values())
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_books.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_books.py
@@ -120,7 +120,7 @@
     options = state.options
     if req.kind is Kind.MODEL:
         if attempt.first_token_at is not None and state.config.policy is Policy.PREDICTED:
-            engine_pools.note_generated(state, req, now - attempt.first_token_at)
+            engine_pools.record_generated(state, req, now - attempt.first_token_at)
         return predict.note_length(state.predictor, options, req)
     elapsed_s = now - attempt.started
     load = pool_load.pool_load(state.pool_loads, attempt.pool)
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
@@ -36,13 +36,13 @@
     if not servers or servers[0].service.kind is not Kind.MODEL:
         return 0.0
     service = servers[0].service
-    engines = engine_pools.choose(state, now, req, servers)
-    is_long = engine_pools.bears_chunks(state, req.service_class, service)
+    engines = engine_pools.engines_for(state, now, req, servers)
+    is_long = engine_pools.tolerates_long_prompts(state, req.service_class, service)
     work = sum(
         _queued_ms(state, engines, queue)
         for queue in queue_state.pool_queues(state.queues, pool)
         if rank_of(queue.service_class) <= rank_of(req.service_class)
-        and engine_pools.bears_chunks(state, queue.service_class, service) == is_long
+        and engine_pools.tolerates_long_prompts(state, queue.service_class, service) == is_long
     )
     ahead = work * max(1, state.subsets.instances) / len(engines)
     return (ahead + predicted_placement.shortest_wait_ms(state, now, engines)) / _MS
@@ -75,7 +75,7 @@
     servers = open_servers(state, now, req.target)
     if req.expected_tokens is None or not servers or not _is_least_urgent(state, req):
         return 0.0
-    engines = engine_pools.choose(state, now, req, servers)
+    engines = engine_pools.engines_for(state, now, req, servers)
     gap_s = straggler.gap_seen(state.stragglers, now, (server.entry.name for server in engines))
     if gap_s is None:
         return 0.0
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
@@ -90,12 +90,12 @@
 def _pick_engine(
     state: State, now: float, req: Request, tier: int, candidates: list[Server]
 ) -> Server | None:
-    if urgent_first.has_to_wait(state, now, req):
+    if urgent_first.must_wait_for_urgent(state, now, req):
         return None
-    engines_of_kind = engine_pools.choose(state, now, req, candidates)
+    engines_of_kind = engine_pools.engines_for(state, now, req, candidates)
     best_choice = _best_engine(state, now, req, engines_of_kind)
     if best_choice.is_held_back and _can_spill(state, now, req, engines_of_kind):
-        other_engines = engine_pools.spill(state, now, req, candidates)
+        other_engines = engine_pools.spill_engines(state, now, req, candidates)
         best_choice = _best_engine(state, now, req, other_engines) if other_engines else best_choice
     return None if best_choice.is_held_back else best_choice.server
 
@@ -106,7 +106,7 @@
     Prevents decode requests from expiring where too few decode engines are left; on prefill engines
     their token gaps exceed the target.
     """
-    if engine_pools.bears_chunks(state, req.service_class, engines_of_kind[0].service):
+    if engine_pools.tolerates_long_prompts(state, req.service_class, engines_of_kind[0].service):
         return False
     return now - req.arrived >= _SPILL_WAIT_SHARE * req.service_class.target_s
 
@@ -134,7 +134,7 @@
     """Predict the effect of sending a request to an engine."""
     options = state.options
     record = engine_model.book_of(state, server.entry.name)
-    saved_tokens = engine_model.held_back_tokens(record, now, req)
+    saved_tokens = engine_model.pending_prefill_tokens(record, now, req)
     is_held_back = saved_tokens > 0
     fetched_tokens = 0
     fetch_ms = 0.0
@@ -154,7 +154,7 @@
         fetched_tokens=float(fetched_tokens),
         is_held_back=is_held_back or not _can_take(state, now, req, server),
         is_remote=server.entry.data_centre != state.me.data_centre,
-        congestion_ms=_congestion_ms(engine_model.requests_at(record, now), server.slots),
+        congestion_ms=_congestion_ms(engine_model.request_count(record, now), server.slots),
     )
 
 
@@ -183,7 +183,7 @@
 def _can_take(state: State, now: float, req: Request, server: Server) -> bool:
     """Return whether an engine can take a request now."""
     record = engine_model.book_of(state, server.entry.name)
-    requests = engine_model.requests_at(record, now)
+    requests = engine_model.request_count(record, now)
     if not requests:
         # An idle engine takes a request of any size.
         return True
@@ -192,7 +192,7 @@
     memory_tokens = server.service.kv_tokens * state.options.engine_memory_share
     if (
         memory_tokens
-        and engine_model.tokens_at(record, now) + engine_model.size_of(req) > memory_tokens
+        and engine_model.tokens_at(record, now) + engine_model.final_tokens(req) > memory_tokens
     ):
         return False
     wait_ms = engine_model.waiting_ms(record, now, rank_of(req.service_class))
@@ -206,7 +206,7 @@
     which may wait longer, from taking every place at a busy engine until decode requests expire.
     """
     limit = state.options.engine_wait_share * req.service_class.target_s
-    if engine_pools.bears_chunks(state, req.service_class, server.service):
+    if engine_pools.tolerates_long_prompts(state, req.service_class, server.service):
         return limit
     return limit + now - req.arrived
 
@@ -231,7 +231,7 @@
     record = engine_model.book_of(state, name)
     update_ages_s = [now - each.heard.at for each in record.peers.values()]
     fields: dict[str, object] = {
-        "requests_there": engine_model.requests_at(record, now),
+        "requests_there": engine_model.request_count(record, now),
         "peers_told": len(update_ages_s),
         "oldest_news_ms": round(max(update_ages_s, default=0.0) * _MS),
         "excess_failures": round(excess_failures(state.reliability, now, name), 3),
@@ -247,8 +247,8 @@
         )
         fields["prompt_tokens"] = req.prompt_tokens
         fields["wait_ms"] = round(engine_model.waiting_ms(record, now, rank_of(req.service_class)))
-        fields["reading_engines"] = engine_pools.reading_engines(state, req.target)
-        fields["reading"] = engine_pools.reading_of(state, req, server.service).value
+        fields["reading_engines"] = engine_pools.prefill_engine_count(state, req.target)
+        fields["reading"] = engine_pools.prompt_kind(state, req, server.service).value
         holdings = engine_model.holdings_of(state, req, server)
         choice = _evaluate(state, now, req, server, holdings)
         fields["begin_ms"] = round(choice.begin_ms)
@@ -274,7 +274,7 @@
     best_cost = 0.0
     for server in candidates:
         name = server.entry.name
-        requests = engine_model.requests_at(engine_model.book_of(state, name), now)
+        requests = engine_model.request_count(engine_model.book_of(state, name), now)
         if requests >= state.options.plain_fill * server.slots:
             continue
         load = requests / server.slots
--- a/packages/turmericweir-core/turmericweir_core/queueing/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/__init__.py
@@ -1,1 +1,1 @@
-"""Judge the requests that wait: how long they may, and whether the most urgent are late."""
+"""Decide how long requests may wait, and whether urgent requests are late."""
--- a/packages/turmericweir-core/turmericweir_core/queueing/patience.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/patience.py
@@ -1,4 +1,4 @@
-"""How long upper work waits for a slot that frees itself, before lower work makes way."""
+"""Return how long upper work waits for a free slot before lower work is displaced."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 
 def displacement_wait(options: Options, target_s: float) -> float:
-    """Give the time after which lower work makes way for a request with this target.
+    """Return the time after which lower work may be displaced for a request with this target.
 
-    Failure without the wait: each upper request stops an answer, and its prefill is lost, while
-    others end by themselves all the time and would leave a slot well within the target.
+    Prevents displacing answers, and losing their prefills, where a slot becomes free in time
+    anyway.
     """
     return min(options.displace_wait_max_s, options.displace_wait_share * target_s)
 
 
-def count_ripe(options: Options, now: float, queue: ClassQueue, most: int) -> int:
-    """Count the requests, first come first, that have waited for so long, up to a number."""
-    wait = displacement_wait(options, queue.service_class.target_s)
-    ripe = 0
+def count_ripe(options: Options, now: float, queue: ClassQueue, count_max: int) -> int:
+    """Count the requests at the head of a queue that have waited this long, up to a maximum."""
+    wait_s = displacement_wait(options, queue.service_class.target_s)
+    ready_count = 0
     for req in queue.waiting():
-        if ripe >= most or now - req.arrived < wait:
+        if ready_count >= count_max or now - req.arrived < wait_s:
             break
-        ripe += 1
-    return ripe
+        ready_count += 1
+    return ready_count
--- a/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
@@ -1,13 +1,10 @@
-"""Let less urgent requests wait while more urgent ones of the same service are late.
+"""Hold back less urgent requests while more urgent ones of the same service are late.
 
-Each instance serves what waits here in order, but an engine is sent requests by all of them. One
-where nothing urgent waits would send its long prompts to the engines that the others wait for: few
-engines are left, and whenever one has room the next long prompt takes it, while callers of quick
-answers leave with nothing. So each instance tells the most urgent rank that is late here, with its
-load (`load_news`), and none sends what is less urgent than the most urgent one that is late.
-
-A class that has earned a turn by its assured share has it all the same: urgent callers may be late
-for as long as a rush lasts, and the lowest class is to be served then as well.
+All instances send to the same engines. An instance without urgent requests would send its long
+prompts to the engines that urgent requests at other instances wait for. So each instance reports
+the most urgent rank that is late here with its load (`load_news`), and none sends requests less
+urgent than the most urgent late rank. A class served by its assured share is exempt, so the lowest
+class is served under lasting overload as well.
 """
 
 from __future__ import annotations
@@ -23,51 +20,55 @@
     from turmericweir_core.base.request import Request
     from turmericweir_core.state.state import State
 
-# Part of its target for which a request has waited here for too long: it is late wherever it goes
-# now. With half of it each moment's crowd stops the long prompts.
+# Share of its target after which a waiting request counts as late. A smaller share would hold back
+# long prompts in every short burst.
 _LATE_SHARE: Final = 1.0
-# A peer's word counts for so long; it tells anew every half second.
-_PEER_VALID_S: Final = 1.2
+# Validity of a peer's report, which is renewed every half second.
+_LATE_RANK_VALID_S: Final = 1.2
 
 
 def late_rank(state: State, now: float, target: Target) -> int | None:
-    """Give the most urgent rank of which a request has waited here for too long."""
-    late = [
+    """Return the most urgent rank of which a request has waited here for too long."""
+    late_ranks = [
         rank_of(queue.service_class)
         for queue in queue_state.target_classes(state.queues, target)
         if _is_late(queue, now)
     ]
-    return min(late, default=None)
+    return min(late_ranks, default=None)
 
 
 def _is_late(queue: queue_state.ClassQueue, now: float) -> bool:
+    """Return whether a queue has a request that has waited for too long."""
     oldest = next(iter(queue.on_time.values()), None)
     limit_s = _LATE_SHARE * queue.service_class.target_s
     return bool(queue.late) or (oldest is not None and now - oldest.arrived >= limit_s)
 
 
-def take_late_rank(
+def record_late_rank(
     state: State, now: float, sender: InstanceName, target: Target, rank: int | None
 ) -> None:
-    """Take a peer's word."""
-    told = state.late_ranks.peers.setdefault(target, {})
+    """Record the late rank that a peer reported."""
+    peer_ranks = state.late_ranks.peers.setdefault(target, {})
     if rank is None:
-        told.pop(sender, None)
+        peer_ranks.pop(sender, None)
     else:
-        told[sender] = (now, rank)
+        peer_ranks[sender] = (now, rank)
 
 
-def told_ranks(
+def reported_late_ranks(
     state: State, now: float, target: Target, senders: Container[InstanceName]
 ) -> list[int]:
-    """List what some peers have told of late requests."""
-    told = state.late_ranks.peers.get(target, {})
+    """List the valid late ranks that some peers reported."""
+    peer_ranks = state.late_ranks.peers.get(target, {})
     return [
-        rank for name, (at, rank) in told.items() if name in senders and now - at <= _PEER_VALID_S
+        rank
+        for name, (received_at, rank) in peer_ranks.items()
+        if name in senders and now - received_at <= _LATE_RANK_VALID_S
     ]
 
 
-def _is_owed(state: State, req: Request) -> bool:
+def _is_served_by_share(state: State, req: Request) -> bool:
+    """Return whether the request's class is to be served by its assured share."""
     return any(
         queue.service_class.name == req.service_class.name and queue_state.is_owed(queue)
         for queue in queue_state.target_classes(state.queues, req.target)
@@ -75,13 +76,16 @@
     )
 
 
-def has_to_wait(state: State, now: float, req: Request) -> bool:
-    """Tell whether a request has to let more urgent ones pass, here or at a peer."""
-    own = rank_of(req.service_class)
-    if _is_owed(state, req):
+def must_wait_for_urgent(state: State, now: float, req: Request) -> bool:
+    """Return whether a request must wait for more urgent ones, here or at a peer."""
+    own_rank = rank_of(req.service_class)
+    if _is_served_by_share(state, req):
         return False
-    late = late_rank(state, now, req.target)
-    if late is not None and late < own:
+    local_late_rank = late_rank(state, now, req.target)
+    if local_late_rank is not None and local_late_rank < own_rank:
         return True
-    told = state.late_ranks.peers.get(req.target, {})
-    return any(rank < own and now - at <= _PEER_VALID_S for at, rank in told.values())
+    peer_ranks = state.late_ranks.peers.get(req.target, {})
+    return any(
+        rank < own_rank and now - received_at <= _LATE_RANK_VALID_S
+        for received_at, rank in peer_ranks.values()
+    )
--- a/tests/core/engines/test_cache_handover.py
+++ b/tests/core/engines/test_cache_handover.py
@@ -1,4 +1,4 @@
-"""What an instance that has just started is told of the engines' caches."""
+"""Test the handover of cache data to an instance that has just started."""
 
 from __future__ import annotations
 
@@ -8,57 +8,56 @@
 from turmericweir_core.messages.events import EndComplete
 from turmericweir_core.messages.peer_messages import CachesAsk, CachesSend
 
-SHARED = ("sheet", 13_300)
+SHARED_PART = ("sheet", 13_300)
 
 
-def asks(world: StoreWorld) -> list[SendPeer]:
-    """List the asks for caches."""
+def cache_requests(world: StoreWorld) -> list[SendPeer]:
+    """Return the requests for cache data that were sent."""
     return [each for each in only(world.effects, SendPeer) if each.message == CachesAsk()]
 
 
-def test_a_restarted_instance_sends_prompts_where_their_parts_are_held() -> None:
-    """An instance is stopped and started while its peer serves on.
-
-    The sheet was read once, on an engine that is not the first choice by hash. The restarted one
-    asks its peer, is told, and its caller's prompt goes to that engine: nothing is read twice.
+def test_restarted_instance_uses_engine_that_holds_the_part() -> None:
+    """Guards against prefilling a part again after a restart though a peer knows which engine holds
+    it.
     """
     peer = StoreWorld(engines=5)
-    first = start_of(peer.arrive("1", prompt_tokens=17_000, parts=(SHARED, ("own-1", 3_700))))
+    first = start_of(peer.arrive("1", prompt_tokens=17_000, parts=(SHARED_PART, ("own-1", 3_700))))
     peer.begin(first)
     peer.end(first, EndComplete(200))
     for engine in range(1, 6):
-        held = ServerName(f"lm-{engine}")
-        book = peer.state.engines.by_server[first.server]
-        peer.state.engines.by_server = {held: book}
+        holder = ServerName(f"lm-{engine}")
+        record = peer.state.engines.by_server[first.server]
+        peer.state.engines.by_server = {holder: record}
         restarted = StoreWorld(engines=5, name="a-2")
         restarted.know("a-1")
         restarted.wait(0.05)
-        (ask,) = asks(restarted)
+        (ask,) = cache_requests(restarted)
         assert ask.peer == "a-1"
         peer.know("a-2")
         (sent,) = only(peer.peer("a-2", ask.message), SendPeer)
         assert isinstance(sent.message, CachesSend)
         restarted.peer("a-1", sent.message)
-        effects = restarted.arrive("2", prompt_tokens=17_000, parts=(SHARED, ("own-2", 3_700)))
-        # An engine for quick answers keeps apart, and has the part handed on.
+        effects = restarted.arrive("2", prompt_tokens=17_000, parts=(SHARED_PART, ("own-2", 3_700)))
+        # A decode engine takes no long prompt; its successor fetches the part.
         start = start_of(effects)
-        fetched = peer.state.servers.by_name[held].entry.address
-        assert start.server == held or start.fetch_from == fetched
-        peer.state.engines.by_server = {first.server: book}
+        fetched = peer.state.servers.by_name[holder].entry.address
+        assert start.server == holder or start.fetch_from == fetched
+        peer.state.engines.by_server = {first.server: record}
 
 
-def test_instances_that_start_together_ask_on_until_one_knows() -> None:
+def test_new_instance_asks_again_for_a_limited_time() -> None:
+    """Guards against giving up after one request, and against asking without end."""
     world = StoreWorld(name="a-2")
     world.know("a-1")
     assert not only(world.peer("a-1", CachesAsk()), SendPeer)
     world.wait(0.05)
-    assert len(asks(world)) == 1
-    # Nobody answers; it asks again for a few seconds, and then no more.
+    assert len(cache_requests(world)) == 1
+    # Without an answer it asks again for a few seconds, and then stops.
     world.wait(2.0)
-    assert len(asks(world)) >= 3
+    assert len(cache_requests(world)) >= 3
     world.know("a-1")
     world.wait(4.0)
-    count = len(asks(world))
+    count = len(cache_requests(world))
     world.know("a-1")
     world.wait(3.0)
-    assert len(asks(world)) == count
+    assert len(cache_requests(world)) == count
--- a/tests/core/engines/test_engine_pools.py
+++ b/tests/core/engines/test_engine_pools.py
@@ -1,4 +1,4 @@
-"""Which engines take which prompts, where some streams bear less beside them than others."""
+"""Test which engines serve which prompts, by the token gaps that their streams tolerate."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from turmericweir_core.base.config import ServiceClass
 from turmericweir_core.base.request import Request
 from turmericweir_core.engines import engine_pools
-from turmericweir_core.engines.engine_pools import Reading
+from turmericweir_core.engines.engine_pools import PromptKind
 from turmericweir_core.messages.peer_messages import DemandRow, LoadNews
 from turmericweir_core.state.server_table import Server
 
@@ -20,115 +20,122 @@
 
 @pytest.fixture(name="world")
 def fixture_world() -> StoreWorld:
-    """Twelve engines whose events hold three tokens, and demand of all kinds told by a peer."""
+    """Return a world of twelve engines with three-token events, and a peer's demand of
+    all kinds.
+    """
     world = StoreWorld(engines=ENGINES)
-    split = engine_pools.choose(
+    split = engine_pools.engines_for(
         world.state, world.now, request(world, CONFIRM, 1_400), servers(world)
     )
     assert split
     world.state.pools.splits[MODEL].shortest_gap_s = CONFIRM.token_gap_target_s
-    tell(world, 1, long_ms=2_400, quick_ms=1_200, middle_ms=1_200)
+    report_demand(world, 1, long_ms=2_400, quick_ms=1_200, middle_ms=1_200)
     return world
 
 
-def tell(world: StoreWorld, seq: int, *, long_ms: int, quick_ms: int, middle_ms: int) -> None:
+def report_demand(
+    world: StoreWorld, seq: int, *, long_ms: int, quick_ms: int, middle_ms: int
+) -> None:
+    """Have a peer report its demand."""
     row = DemandRow(MODEL, long_ms, quick_ms, None, middle_ms)
     world.peer("a-2", LoadNews("y", seq, [], [], [row]))
 
 
 def request(world: StoreWorld, service_class: ServiceClass, tokens: int) -> Request:
+    """Return a request of a class."""
     return world.request(service_class.name, service_class=service_class, prompt_tokens=tokens)
 
 
 def servers(world: StoreWorld) -> list[Server]:
+    """Return the engines."""
     return [each for each in world.state.servers.by_name.values() if each.service.name == "lm"]
 
 
-def engines_for(world: StoreWorld, service_class: ServiceClass, tokens: int) -> set[str]:
-    found = engine_pools.choose(
+def engine_names_for(world: StoreWorld, service_class: ServiceClass, tokens: int) -> set[str]:
+    """Return the names of the engines for a request."""
+    engines = engine_pools.engines_for(
         world.state, world.now, request(world, service_class, tokens), servers(world)
     )
-    return {each.entry.name for each in found}
+    return {each.entry.name for each in engines}
 
 
-def test_a_stream_of_short_pauses_has_no_middle_prompt_read_beside_it(world: StoreWorld) -> None:
-    """
-    Callers of confirmations are promised events 150 ms apart. A prompt of 9,000 tokens beside them
-    takes five steps of some 55 ms, and an event of theirs takes three steps: they were late for as
-    long as it was read, also where the caller of that prompt was promised 250 ms himself.
-    """
-    quick = engines_for(world, CONFIRM, 1_400)
-    middle = engines_for(world, ADVICE, 9_000)
-    reading = engines_for(world, QUOTE, 17_000)
-    assert quick
-    assert middle
-    assert reading
-    assert not quick & middle
-    assert not (quick | middle) & reading
+def test_medium_prompts_have_separate_engines(world: StoreWorld) -> None:
+    """Guards against late events of streams beside prefills of medium prompts."""
+    short_engines = engine_names_for(world, CONFIRM, 1_400)
+    medium_engines = engine_names_for(world, ADVICE, 9_000)
+    prefill_engines = engine_names_for(world, QUOTE, 17_000)
+    assert short_engines
+    assert medium_engines
+    assert prefill_engines
+    assert not short_engines & medium_engines
+    assert not (short_engines | medium_engines) & prefill_engines
 
 
-def test_a_prompt_that_is_read_within_an_event_may_stand_beside_them(world: StoreWorld) -> None:
-    assert engines_for(world, ADVICE, 2_000) == engines_for(world, CONFIRM, 1_400)
+def test_prompt_within_one_event_shares_decode_engines(world: StoreWorld) -> None:
+    """Guards against separating prompts whose prefill fits into an event."""
+    assert engine_names_for(world, ADVICE, 2_000) == engine_names_for(world, CONFIRM, 1_400)
 
 
-def test_streams_alike_share_their_engines(world: StoreWorld) -> None:
-    """Nobody bears less than this kind does: a border would only part what may stand together."""
+def test_streams_with_equal_gaps_share_engines(world: StoreWorld) -> None:
+    """Guards against separate medium engines where no stream has a shorter gap target."""
     world.state.pools.splits[MODEL].shortest_gap_s = ADVICE.token_gap_target_s
-    found = engine_pools.reading_of(
+    kind = engine_pools.prompt_kind(
         world.state, request(world, ADVICE, 9_000), servers(world)[0].service
     )
-    assert found is Reading.QUICK
+    assert kind is PromptKind.SHORT
 
 
-def test_more_long_prompts_move_no_engine_from_the_quick_answers(world: StoreWorld) -> None:
-    """
-    A rush of long prompts takes engines. The quick answers' stay as they are, since streams run
-    there; the middle prompts' give way as far as they have more than they need.
-    """
-    quick = engines_for(world, CONFIRM, 1_400)
-    tell(world, 2, long_ms=3_000, quick_ms=1_200, middle_ms=1_200)
-    assert engines_for(world, CONFIRM, 1_400) == quick
+def test_more_long_prompts_do_not_move_decode_engines(world: StoreWorld) -> None:
+    """Guards against moving decode engines with running streams in a burst of long prompts."""
+    short_engines = engine_names_for(world, CONFIRM, 1_400)
+    report_demand(world, 2, long_ms=3_000, quick_ms=1_200, middle_ms=1_200)
+    assert engine_names_for(world, CONFIRM, 1_400) == short_engines
 
 
-def test_where_two_engines_are_left_middle_prompts_go_to_the_quick_ones(world: StoreWorld) -> None:
-    left = servers(world)[:2]
-    found = engine_pools.choose(world.state, world.now, request(world, ADVICE, 9_000), left)
-    assert len(found) == 1
+def test_medium_prompts_share_the_only_decode_engine(world: StoreWorld) -> None:
+    """Guards against a missing engine for medium prompts where only two are left."""
+    two_engines = servers(world)[:2]
+    engines = engine_pools.engines_for(
+        world.state, world.now, request(world, ADVICE, 9_000), two_engines
+    )
+    assert len(engines) == 1
 
 
-def test_a_middle_prompt_without_room_goes_to_engines_that_read(world: StoreWorld) -> None:
-    reading = engines_for(world, QUOTE, 17_000)
-    spilled = engine_pools.spill(
+def test_medium_prompts_spill_to_prefill_engines(world: StoreWorld) -> None:
+    """Guards against spilling medium prompts to decode engines."""
+    prefill_engines = engine_names_for(world, QUOTE, 17_000)
+    spilled = engine_pools.spill_engines(
         world.state, world.now, request(world, ADVICE, 9_000), servers(world)
     )
-    assert {each.entry.name for each in spilled} == reading
+    assert {each.entry.name for each in spilled} == prefill_engines
 
 
-def test_engines_that_nobody_needs_are_shared_by_demand() -> None:
-    """Guards against quick answers that crowd a few engines while those that read stand idle."""
+def test_spare_engines_are_shared_by_demand() -> None:
+    """Guards against overloading few decode engines while prefill engines are idle."""
     world = StoreWorld(engines=40)
-    left: set[str] = set()
+    prefill_engines: set[str] = set()
     for seq in range(1, 40):
-        tell(world, seq, long_ms=2_400, quick_ms=1_200, middle_ms=1_200)
-        left = engines_for(world, QUOTE, 17_000)
+        report_demand(world, seq, long_ms=2_400, quick_ms=1_200, middle_ms=1_200)
+        prefill_engines = engine_names_for(world, QUOTE, 17_000)
         world.now += 1.0
-    assert len(left) == 13
+    assert len(prefill_engines) == 13
 
 
-def test_what_a_kind_needs_comes_at_once(world: StoreWorld) -> None:
-    before = engines_for(world, QUOTE, 17_000)
-    tell(world, 2, long_ms=4_700, quick_ms=600, middle_ms=600)
-    assert len(engines_for(world, QUOTE, 17_000)) == 8 >= len(before)
+def test_needed_engines_are_assigned_at_once(world: StoreWorld) -> None:
+    """Guards against a slow change of the split where engines are needed."""
+    engines_before = engine_names_for(world, QUOTE, 17_000)
+    report_demand(world, 2, long_ms=4_700, quick_ms=600, middle_ms=600)
+    assert len(engine_names_for(world, QUOTE, 17_000)) == 8 >= len(engines_before)
 
 
-def test_answers_count_for_as_long_as_they_take(world: StoreWorld) -> None:
-    """Guards against engines that are planned by estimates which long answers exceed."""
+def test_demand_includes_observed_answer_duration(world: StoreWorld) -> None:
+    """Guards against planning engines by estimates that long answers exceed."""
     req = request(world, CONFIRM, 1_400)
     req.expected_tokens = 50
     engine_pools.note_demand(world.state, world.now, req, servers(world))
     (estimated,) = engine_pools.demand_rows(world.state, world.now)
     world.state.pools.own.clear()
-    engine_pools.note_generated(world.state, req, 6.4)
+    engine_pools.record_generated(world.state, req, 6.4)
     engine_pools.note_demand(world.state, world.now, req, servers(world))
     (learnt,) = engine_pools.demand_rows(world.state, world.now)
     slots = servers(world)[0].slots
--- a/tests/core/engines/test_engine_speed.py
+++ b/tests/core/engines/test_engine_speed.py
@@ -1,4 +1,4 @@
-"""What an instance learns of how fast engines read prompts."""
+"""Test how an instance learns the prefill speed of engines."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 @pytest.mark.parametrize(
     ("first_ms", "factor"), [(62.0, 0.35), (30.0, 1.0), (90.0, 3.0)], ids=["fast", "common", "slow"]
 )
-def test_the_line_is_found_within_some_thirty_requests(first_ms: float, factor: float) -> None:
-    # Short prompts and long ones, each a tenth off at the most.
+def test_speed_is_learned_from_noisy_requests(first_ms: float, factor: float) -> None:
+    """Guards against a wrong speed after sixty requests with ten percent of noise."""
     speed = engine_speed.common(Options())
     rng = Random(7)
     for number in range(60):
@@ -29,8 +29,8 @@
     assert speed.first_ms == pytest.approx(first_ms, rel=0.25)
 
 
-def test_prompts_of_one_size_leave_the_factor_as_it_was() -> None:
-    # Nothing tells then which part of the time was for reading.
+def test_equal_prompts_keep_the_factor_bounded() -> None:
+    """Guards against an unbounded factor where all prompts have one size."""
     speed = engine_speed.common(Options())
     for _ in range(400):
         engine_speed.learn(speed, 15.0, 75.0)
@@ -38,25 +38,24 @@
     assert speed.first_ms + 15.0 * speed.factor == pytest.approx(75.0, rel=0.05)
 
 
-def test_one_that_met_others_unseen_moves_the_line_little() -> None:
+def test_outlier_changes_the_speed_little() -> None:
+    """Guards against a large change of the speed by one outlier."""
     speed = engine_speed.common(Options())
     for number in range(60):
         engine_speed.learn(speed, 20.0 if number % 2 else 200.0, 80.0 if number % 2 else 260.0)
-    before = speed.first_ms + 100.0 * speed.factor
+    previous_ms = speed.first_ms + 100.0 * speed.factor
     engine_speed.learn(speed, 100.0, 30_000.0)
-    assert speed.first_ms + 100.0 * speed.factor <= 1.15 * before
+    assert speed.first_ms + 100.0 * speed.factor <= 1.15 * previous_ms
 
 
-def test_engines_of_another_make_are_predicted_by_what_they_were_seen_to_do() -> None:
-    """A service's engines read a prompt in a third of the time that others take.
-
-    By the common figures each long prompt counts three times: callers are refused for waits that
-    are none, and engines are kept for long prompts that quick answers lack.
+def test_fast_engines_are_predicted_by_observed_speed() -> None:
+    """Guards against predicting fast engines by the common figures, which refuses callers for too
+    long waits.
     """
     world = StoreWorld(engines=2)
     probe = world.request("probe", prompt_tokens=17_000)
-    book = EngineBook()
-    common_ms = engine_model.own_work_ms(world.state, book, probe)
+    record = EngineBook()
+    common_ms = engine_model.own_work_ms(world.state, record, probe)
     for number in range(40):
         tokens = 17_000 if number % 2 else 1_000
         fields = {"prompt_tokens": tokens, "parts": ((f"own-{number}", tokens),)}
@@ -65,5 +64,5 @@
         world.now += 0.06 + tokens * 8e-6
         world.begin(start)
         world.end(start, EndComplete(200))
-    assert engine_model.own_work_ms(world.state, book, probe) < 0.5 * common_ms
+    assert engine_model.own_work_ms(world.state, record, probe) < 0.5 * common_ms
     assert engine_model.speed_of(world.state, MODEL).first_ms == pytest.approx(60.0, rel=0.3)
--- a/tests/core/engines/test_load_relay.py
+++ b/tests/core/engines/test_load_relay.py
@@ -1,4 +1,4 @@
-"""What instances know of each other's load where there are too many for each to tell each."""
+"""Test load updates with relay instances."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @pytest.fixture(name="network")
 def fixture_network() -> StoreNetwork:
-    """A fleet whose instances know each other."""
+    """Return a fleet whose instances know each other."""
     network = StoreNetwork(store_times(4.0, 4.0))
     network.start_all(COUNT, DATA_CENTRES)
     network.run(8.0)
@@ -30,32 +30,32 @@
 
 
 def send_prompt(network: StoreNetwork, name: str, number: int = 1) -> None:
-    """Have an instance send a prompt to the engine."""
+    """Record a prompt that an instance sends to the engine."""
     state = network.nodes[name].state
-    book = engine_model.book_of(state, ENGINE)
+    record = engine_model.book_of(state, ENGINE)
     attempt = f"{name}.{number}"
-    book.prefills[attempt] = Prefill(WORK_MS, 1, 1_000, WORK_MS, network.now, None)  # type: ignore[index]
+    record.prefills[attempt] = Prefill(WORK_MS, 1, 1_000, WORK_MS, network.now, None)  # type: ignore[index]
     state.engines.changed = True
 
 
 def finish_prompts(network: StoreNetwork, name: str) -> None:
-    """Have the engine begin to answer all prompts of an instance, and end."""
+    """End all prompts of an instance at the engine."""
     state = network.nodes[name].state
     engine_model.book_of(state, ENGINE).prefills.clear()
     state.engines.changed = True
 
 
-def believed(network: StoreNetwork) -> set[int]:
-    """Give how many requests the running instances take to be at the engine."""
+def known_request_counts(network: StoreNetwork) -> set[int]:
+    """Return the request counts that the running instances have for the engine."""
     return {
-        engine_model.requests_at(engine_model.book_of(node.state, ENGINE), network.now)
+        engine_model.request_count(engine_model.book_of(node.state, ENGINE), network.now)
         for node in network.nodes.values()
         if not node.down
     }
 
 
-def test_strong_machines_tell_the_others() -> None:
-    """Guards against what is for all waiting on a weak machine's link, before its callers."""
+def test_strong_machines_are_relays() -> None:
+    """Guards against relays on weak machines."""
     network = StoreNetwork(store_times(4.0, 4.0))
     names = [f"i{number:03d}" for number in range(COUNT)]
     for number, name in enumerate(names):
@@ -68,50 +68,46 @@
         assert {each.name for each in telling.all_tellers(state, network.now)} == set(names[:6])
 
 
-def tellers(network: StoreNetwork) -> list[str]:
+def relay_names(network: StoreNetwork) -> list[str]:
+    """Return the names of the region's relay instances."""
     state = network.nodes["i000"].state
     return [each.name for each in telling.all_tellers(state, network.now)]
 
 
-def test_all_know_of_all_load_within_half_a_second(network: StoreNetwork) -> None:
-    """
-    Every fifth instance sends a prompt to the same engine. Without the others' word each would
-    take the engine for free and send its own there, and callers would wait for all of them.
-    """
+def test_all_load_is_known_within_half_a_second(network: StoreNetwork) -> None:
+    """Guards against placement by local load alone."""
     senders = list(network.nodes)[::5]
     for name in senders:
         send_prompt(network, name)
     network.run(0.5)
-    assert believed(network) == {len(senders)}
+    assert known_request_counts(network) == {len(senders)}
 
 
 def test_load_that_has_ended_is_forgotten(network: StoreNetwork) -> None:
+    """Guards against counting load that has ended."""
     for name in list(network.nodes)[::5]:
         send_prompt(network, name)
     network.run(0.5)
     for name in list(network.nodes)[::5]:
         finish_prompts(network, name)
     network.run(0.5)
-    assert believed(network) == {0}
+    assert known_request_counts(network) == {0}
 
 
-def test_lost_datagrams_are_made_up_for(network: StoreNetwork) -> None:
-    """A twentieth of the datagrams is lost while load comes and goes; all know it at last."""
+def test_lost_datagrams_are_compensated(network: StoreNetwork) -> None:
+    """Guards against wrong load after the loss of a twentieth of the datagrams."""
     network.loss = 0.05
     for name in network.nodes:
         send_prompt(network, name)
     network.run(0.5)
     for name in list(network.nodes)[10:]:
         finish_prompts(network, name)
-    network.run_until(lambda: believed(network) == {10}, within=6.0)
+    network.run_until(lambda: known_request_counts(network) == {10}, within=6.0)
 
 
-def test_a_teller_that_falls_silent_is_left_for_the_next(network: StoreNetwork) -> None:
-    """
-    A teller freezes. Those that tell it hear nothing, and would place requests by their own alone
-    until it counts as gone. They turn to the next one long before.
-    """
-    frozen = tellers(network)[0]
+def test_unresponsive_relay_is_replaced(network: StoreNetwork) -> None:
+    """Guards against missing updates while an unresponsive relay still counts as a member."""
+    frozen = relay_names(network)[0]
     network.pause(frozen)
     network.run(1.2)
     senders = [name for name in network.nodes if name != frozen][:9]
@@ -119,34 +115,34 @@
         send_prompt(network, name)
     network.run(0.6)
     for name in senders:
-        teller = network.nodes[name].state.news.plan.teller
-        assert teller is None or teller.name != frozen
+        relay = network.nodes[name].state.news.plan.teller
+        assert relay is None or relay.name != frozen
     counts = {
-        engine_model.requests_at(engine_model.book_of(node.state, ENGINE), network.now)
+        engine_model.request_count(engine_model.book_of(node.state, ENGINE), network.now)
         for name, node in network.nodes.items()
         if name != frozen
     }
     assert counts == {len(senders)}
 
 
-def test_nobody_speaks_to_everybody(network: StoreNetwork) -> None:
-    """Each instance has requests all the time; what one sends does not grow with their number."""
+def test_datagrams_do_not_grow_with_the_fleet(network: StoreNetwork) -> None:
+    """Guards against datagrams that grow with the number of instances."""
     network.datagrams.clear()
-    for turn in range(40):
+    for round_number in range(40):
         for name in network.nodes:
-            send_prompt(network, name, turn)
+            send_prompt(network, name, round_number)
         network.run(0.1)
-    sent = sorted(network.datagrams.values())
-    assert sent[len(sent) // 2] / 4.0 < 40
-    assert sent[-1] / 4.0 < 300
+    datagram_counts = sorted(network.datagrams.values())
+    assert datagram_counts[len(datagram_counts) // 2] / 4.0 < 40
+    assert datagram_counts[-1] / 4.0 < 300
 
 
-def test_one_that_passes_nothing_on_keeps_little(network: StoreNetwork) -> None:
-    """A peer takes an instance for its teller that is none, and tells it parts for hours."""
-    member, *_ = [name for name in network.nodes if name not in tellers(network)]
+def test_instance_that_is_no_relay_keeps_little(network: StoreNetwork) -> None:
+    """Guards against unbounded memory of an instance that is wrongly taken for a relay."""
+    member, *_ = [name for name in network.nodes if name not in relay_names(network)]
     state = network.nodes[member].state
     parts = [SentPart(ENGINE, f"part-{number}", 900, True, 0) for number in range(24)]
     for seq in range(200):
-        news = LoadNews("x", seq, [], parts)
-        network.give(member, PeerReceived(InstanceName("i001"), news))
+        update = LoadNews("x", seq, [], parts)
+        network.give(member, PeerReceived(InstanceName("i001"), update))
     assert len(state.news.passed_on.parts) < 200
--- a/tests/core/engines/test_predict.py
+++ b/tests/core/engines/test_predict.py
@@ -1,4 +1,4 @@
-"""Predicted answer lengths, and how the error is measured."""
+"""Test predicted answer lengths and the measurement of their error."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 def request(
     service_class: ServiceClass = QUOTE, *, customer: str = "dunes", max_tokens: int | None = None
 ) -> Request:
-    """Make a request of a class and a customer."""
+    """Return a request of a class and a customer."""
     return Request(
         RequestId("r"),
         Kind.MODEL,
@@ -35,20 +35,20 @@
 
 
 def learn(predictor: Predictor, req: Request, tokens: int, options: Options = OPTIONS) -> None:
-    """Let an answer complete, predicted at its arrival."""
+    """Complete an answer whose length was predicted at its arrival."""
     req = replace(req, predicted_tokens=predict_tokens(predictor, options, req), delivered=tokens)
     note_length(predictor, options, req)
 
 
-def test_default_until_something_is_known() -> None:
-    """Predict the default length, bounded by the caller's own limit."""
+def test_default_before_any_answer() -> None:
+    """Guards against a prediction above the caller's limit, or without a default."""
     predictor = Predictor()
     assert predict_tokens(predictor, OPTIONS, request()) == OPTIONS.predict_default
     assert predict_tokens(predictor, OPTIONS, request(max_tokens=16)) == 16
 
 
-def test_finest_group_that_is_known_is_believed() -> None:
-    """Go by class and customer, then by class, then by everything."""
+def test_most_specific_known_group_is_used() -> None:
+    """Guards against ignoring a more specific group: class and customer, class, or everything."""
     predictor = Predictor()
     for _ in range(50):
         learn(predictor, request(customer="dunes"), 800)
@@ -61,7 +61,7 @@
 
 
 def test_prediction_follows_change() -> None:
-    """Forget lengths that are two generations old."""
+    """Guards against predictions by outdated lengths."""
     options = Options(sketch_generation=50)
     predictor = Predictor()
     for _ in range(200):
@@ -72,7 +72,7 @@
 
 
 def test_sketches_are_bounded() -> None:
-    """Keep the groups that were used last."""
+    """Guards against unbounded memory for groups."""
     options = Options(sketch_keep=20)
     predictor = Predictor()
     for number in range(200):
@@ -83,7 +83,7 @@
 
 
 def test_error_is_measured() -> None:
-    """Tell how far off predictions were, in the state and as metrics."""
+    """Guards against wrong error figures in the state and in the metrics."""
     predictor = Predictor()
     rng = Random(7)
     for _ in range(2000):
--- a/tests/core/placement/test_predicted_admission.py
+++ b/tests/core/placement/test_predicted_admission.py
@@ -121,7 +121,7 @@
         world.peer("a-2", LoadNews("x", number, [], [], demand))
         size = 20_000
         world.arrive(str(number), prompt_tokens=size, parts=((f"p{number}", size),), max_tokens=0)
-    assert engine_pools.reading_engines(world.state, MODEL) == 1
+    assert engine_pools.prefill_engine_count(world.state, MODEL) == 1
     fields = {"prompt_tokens": 20_000, "max_tokens": 0}
     refused = account_of(world.arrive("late", deadline=world.now + 4.0, **fields)).account
     assert refused.outcome is Outcome.NOT_RUN
