--- a/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
@@ -264,7 +264,9 @@
 # --- events ----------------------------------------------------------------------------------
 
 
-def note_started(state: State, now: float, req: Request, attempt: Attempt, server: Server) -> None:
+def record_started(
+    state: State, now: float, req: Request, attempt: Attempt, server: Server
+) -> None:
     """Record a request that is being sent to a server."""
     record = book_of(state, attempt.server)
     state.engines.changed = True
@@ -332,7 +334,7 @@
     return None if prefill is None else prefill.predicted_ms
 
 
-def note_first_token(state: State, now: float, req: Request, attempt: Attempt) -> None:
+def record_first_token(state: State, now: float, req: Request, attempt: Attempt) -> None:
     """Learn from a request's first token: its whole prompt is cached now."""
     record = book_of(state, attempt.server)
     prefill = record.prefills.pop(attempt.attempt_id, None)
@@ -359,7 +361,7 @@
     record.pace += _PACE_WEIGHT * (min(_PACE_MAX, max(_PACE_MIN, observed_pace)) - record.pace)
 
 
-def note_ended(state: State, attempt: Attempt) -> None:
+def record_ended(state: State, attempt: Attempt) -> None:
     """Remove a request from its server's load."""
     record = state.engines.by_server.get(attempt.server)
     if record is None:
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_books.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_books.py
@@ -39,7 +39,7 @@
 _SERVER_ERROR_STATUS_MIN = 500
 
 
-def note_started(state: State, now: float, req: Request, attempt: Attempt, pool: str) -> None:
+def record_started(state: State, now: float, req: Request, attempt: Attempt, pool: str) -> None:
     """Record the start of an attempt."""
     attempt.pool = pool
     attempt.work = cost(req)
@@ -47,19 +47,19 @@
     work_by_server = state.predicted_work
     server = state.servers.by_name.get(attempt.server)
     if server is not None and state.config.policy is Policy.PREDICTED:
-        engine_model.note_started(state, now, req, attempt, server)
+        engine_model.record_started(state, now, req, attempt, server)
     if req.kind is Kind.MODEL:
         work_by_server[attempt.server] = work_by_server.get(attempt.server, 0.0) + attempt.work
         attempt.gap_late_s = req.service_class.token_gap_target_s or inf
         prefix.note_sent(state.prefixes, state.options, now, attempt.server, req.prefixes)
 
 
-def note_ended(state: State, now: float, req: Request, attempt: Attempt) -> None:
+def record_ended(state: State, now: float, req: Request, attempt: Attempt) -> None:
     """Record the end of an attempt, whatever its result."""
     load = pool_load.pool_load(state.pool_loads, attempt.pool)
     pool_load.note_end(load, attempt.tier)
-    displacement.note_ended(state, attempt.cancelled, attempt.pool)
-    engine_model.note_ended(state, attempt)
+    displacement.record_displaced_end(state, attempt.cancelled, attempt.pool)
+    engine_model.record_ended(state, attempt)
     if req.kind is not Kind.MODEL:
         return
     work_by_server = state.predicted_work
@@ -133,9 +133,9 @@
     return []
 
 
-def note_first_token(state: State, now: float, req: Request, attempt: Attempt) -> None:
+def record_first_token(state: State, now: float, req: Request, attempt: Attempt) -> None:
     """Learn from the first token of an attempt."""
-    engine_model.note_first_token(state, now, req, attempt)
+    engine_model.record_first_token(state, now, req, attempt)
     if attempt.tier != most_urgent(state.config):
         # Lower tiers wait at the engine behind upper ones, which says nothing about its limit.
         return
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -96,7 +96,7 @@
         server = pick_server(state, now, req, tier)
         if server is not None:
             queue_state.note_dispatched(state.queues, queue, req)
-            return start(state, now, req, server, tier=tier)
+            return start_attempt(state, now, req, server, tier=tier)
     return []
 
 
@@ -111,7 +111,7 @@
             server = pick_server(state, now, req, tier)
             if server is not None:
                 queue_state.note_dispatched(state.queues, queue, req)
-                return start(state, now, req, server, tier=tier)
+                return start_attempt(state, now, req, server, tier=tier)
     return []
 
 
@@ -136,7 +136,7 @@
     return tier
 
 
-def start(
+def start_attempt(
     state: State, now: float, req: Request, server: Server, *, tier: int | None = None
 ) -> list[Effect]:
     """Start an attempt of a request on a server."""
@@ -157,7 +157,7 @@
         ids = {"request_id": req.request_id, "attempt_id": name, "peer": server.entry.name}
         scheduling = {"service_class": req.service_class.name, "tier": attempt.tier}
         effects.append(Log("placed", {**ids, **scheduling, **details}))
-    attempt_books.note_started(state, now, req, attempt, pool_name(state, req.target))
+    attempt_books.record_started(state, now, req, attempt, pool_name(state, req.target))
     return [
         *effects,
         StartAttempt(
@@ -195,7 +195,7 @@
 
 def release(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
     """Remove an ended attempt from its server."""
-    attempt_books.note_ended(state, now, req, attempt)
+    attempt_books.record_ended(state, now, req, attempt)
     server = state.servers.by_name.get(attempt.server)
     if server is None:
         return []
@@ -219,7 +219,7 @@
     """Displace the attempt of a request; it resumes later from its last token."""
     if req.attempt is None or req.attempt.cancelled is not None:
         return []
-    displacement.note_displaced(state, req, req.attempt.pool)
+    displacement.record_displaced(state, req, req.attempt.pool)
     return cancel(req, CancelReason.DISPLACED)
 
 
@@ -240,7 +240,7 @@
         server = state.servers.by_name.get(name)
         if server is None:
             continue
-        for req in displacement.recalled(state, server):
+        for req in displacement.requests_on_recalled_credit(state, server):
             effects += displace(state, req)
     state.credits.recalled.clear()
     return effects
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -100,7 +100,7 @@
             yield req
 
 
-def recalled(state: State, server: Server) -> list[Request]:
+def requests_on_recalled_credit(state: State, server: Server) -> list[Request]:
     """List what to displace on a server because its dispatcher recalled credit."""
     credit = state.credits.held.get(server.entry.name)
     excess_slots = excess(state, server)
@@ -139,13 +139,13 @@
     return None
 
 
-def note_displaced(state: State, req: Request, pool: str) -> None:
+def record_displaced(state: State, req: Request, pool: str) -> None:
     """Record the displacement of an attempt."""
     req.displaced += 1
     pool_load(state.pool_loads, pool).displacing += 1
 
 
-def note_ended(state: State, reason: CancelReason | None, pool: str) -> None:
+def record_displaced_end(state: State, reason: CancelReason | None, pool: str) -> None:
     """Record the end of a displaced attempt."""
     if reason is CancelReason.DISPLACED:
         load = pool_load(state.pool_loads, pool)
--- a/packages/turmericweir-core/turmericweir_core/requests/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/__init__.py
@@ -1,1 +1,1 @@
-"""Lead a request from its arrival to its account: lifecycle, attempts, quarantine, claims."""
+"""Process a request from its arrival to its account: lifecycle, attempts, quarantine, claims."""
--- a/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
@@ -1,8 +1,8 @@
-"""An attempt's way from its start to its end, and what its end means for the request.
+"""Process an attempt from its start to its end, and decide what its end means for the request.
 
-`dispatch` starts attempts and the node reports on them. A request whose attempt failed waits for
-another only here, under the rules for retries: within its deadline, within the budget, and never
-where it may have run and must not run twice.
+`dispatch` starts attempts and the daemon reports on them. A request whose attempt failed is retried
+only here, by the rules for retries: within its deadline and the retry budget, and never where it
+may have run and must not run twice.
 """
 
 from __future__ import annotations
@@ -29,7 +29,7 @@
 )
 from turmericweir_core.placement import attempt_books, moving
 from turmericweir_core.placement.dispatch import dispatch, release, wait_for_server
-from turmericweir_core.requests.lifecycle import finish, given_up
+from turmericweir_core.requests.lifecycle import finish, unanswered_outcome
 from turmericweir_core.state import queue_state, usage_meter
 from turmericweir_core.state.server_table import note_leaving, note_unreachable
 from turmericweir_core.state.state import State
@@ -38,7 +38,7 @@
 
 
 def on_sent(state: State, now: float, event: AttemptSent) -> list[Effect]:
-    """Note that from here on a server may have begun."""
+    """Record that the server may have begun the attempt from now on."""
     req = state.requests.get(event.request_id)
     if req is None or req.attempt is None or req.attempt.attempt_id != event.attempt_id:
         return []
@@ -49,7 +49,7 @@
 
 
 def on_progress(state: State, now: float, event: AttemptProgress) -> list[Effect]:
-    """Count tokens that were passed on to the caller."""
+    """Record tokens that were passed on to the caller."""
     req = state.requests.get(event.request_id)
     if req is None:
         return []
@@ -57,35 +57,38 @@
     if attempt is None or attempt.attempt_id != event.attempt_id:
         return [Count("attempt.late_tokens", event.tokens)]
     if event.tokens == 0:
-        # Nothing came, because the caller does not read; the server is not to blame.
+        # The caller does not read, so the missing tokens say nothing about the server.
         attempt.last_token_at = now if attempt.first_token_at is not None else None
         attempt.late_gaps = 0
         return []
     quarantine.note_progress(state, attempt)
-    last = attempt.last_token_at
+    previous_token_at = attempt.last_token_at
     attempt.tokens += event.tokens
     attempt.last_token_at = now
     req.delivered += event.tokens
-    if last is None:
+    if previous_token_at is None:
         return _on_first_token(state, now, req, attempt)
-    attempt.longest_gap = max(attempt.longest_gap, now - last)
-    attempt.worst_gap = max(attempt.worst_gap, now - last)
-    if now - last <= attempt.gap_late_s * event.tokens:
+    attempt.longest_gap = max(attempt.longest_gap, now - previous_token_at)
+    attempt.worst_gap = max(attempt.worst_gap, now - previous_token_at)
+    if now - previous_token_at <= attempt.gap_late_s * event.tokens:
         attempt.late_gaps = 0
         return []
-    return moving.on_late_gap(state, now, req, attempt, (now - last) / event.tokens)
+    return moving.on_late_gap(state, now, req, attempt, (now - previous_token_at) / event.tokens)
 
 
 def _on_first_token(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
     attempt.first_token_at = now
-    predicted = engine_model.predicted_ms(state, attempt)
-    attempt_books.note_first_token(state, now, req, attempt)
+    predicted_ms = engine_model.predicted_ms(state, attempt)
+    attempt_books.record_first_token(state, now, req, attempt)
     silence.note_begun(state, now, attempt)
     effects: list[Effect] = [Timing(f"attempt.first_token.{attempt.server}", now - attempt.started)]
-    if predicted is not None:
-        fields = {"request_id": req.request_id, "peer": attempt.server}
-        times = {"predicted_ms": round(predicted), "took_ms": round(1000 * (now - attempt.started))}
-        effects.append(Log("begun", {**fields, **times}))
+    if predicted_ms is not None:
+        ids = {"request_id": req.request_id, "peer": attempt.server}
+        times = {
+            "predicted_ms": round(predicted_ms),
+            "took_ms": round(1000 * (now - attempt.started)),
+        }
+        effects.append(Log("begun", {**ids, **times}))
     if state.meter is not None:
         usage_meter.note_begun(state.meter, now, req, attempt)
     if req.first_token_at is None:
@@ -94,7 +97,7 @@
     if state.config.policy is Policy.PREDICTED and queue_state.anything_waits(
         state.queues, attempt.pool
     ):
-        # What it has had the engine read is in the cache now; others may wait for just that.
+        # Its parts are cached now; other requests may wait for that.
         effects += dispatch(state, now, req.target)
     return effects
 
@@ -103,31 +106,31 @@
     """Finish the request, or let it wait for another attempt."""
     req = state.requests.get(event.request_id)
     if req is None or req.attempt is None or req.attempt.attempt_id != event.attempt_id:
-        # An answer of an older attempt: whatever it brought was wasted work.
+        # The stale end of an attempt that was already given up.
         return [Count("attempt.late_end")]
     attempt = req.attempt
     effects = release(state, now, req, attempt)
     attempt_books.record_outcome(state, now, attempt, event.end)
     effects += attempt_books.count_end(now, attempt, event.end)
     if state.config.policy is Policy.PREDICTED:
-        effects.append(_end_log(now, req, attempt, event.end))
+        effects.append(_ended_log(now, req, attempt, event.end))
     req.attempt = None
-    broken = isinstance(event.end, EndBroken)
-    if state.meter is not None and _was_begun(req, attempt, event.end):
+    is_broken = isinstance(event.end, EndBroken)
+    if state.meter is not None and _may_have_begun(req, attempt, event.end):
         usage_meter.note_begun(state.meter, now, req, attempt)
-    effects += trial.note_ended(state, now, attempt.attempt_id, broken=broken)
-    effects += _settle(state, now, req, attempt, event.end)
+    effects += trial.note_ended(state, now, attempt.attempt_id, broken=is_broken)
+    effects += _handle_end(state, now, req, attempt, event.end)
     return effects + dispatch(state, now, req.target)
 
 
-def _was_begun(req: Request, attempt: Attempt, end: AttemptEnd) -> bool:
-    """Tell whether the end of a plain call shows that its server had begun it, or may have."""
+def _may_have_begun(req: Request, attempt: Attempt, end: AttemptEnd) -> bool:
+    """Return whether the end of a plain call shows that its server may have begun it."""
     if req.kind is Kind.MODEL or not attempt.sent:
         return False
     return not isinstance(end, EndRefused | EndUnsent)
 
 
-def _end_log(now: float, req: Request, attempt: Attempt, end: AttemptEnd) -> Log:
+def _ended_log(now: float, req: Request, attempt: Attempt, end: AttemptEnd) -> Log:
     fields = {
         "request_id": req.request_id,
         "attempt_id": attempt.attempt_id,
@@ -143,15 +146,16 @@
     return Log("attempt_ended", fields)
 
 
-def _settle(
+def _handle_end(
     state: State, now: float, req: Request, attempt: Attempt, end: AttemptEnd
 ) -> list[Effect]:
+    """Decide what the end of an attempt means for its request."""
     match end:
         case EndComplete(status, answer):
             if attempt.first_token_at is None:
                 silence.note_begun(state, now, attempt)
-            learnt = attempt_books.record_completed(state, now, req, attempt)
-            finished = finish(
+            learning_effects = attempt_books.record_completed(state, now, req, attempt)
+            finish_effects = finish(
                 state,
                 now,
                 req,
@@ -161,49 +165,55 @@
                 server=attempt.server,
                 answer=answer,
             )
-            return finished + learnt
+            return finish_effects + learning_effects
         case EndRefused(_, leaving):
             if leaving:
                 note_leaving(state.servers, attempt.server)
             if attempt.sent:
-                # Failure where it counts as one of the servers that may run it: a call that may be
-                # sent to one server ends with the first that is full, though others are free.
+                # A refusal does not count as a send. Prevents a call with a single send from ending
+                # at the first full server.
                 req.sends -= 1
-            paid = not leaving or state.options.retry_pay_all
-            return _try_again(state, now, req, attempt, Reason.OVERLOAD, paid=paid)
+            uses_budget = not leaving or state.options.retry_pay_all
+            return _retry_or_finish(
+                state, now, req, attempt, Reason.OVERLOAD, uses_budget=uses_budget
+            )
         case EndUnsent(error) if attempt.sent:
-            # Whoever reported the first byte cannot take it back: `not_run` would be a guess.
-            return _settle(state, now, req, attempt, EndBroken(error, server_alive=False))
+            # An attempt that was reported as sent may have run, so `not_run` would be a guess.
+            return _handle_end(state, now, req, attempt, EndBroken(error, server_alive=False))
         case EndUnsent(error):
             note_unreachable(state.servers, state.options, now, attempt.server)
-            effects = _try_again(state, now, req, attempt, Reason.NO_SERVER, paid=False)
-            return [_attempt_log(req, attempt, "unsent", error), *effects]
+            effects = _retry_or_finish(
+                state, now, req, attempt, Reason.NO_SERVER, uses_budget=False
+            )
+            return [_failure_log(req, attempt, "unsent", error), *effects]
         case EndBroken(error, server_alive):
             req.may_have_run = True
             if not server_alive:
                 note_unreachable(state.servers, state.options, now, attempt.server)
             quarantine.note_broken(state, now, req, attempt, server_alive)
-            log = _attempt_log(req, attempt, "broken", error)
+            log = _failure_log(req, attempt, "broken", error)
             if attempt.cancelled is not None:
-                # It broke while it was being stopped, for a reason that stands all the same.
-                return [log, *_after_cancel(state, now, req, attempt)]
-            # What a crash cut off adds no load by going on elsewhere: its server has none now. The
-            # budget is for the rest, and a crash of a full server would spend it at a stroke.
-            paid = server_alive or state.options.retry_pay_all
-            effects = _after_loss(state, now, req, attempt, Reason.SERVER_LOST, paid=paid)
+                # It broke while being cancelled; the reason for that still applies.
+                return [log, *_handle_cancelled(state, now, req, attempt)]
+            # Retries after a crash add no load, as the server has none now. Prevents the crash of a
+            # full server from using up the retry budget.
+            uses_budget = server_alive or state.options.retry_pay_all
+            effects = _handle_loss(
+                state, now, req, attempt, Reason.SERVER_LOST, uses_budget=uses_budget
+            )
             return [log, *effects]
         case EndServerError(status):
             req.may_have_run = True
-            effects = _after_loss(state, now, req, attempt, Reason.SERVER_ERROR)
-            return [_attempt_log(req, attempt, "server_error", str(status)), *effects]
+            effects = _handle_loss(state, now, req, attempt, Reason.SERVER_ERROR)
+            return [_failure_log(req, attempt, "server_error", str(status)), *effects]
         case EndCancelled():
             req.may_have_run = req.may_have_run or attempt.sent
-            return _after_cancel(state, now, req, attempt)
+            return _handle_cancelled(state, now, req, attempt)
         case unreachable:
             assert_never(unreachable)
 
 
-def _attempt_log(req: Request, attempt: Attempt, step: str, error: str) -> Log:
+def _failure_log(req: Request, attempt: Attempt, step: str, error: str) -> Log:
     fields = {
         "request_id": req.request_id,
         "attempt_id": attempt.attempt_id,
@@ -214,88 +224,91 @@
     return Log("attempt_failed", fields)
 
 
-def _after_loss(
+def _handle_loss(
     state: State,
     now: float,
     req: Request,
     attempt: Attempt,
     reason: Reason,
     *,
-    paid: bool = True,
+    uses_budget: bool = True,
 ) -> list[Effect]:
+    """Retry or end a request whose attempt was lost."""
     if not req.repeatable:
-        # It may have run, and a second run is what the caller must never get.
+        # A second run is not allowed.
         return finish(state, now, req, Outcome.UNKNOWN, Reason.EVIDENCE_LOST, server=attempt.server)
     if req.kind is Kind.PLAIN and req.delivered:
-        # The caller has part of the answer already; another run could not be joined to it.
+        # The caller has part of the answer, and a second run could not be joined to it.
         return finish(state, now, req, Outcome.FAILED, reason, server=attempt.server)
-    return _try_again(state, now, req, attempt, reason, paid=paid)
+    return _retry_or_finish(state, now, req, attempt, reason, uses_budget=uses_budget)
 
 
-def _after_cancel(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
+def _handle_cancelled(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
+    """Retry or end a request whose attempt was cancelled, by the reason."""
     reason = attempt.cancelled
     match reason:
         case CancelReason.CALLER_LEFT:
-            return finish(state, now, req, given_up(req), Reason.CALLER_LEFT)
+            return finish(state, now, req, unanswered_outcome(req), Reason.CALLER_LEFT)
         case CancelReason.DEADLINE:
-            return finish(state, now, req, given_up(req), Reason.DEADLINE)
+            return finish(state, now, req, unanswered_outcome(req), Reason.DEADLINE)
         case CancelReason.DISPLACED:
             if not req.repeatable and req.may_have_run:
-                # Whoever displaced it took it for one that may be run again, which it may not.
-                return _after_loss(state, now, req, attempt, Reason.DISPLACED)
+                # It may not run again, so the displacement was a mistake.
+                return _handle_loss(state, now, req, attempt, Reason.DISPLACED)
             count = Count(f"displaced.{req.service_class.name}")
-            return [count, *_go_on_elsewhere(state, now, req)]
+            return [count, *_requeue_stopped(state, now, req)]
         case CancelReason.MOVED:
-            # Paid for when it was decided, and never asked of a request that may not run again.
+            # The move paid from the retry budget, and only repeatable requests are moved.
             req.avoid.add(attempt.server)
-            return _go_on_elsewhere(state, now, req)
+            return _requeue_stopped(state, now, req)
         case CancelReason.SERVER_DEAD:
             quarantine.note_broken(state, now, req, attempt, alive=False)
             note_unreachable(state.servers, state.options, now, attempt.server)
-            return _after_loss(state, now, req, attempt, Reason.SERVER_LOST)
+            return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST)
         case CancelReason.QUARANTINED:
             return finish(state, now, req, Outcome.FAILED, Reason.QUARANTINED)
         case CancelReason.SILENT | None if not attempt.sent:
-            return _try_again(state, now, req, attempt, Reason.NO_SERVER, paid=False)
+            return _retry_or_finish(state, now, req, attempt, Reason.NO_SERVER, uses_budget=False)
         case CancelReason.SILENT:
             quarantine.note_silent(state, now, req, attempt)
-            # Paid for when it was doubted.
-            return _after_loss(state, now, req, attempt, Reason.SERVER_LOST, paid=False)
+            # The retry was paid for when the attempt was suspected.
+            return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST, uses_budget=False)
         case None:
-            return _after_loss(state, now, req, attempt, Reason.SERVER_LOST)
+            return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST)
         case unreachable:
             assert_never(unreachable)
 
 
-def _go_on_elsewhere(state: State, now: float, req: Request) -> list[Effect]:
-    """Let a request wait again whose attempt was stopped for no fault of its own."""
+def _requeue_stopped(state: State, now: float, req: Request) -> list[Effect]:
+    """Requeue a request whose attempt was stopped by this instance."""
     if req.caller_left:
-        # It left before the attempt had ended. Without this the rest would be generated for nobody.
-        return finish(state, now, req, given_up(req), Reason.CALLER_LEFT)
-    _wait_again(state, now, req)
+        # Prevents generating the rest for a caller that has left.
+        return finish(state, now, req, unanswered_outcome(req), Reason.CALLER_LEFT)
+    _requeue(state, now, req)
     return []
 
 
-def _try_again(
-    state: State, now: float, req: Request, attempt: Attempt, reason: Reason, *, paid: bool
+def _retry_or_finish(
+    state: State, now: float, req: Request, attempt: Attempt, reason: Reason, *, uses_budget: bool
 ) -> list[Effect]:
-    """Put a request back at the front of its queue, where the rules for retries allow it."""
+    """Requeue a request at the front of its queue if the rules for retries allow it."""
     req.avoid.add(attempt.server)
     if req.caller_left:
-        return finish(state, now, req, given_up(req), Reason.CALLER_LEFT)
+        return finish(state, now, req, unanswered_outcome(req), Reason.CALLER_LEFT)
     if now >= req.deadline and req.first_token_at is None:
-        return finish(state, now, req, given_up(req), Reason.DEADLINE)
+        return finish(state, now, req, unanswered_outcome(req), Reason.DEADLINE)
     if req.tries >= state.options.attempts_max:
-        return finish(state, now, req, given_up(req), reason, server=attempt.server)
+        return finish(state, now, req, unanswered_outcome(req), reason, server=attempt.server)
     if req.sends_max is not None and req.sends >= req.sends_max:
-        return finish(state, now, req, given_up(req), reason, server=attempt.server)
-    if paid and not spend_retry(state, now, req):
-        return finish(state, now, req, given_up(req), reason, server=attempt.server)
-    _wait_again(state, now, req)
+        return finish(state, now, req, unanswered_outcome(req), reason, server=attempt.server)
+    if uses_budget and not spend_retry(state, now, req):
+        return finish(state, now, req, unanswered_outcome(req), reason, server=attempt.server)
+    _requeue(state, now, req)
     return [Count("attempt.retry")]
 
 
-def _wait_again(state: State, now: float, req: Request) -> None:
+def _requeue(state: State, now: float, req: Request) -> None:
+    """Put a request back into its queue, or hold it if it is a suspect."""
     req.phase = Phase.WAITING
     if trial.must_wait(state, now, req):
         trial.hold_after_crash(state, now, req)
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_ask.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_ask.py
@@ -1,7 +1,7 @@
-"""The way of a request to its run without the log: by agreement of all members of the view.
+"""Claim a key without the log, by agreement of all members of the view.
 
-Used while the log does not answer; `claim_vote` says why one agreement is enough. What was agreed
-to here goes to the log as any other claim does, as soon as that takes appends again.
+Used while the log does not respond; `claim_vote` explains why one agreement is enough. Agreed
+claims are written to the log like any others as soon as it accepts appends again.
 """
 
 from __future__ import annotations
@@ -21,8 +21,8 @@
 from turmericweir_core.state.state import State
 
 
-def may_ask(state: State, now: float, wait: Wait) -> bool:
-    """Tell whether the members may yet agree, all of them being there."""
+def can_ask_members(state: State, now: float, wait: Wait) -> bool:
+    """Return whether all members may still agree to a claim."""
     view = voting_view(state)
     if view is None or wait.yielded:
         return False
@@ -32,21 +32,22 @@
         wait.vote_due = wait.vote_since = now
         wait.vote_failures = 0
         wait.denied = False
-    # A member that does not answer may be paused or cut off, which others see only later.
-    is_late = now - wait.vote_since >= state.options.claim_vote_wait_s
-    is_lost = wait.vote_failures >= state.options.claim_ask_failures
-    if wait.denied or is_late or is_lost:
+    # A member without an answer may be paused or unreachable, which other members learn later.
+    is_overdue = now - wait.vote_since >= state.options.claim_vote_wait_s
+    has_lost_member = wait.vote_failures >= state.options.claim_ask_failures
+    if wait.denied or is_overdue or has_lost_member:
         return False
-    live = {each.incarnation for each in live_instances(state, now)}
-    state.claims.met |= live
-    # One that was never seen live may be there all the same: views travel faster than heartbeats
-    # between data centres. One that is no longer live is gone, and asking it would only hold up.
-    gone = state.claims.met - live
-    return not any(each.incarnation in gone for each in view.members)
+    live_incarnations = {each.incarnation for each in live_instances(state, now)}
+    state.claims.met |= live_incarnations
+    # A member that was never seen live may still be running, since views travel faster than
+    # heartbeats between data centres. One that is no longer live is gone, and asking it would only
+    # cause delay.
+    gone_incarnations = state.claims.met - live_incarnations
+    return not any(each.incarnation in gone_incarnations for each in view.members)
 
 
-def note_unreachable_member(state: State, now: float, wait: Wait, peer: str) -> None:
-    """Ask a member once more over a new connection, and then no more."""
+def record_unreachable_member(state: State, now: float, wait: Wait, peer: str) -> None:
+    """Record an unreachable member; it is asked again over a new connection, then given up."""
     view = voting_view(state)
     if view is None or wait.vote_epoch != view.epoch:
         return
@@ -79,30 +80,31 @@
     effects: list[Effect] = [
         SendPeer(InstanceName(each.instance), each.address, ask) for each in missing
     ]
-    return effects if missing else _win(state, now, req, wait)
+    return effects if missing else _admit_agreed(state, now, req, wait)
 
 
 def on_vote(state: State, now: float, vote: ClaimVote) -> list[Effect]:
-    """Take a member's answer."""
+    """Process a member's vote."""
     wait = state.claims.waits.get(RequestId(vote.request_id))
     view = voting_view(state)
     if wait is None or wait.yielded or view is None:
         return []
     if vote.epoch != view.epoch or wait.vote_epoch != view.epoch:
         return []
-    own = state.claims.votes.get(wait.key)
-    if own is None or own.claim.request_id != wait.request_id:
+    own_vote = state.claims.votes.get(wait.key)
+    if own_vote is None or own_vote.claim.request_id != wait.request_id:
         return []
     req = state.requests[wait.request_id]
     if not vote.agreed:
-        return _on_refusal(state, now, wait, vote)
+        return _handle_denial(state, now, wait, vote)
     wait.voters.add(vote.voter)
     if any(each.incarnation not in wait.voters for each in view.members):
         return []
-    return _win(state, now, req, wait)
+    return _admit_agreed(state, now, req, wait)
 
 
-def _win(state: State, now: float, req: Request, wait: Wait) -> list[Effect]:
+def _admit_agreed(state: State, now: float, req: Request, wait: Wait) -> list[Effect]:
+    """Admit a request that all members agreed to."""
     claims = state.claims
     drop_wait(claims, wait.request_id)
     claims.held[wait.request_id] = wait.key
@@ -113,32 +115,32 @@
     )
     if now >= req.deadline:
         return lifecycle.finish(state, now, req, Outcome.NOT_RUN, Reason.DEADLINE)
-    told: list[Effect] = [Count("claim.agreed"), Timing("claim", now - req.arrived)]
-    return [*told, *lifecycle.admit(state, now, req)]
+    metrics: list[Effect] = [Count("claim.agreed"), Timing("claim", now - req.arrived)]
+    return [*metrics, *lifecycle.admit(state, now, req)]
 
 
-def _on_refusal(state: State, now: float, wait: Wait, vote: ClaimVote) -> list[Effect]:
-    """Follow the request that a member prefers, or leave it to the log."""
+def _handle_denial(state: State, now: float, wait: Wait, vote: ClaimVote) -> list[Effect]:
+    """Follow the request that a member prefers, or leave the claim to the log."""
     claims = state.claims
     claims.due.add(wait.key)
     if not vote.holder or wait.sent or is_in_doubt(claims, wait.key, wait.request_id):
-        # The own claim may stand in the log already, so another can't be made way for.
+        # This claim may be in the log already, so it cannot yield to another.
         wait.denied = True
         return []
     if vote.holder > wait.request_id and not vote.in_log:
-        # Of two that ask at once the one with the lower id goes on; the other makes way for it.
+        # Of two concurrent requests the one with the lower id wins; the other yields.
         return []
-    # An agreement to it that is still on its way must never count, so it does not ask again.
+    # It does not ask again. Prevents an agreement that is still in transit from counting.
     wait.yielded = True
     effects = release(state, wait.request_id, wait.key)
     holder = Writer(vote.holder_instance, vote.holder_incarnation, vote.holder_address)
-    other = NewClaim(wait.key, vote.holder_fingerprint, vote.holder)
-    claims.votes[wait.key] = Vote(other, holder)
+    preferred_claim = NewClaim(wait.key, vote.holder_fingerprint, vote.holder)
+    claims.votes[wait.key] = Vote(preferred_claim, holder)
     return effects
 
 
-def refuse(state: State, now: float, req: Request) -> list[Effect]:
-    """Tell a caller at once that its key can't be claimed now."""
-    pause = state.options.claim_retry_after_s
+def refuse_unclaimable(state: State, now: float, req: Request) -> list[Effect]:
+    """Refuse a request whose key cannot be claimed now."""
+    retry_after_s = state.options.claim_retry_after_s
     reason = Reason.CLAIM_UNAVAILABLE
-    return lifecycle.finish(state, now, req, Outcome.NOT_RUN, reason, retry_after_s=pause)
+    return lifecycle.finish(state, now, req, Outcome.NOT_RUN, reason, retry_after_s=retry_after_s)
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
@@ -1,14 +1,14 @@
-"""The way of a non-idempotent call with an `Idempotency-Key` to its one run.
+"""Claim the `Idempotency-Key` of a non-idempotent call and run it at most once.
 
-The request waits in `Phase.CLAIMING` until the ledger says who holds its key. If it is the request
-itself, it goes on to the queue. If it is another, it gets that one's end: from this instance, from
-the one that ran it, or from the log. No decision is taken on an event alone: `settle` looks at the
-ledger and at the outbox afresh whenever something about the key may have changed, so the order in
-which acknowledgements, reads and messages come does not matter.
+The request waits in `Phase.CLAIMING` until the ledger shows who holds its key. If it holds the key
+itself, it is queued. If another request does, it gets that request's end: from this instance, from
+the instance that ran it, or from the log. `_settle_wait` checks the ledger and the outbox whenever
+something about the key may have changed, so the order of acknowledgements, reads and messages does
+not matter.
 
-What a caller is told: `not_run` only while the ledger shows no other holder, and then the claim is
-withdrawn so that a record that lands late blocks nobody; `unknown` where another holder's end can't
-be had; otherwise that holder's own outcome.
+A caller gets `not_run` only while the ledger shows no other holder, and the claim is then
+withdrawn, which prevents a delayed record from blocking the key. It gets `unknown` where another
+holder's end is not available, and otherwise that holder's outcome.
 """
 
 from __future__ import annotations
@@ -59,10 +59,10 @@
 from turmericweir_core.requests import lifecycle
 from turmericweir_core.requests.claim_ask import (
     ask_members,
-    may_ask,
-    note_unreachable_member,
+    can_ask_members,
     on_vote,
-    refuse,
+    record_unreachable_member,
+    refuse_unclaimable,
 )
 from turmericweir_core.state.claim_ledger import Claim, Folded, fold, restart, vouch_for
 from turmericweir_core.state.claim_state import Wait, add_wait, drop_wait
@@ -73,21 +73,21 @@
 
 
 def on_arrived(state: State, now: float, req: Request) -> list[Effect]:
-    """Begin to claim the key of a request that lifecycle has let in for it."""
+    """Start claiming the key of a request that lifecycle has admitted for it."""
     if req.phase is not Phase.CLAIMING:
         return []
-    # A call that waited for a server until its claim had expired could run beside another's.
+    # Prevents a call that waits until its claim expired from running beside another one.
     req.deadline = min(req.deadline, now + state.options.claim_retention_s / 2)
     wait = Wait(req.request_id, key_of(req))
     add_wait(state.claims, wait)
-    return [*_settle(state, now, wait), *flush(state, now)]
+    return [*_settle_wait(state, now, wait), *flush(state, now)]
 
 
 # --- who holds the key -----------------------------------------------------------------------
 
 
 def settle_due(state: State, now: float) -> list[Effect]:
-    """Look again at the requests whose key something happened to."""
+    """Settle the requests whose keys changed."""
     claims = state.claims
     if not claims.due:
         return []
@@ -97,50 +97,58 @@
         for request_id in list(claims.waiting.get(key, ())):
             wait = claims.waits.get(request_id)
             if wait is not None:
-                effects += _settle(state, now, wait)
+                effects += _settle_wait(state, now, wait)
     return effects + flush(state, now)
 
 
-def _settle(state: State, now: float, wait: Wait) -> list[Effect]:
+def _settle_wait(state: State, now: float, wait: Wait) -> list[Effect]:
+    """Decide how a request goes on, by who holds its key."""
     req = state.requests[wait.request_id]
     holder = known_holder(state.claims, state.options, wait.key, wait.request_id)
     if holder is None:
-        return _claim(state, now, req, wait)
+        return _claim_key(state, now, req, wait)
     if holder.claim.request_id == wait.request_id:
-        return _won(state, now, req, wait, holder)
+        return _admit_holder(state, now, req, wait, holder)
     state.claims.outbox.claims.pop(wait.request_id, None)
     if holder.claim.fingerprint != req.fingerprint:
         return lifecycle.finish(state, now, req, Outcome.NOT_RUN, Reason.KEY_REUSED)
-    return _follow(state, now, req, wait, holder)
+    return _follow_holder(state, now, req, wait, holder)
 
 
-def _claim(state: State, now: float, req: Request, wait: Wait) -> list[Effect]:
+def _claim_key(state: State, now: float, req: Request, wait: Wait) -> list[Effect]:
+    """Claim a key that has no holder, by the log or by the members' agreement."""
     claims = state.claims
     outbox = claims.outbox
-    is_out = is_claim_out(outbox, wait.request_id)
-    if not is_out and len(claims.ledger.claims) + len(claims.votes) >= state.options.claim_live_max:
-        return refuse(state, now, req)
-    if is_log_slow(outbox, state.options, now) and may_ask(state, now, wait):
-        # Not written meanwhile: a claim that may land in the log can't make way for another.
+    is_written = is_claim_out(outbox, wait.request_id)
+    if (
+        not is_written
+        and len(claims.ledger.claims) + len(claims.votes) >= state.options.claim_live_max
+    ):
+        return refuse_unclaimable(state, now, req)
+    if is_log_slow(outbox, state.options, now) and can_ask_members(state, now, wait):
+        # Not written meanwhile: a claim that may be in the log cannot yield to another.
         return ask_members(state, now, req, wait)
     if is_log_down(outbox, state.options, now):
-        return refuse(state, now, req)
-    if not is_out and _may_write(state):
+        return refuse_unclaimable(state, now, req)
+    if not is_written and _can_write_claim(state):
         put_claim(outbox, wait.request_id, NewClaim(wait.key, req.fingerprint, req.request_id))
     return []
 
 
-def _may_write(state: State) -> bool:
-    """Tell whether a claim by this instance would count, and it would know whether it is first."""
+def _can_write_claim(state: State) -> bool:
+    """Return whether a claim of this instance counts and it can know whether it is the first."""
     ledger = state.claims.ledger
-    is_known = ledger.whole and ledger.views.current is not None
-    return is_known and may_claim(ledger.views, writer_of(state))
+    is_ledger_current = ledger.whole and ledger.views.current is not None
+    return is_ledger_current and may_claim(ledger.views, writer_of(state))
 
 
-def _won(state: State, now: float, req: Request, wait: Wait, holder: Claim) -> list[Effect]:
+def _admit_holder(
+    state: State, now: float, req: Request, wait: Wait, holder: Claim
+) -> list[Effect]:
+    """Admit a request that holds its key."""
     if holder.unsure:
-        # The log let go of records before this instance read them; another may hold the key.
-        return refuse(state, now, req)
+        # The log dropped records before this instance read them; another request may hold the key.
+        return refuse_unclaimable(state, now, req)
     drop_wait(state.claims, wait.request_id)
     state.claims.held[wait.request_id] = wait.key
     if now >= req.deadline:
@@ -148,43 +156,47 @@
     return [Timing("claim", now - req.arrived), *lifecycle.admit(state, now, req)]
 
 
-# --- another holds it ------------------------------------------------------------------------
+# --- another holder --------------------------------------------------------------------------
 
 
-def _follow(state: State, now: float, req: Request, wait: Wait, holder: Claim) -> list[Effect]:
-    first = holder.claim.request_id
-    kept = state.claims.answers.entries.get(first)
-    if kept is not None:
-        return _give(state, now, req, kept)
+def _follow_holder(
+    state: State, now: float, req: Request, wait: Wait, holder: Claim
+) -> list[Effect]:
+    """Give a request the end of the holder of its key, or ask for it."""
+    holder_id = holder.claim.request_id
+    kept_end = state.claims.answers.entries.get(holder_id)
+    if kept_end is not None:
+        return _finish_with_end(state, now, req, kept_end)
     if holder.holder.incarnation == state.me.incarnation:
-        if RequestId(first) in state.requests or first in state.claims.withdrawing:
+        if RequestId(holder_id) in state.requests or holder_id in state.claims.withdrawing:
             return []
-        return _give_from_log(state, now, req, holder)
-    told = holder.end is not None and holder.end.outcome is not Outcome.COMPLETED
-    if told or wait.lost_holder == first:
-        return _give_from_log(state, now, req, holder)
+        return _finish_from_log(state, now, req, holder)
+    has_unsuccessful_end = holder.end is not None and holder.end.outcome is not Outcome.COMPLETED
+    if has_unsuccessful_end or wait.lost_holder == holder_id:
+        return _finish_from_log(state, now, req, holder)
     writer = holder.holder
-    return ask_holder(state, now, wait, first, writer.instance, writer.address)
+    return ask_holder(state, now, wait, holder_id, writer.instance, writer.address)
 
 
-def _give_from_log(state: State, now: float, req: Request, holder: Claim) -> list[Effect]:
+def _finish_from_log(state: State, now: float, req: Request, holder: Claim) -> list[Effect]:
+    """End a request with what the log has about the holder."""
     if holder.end is None:
         return lifecycle.finish(state, now, req, Outcome.UNKNOWN, Reason.ALREADY_CLAIMED)
-    return _give(state, now, req, KeptEnd(holder.end, None))
+    return _finish_with_end(state, now, req, KeptEnd(holder.end, None))
 
 
-def _give(state: State, now: float, req: Request, kept: KeptEnd) -> list[Effect]:
-    """Give a caller the end of the request that ran for its key."""
-    end = kept.end
+def _finish_with_end(state: State, now: float, req: Request, kept_end: KeptEnd) -> list[Effect]:
+    """Send a caller the end of the request that ran for its key."""
+    end = kept_end.end
     if end.outcome is not Outcome.COMPLETED:
         return lifecycle.finish(state, now, req, end.outcome, end.reason, status=end.status)
-    answer = kept.answer
+    answer = kept_end.answer
     if answer is None:
         reason = Reason.ALREADY_COMPLETED
         return lifecycle.finish(state, now, req, Outcome.UNKNOWN, reason, status=end.status)
     replay = ReplayAnswer(req.request_id, answer.status, answer.headers, answer.body)
-    finished = lifecycle.finish(state, now, req, end.outcome, end.reason, status=end.status)
-    return [replay, Count("claim.replayed"), *finished]
+    finish_effects = lifecycle.finish(state, now, req, end.outcome, end.reason, status=end.status)
+    return [replay, Count("claim.replayed"), *finish_effects]
 
 
 def on_message(
@@ -195,12 +207,12 @@
         ClaimAsk | ClaimKept | ClaimOpen | ClaimUnheld | ClaimVoteAsk | ClaimVote | ClaimRelease
     ),
 ) -> list[Effect]:
-    """Take a peer's question or answer about a holder."""
+    """Process a peer's question or answer about a holder."""
     match message:
         case ClaimAsk():
             return on_ask(state, sender, message)
         case ClaimKept():
-            return _on_kept(state, now, message)
+            return _on_kept_end(state, now, message)
         case ClaimOpen():
             wait = state.claims.waits.get(RequestId(message.waiter))
             if wait is not None:
@@ -219,29 +231,31 @@
             assert_never(unreachable)
 
 
-def _followed(state: State, waiter: str, holder: str) -> Wait | None:
-    """Find the request that waits for this holder; a late answer finds none."""
+def _find_wait(state: State, waiter: str, holder: str) -> Wait | None:
+    """Return the request that waits for this holder; None for a stale answer."""
     wait = state.claims.waits.get(RequestId(waiter))
     if wait is None:
         return None
-    found = known_holder(state.claims, state.options, wait.key, wait.request_id)
-    return wait if found is not None and found.claim.request_id == holder else None
+    current_holder = known_holder(state.claims, state.options, wait.key, wait.request_id)
+    return (
+        wait if current_holder is not None and current_holder.claim.request_id == holder else None
+    )
 
 
-def _on_kept(state: State, now: float, message: ClaimKept) -> list[Effect]:
-    wait = _followed(state, message.waiter, message.holder)
-    kept = end_told(message)
-    if wait is None or kept is None:
+def _on_kept_end(state: State, now: float, message: ClaimKept) -> list[Effect]:
+    wait = _find_wait(state, message.waiter, message.holder)
+    kept_end = end_told(message)
+    if wait is None or kept_end is None:
         return []
-    return _give(state, now, state.requests[wait.request_id], kept)
+    return _finish_with_end(state, now, state.requests[wait.request_id], kept_end)
 
 
 def _on_unheld(state: State, now: float, message: ClaimUnheld) -> list[Effect]:
-    wait = _followed(state, message.waiter, message.holder)
+    wait = _find_wait(state, message.waiter, message.holder)
     if wait is None:
         return []
     if state.claims.ledger.offset < message.offset:
-        # It may have been withdrawn in records that this instance has not read; ask after those.
+        # The claim may be withdrawn in records that this instance has not read yet.
         return read_on(state, now)
     wait.lost_holder = message.holder
     state.claims.due.add(wait.key)
@@ -249,17 +263,17 @@
 
 
 def on_peer_unreachable(state: State, now: float, event: PeerUnreachable) -> list[Effect]:
-    """Stop waiting for a holder whose instance cannot be reached."""
+    """Stop waiting for a holder whose instance is unreachable."""
     claims = state.claims
     for wait in claims.waits.values():
         holder = known_holder(claims, state.options, wait.key, wait.request_id)
         if holder is None:
-            note_unreachable_member(state, now, wait, event.peer)
+            record_unreachable_member(state, now, wait, event.peer)
             continue
         if holder.holder.instance != event.peer:
             continue
         wait.failures += 1
-        # One failure may be of a connection that was idle for long; a new one is tried at once.
+        # A failure may be due to an idle connection; a new one is tried at once.
         wait.ask_due = now
         if wait.failures >= state.options.claim_ask_failures:
             wait.lost_holder = holder.claim.request_id
@@ -271,15 +285,15 @@
 
 
 def on_append_done(state: State, now: float, event: AppendDone) -> list[Effect]:
-    """Fold an own append at once where everything before it was read; else read up to it."""
+    """Apply an acknowledged append if everything before it was read; else read up to it."""
     batch = on_done(state, event)
     effects: list[Effect] = []
     if batch is not None and event.first == state.claims.ledger.offset:
-        effects += _fold(state, now, LogRecord(event.first, encode(batch)))
+        effects += _apply_record(state, now, LogRecord(event.first, encode(batch)))
     elif batch is not None:
-        # What it means depends on records of others that came before it.
+        # Its meaning depends on earlier records of other instances.
         effects += read_on(state, now)
-    # What is due decides first, as it may leave less to say.
+    # Pending decisions go first, as they may leave less to write.
     return effects if state.claims.due else effects + flush(state, now)
 
 
@@ -287,40 +301,41 @@
     """Settle what can be settled after a failed append."""
     effects = on_failed(state, now, event)
     if is_log_down(state.claims.outbox, state.options, now):
-        return effects + _refuse_unsent(state, now)
+        return effects + _refuse_unwritten(state, now)
     return effects
 
 
-def _refuse_unsent(state: State, now: float) -> list[Effect]:
-    """Give up the claims that wait for a log that is down, rather than until their deadlines."""
+def _refuse_unwritten(state: State, now: float) -> list[Effect]:
+    """Refuse claims that wait for an unavailable log before their deadlines."""
     effects: list[Effect] = []
     for wait in list(state.claims.waits.values()):
         if known_holder(state.claims, state.options, wait.key, wait.request_id) is None:
-            effects += _claim(state, now, state.requests[wait.request_id], wait)
+            effects += _claim_key(state, now, state.requests[wait.request_id], wait)
     return effects
 
 
 def on_read(state: State, now: float, event: LogRead) -> list[Effect]:
-    """Fold what was read of the stream."""
+    """Apply the records that were read from the stream."""
     claims = state.claims
     claims.reading_since = None
     effects: list[Effect] = []
     for record in event.records:
         if record.offset == claims.ledger.offset:
-            effects += _fold(state, now, record)
+            effects += _apply_record(state, now, record)
     if claims.ledger.offset < event.end:
         effects += read_on(state, now)
     if claims.read_failed:
-        # The log is back, so an append need not wait out its pause.
+        # The log responds again, so an append need not wait for its retry time.
         claims.outbox.retry_at = min(claims.outbox.retry_at, now)
     claims.read_failed = False
-    # One more claim is let through, and says whether appends work again, too.
-    down = state.options.claim_down_failures
-    claims.outbox.failures = min(claims.outbox.failures, down - 1)
+    # The next claim is written, which shows whether appends work again.
+    failures_max = state.options.claim_down_failures
+    claims.outbox.failures = min(claims.outbox.failures, failures_max - 1)
     return effects
 
 
-def _fold(state: State, now: float, record: LogRecord) -> list[Effect]:
+def _apply_record(state: State, now: float, record: LogRecord) -> list[Effect]:
+    """Apply a record to the ledger."""
     claims = state.claims
     was_whole = claims.ledger.whole
     folded = fold(claims.ledger, state.options, record.offset, record.value)
@@ -328,10 +343,11 @@
     note_folded(state, now, record.offset, folded)
     if claims.ledger.whole and not was_whole:
         claims.due |= set(claims.waiting)
-    return _note_own(state, folded) + _complain(folded, record)
+    return _record_own_batch(state, folded) + _report_bad_record(folded, record)
 
 
-def _note_own(state: State, folded: Folded) -> list[Effect]:
+def _record_own_batch(state: State, folded: Folded) -> list[Effect]:
+    """Record that a batch of this instance was read back."""
     batch = folded.batch
     if batch is None or batch.writer.incarnation != state.me.incarnation:
         return []
@@ -342,7 +358,8 @@
     return []
 
 
-def _complain(folded: Folded, record: LogRecord) -> list[Effect]:
+def _report_bad_record(folded: Folded, record: LogRecord) -> list[Effect]:
+    """Report a void or malformed record."""
     if folded.batch is not None:
         return [] if folded.valid else [Count("claim.void")]
     fields = {"stream": CLAIMS_STREAM, "offset": record.offset}
@@ -350,12 +367,12 @@
 
 
 def on_expired(state: State, now: float, event: LogExpired) -> list[Effect]:
-    """Go on from the oldest record that is left."""
+    """Continue from the oldest record that is left."""
     claims = state.claims
     claims.reading_since = None
     restart(claims.ledger, event.oldest)
     vouch_for(claims.ledger, writer_of(state))
-    # Records that were acknowledged in the gap are never read back.
+    # Acknowledged records in the gap are never read back.
     claims.outbox.landed.clear()
     claims.due |= set(claims.waiting)
     fields = {"stream": CLAIMS_STREAM, "oldest": event.oldest}
@@ -363,7 +380,7 @@
 
 
 def on_read_failed(state: State, now: float, event: LogFailed) -> list[Effect]:
-    """Let the next read be made when it is due."""
+    """Allow the next read when it is due."""
     state.claims.reading_since = None
     state.claims.read_failed = True
     return []
@@ -373,15 +390,15 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Give up what is past its deadline; ask, read and write what is due."""
+    """Give up expired requests; ask, read and write what is due."""
     note_tick(state.claims.outbox, state.options)
     effects: list[Effect] = []
     for wait in list(state.claims.waits.values()):
         req = state.requests[wait.request_id]
         if now >= req.deadline:
-            effects += _out_of_time(state, now, req, wait)
+            effects += _finish_expired(state, now, req, wait)
         elif now >= wait.ask_due:
-            # Where there is no holder to ask, the log may have become slow meanwhile.
+            # Without a holder, the log may have become slow meanwhile.
             state.claims.due.add(wait.key)
     if now >= state.claims.read_due:
         effects += read_on(state, now)
@@ -389,8 +406,9 @@
     return effects + flush(state, now)
 
 
-def _out_of_time(state: State, now: float, req: Request, wait: Wait) -> list[Effect]:
+def _finish_expired(state: State, now: float, req: Request, wait: Wait) -> list[Effect]:
+    """End a request whose deadline has passed."""
     holder = known_holder(state.claims, state.options, wait.key, wait.request_id)
     if holder is None or holder.claim.request_id == req.request_id:
-        return refuse(state, now, req)
+        return refuse_unclaimable(state, now, req)
     return lifecycle.finish(state, now, req, Outcome.UNKNOWN, Reason.ALREADY_CLAIMED)
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -1,10 +1,9 @@
-"""A request's way from arrival to its account: refusal, queueing, giving up, the final word.
+"""Process a request from its arrival to its account: refusal, queueing, giving up, finishing.
 
-Its attempts, and what follows from their ends, are in `attempt_flow`.
-
-Every path ends in `finish`, exactly once for each request: it takes the request out of every
-structure and tells the caller. What may be said follows from `Request.may_have_run`: `not_run` is
-never said after an attempt was sent, unless the server itself said that it had not started.
+`attempt_flow` has its attempts and what follows from their ends. Every path ends in `finish`,
+exactly once for each request: it removes the request from all structures and answers the caller.
+`Request.may_have_run` decides what may be answered: `not_run` is never used after an attempt was
+sent, unless the server itself reported that it had not started.
 """
 
 from __future__ import annotations
@@ -54,64 +53,71 @@
     state.requests[req.request_id] = req
     refusal = instance_refusal.reason_to_refuse(state, now, req)
     if refusal is not None:
-        pause = instance_refusal.come_back_s(state, now, refusal)
-        return finish(state, now, req, Outcome.NOT_RUN, refusal, retry_after_s=pause)
+        retry_after_s = instance_refusal.come_back_s(state, now, refusal)
+        return finish(state, now, req, Outcome.NOT_RUN, refusal, retry_after_s=retry_after_s)
     if req.kind is Kind.MODEL:
         req.predicted_tokens = predict_tokens(state.predictor, state.options, req)
-    barred = _barred(state, now, req)
-    if barred:
-        return barred
-    effects = _admission(state, now, req)
+    refusal_effects = _refuse_barred(state, now, req)
+    if refusal_effects:
+        return refusal_effects
+    effects = _decide_admission(state, now, req)
     if req.phase is Phase.DONE:
         return effects
     earn_retry(state, now, req)
     if req.idempotency_key is not None and not req.repeatable:
-        # `claim_flow` admits it once its key is claimed: no claim, no run.
+        # `claim_flow` admits it once its key is claimed.
         req.phase = Phase.CLAIMING
         return effects
     return effects + admit(state, now, req)
 
 
-def _barred(state: State, now: float, req: Request) -> list[Effect]:
+def _refuse_barred(state: State, now: float, req: Request) -> list[Effect]:
     """Refuse a request that crashes servers, or whose customer or team is over a limit."""
-    refused_s = quarantine.refused_for(state, now, req.fingerprint)
-    if refused_s is not None:
-        # It has run, as another request of the same content: `not_run` would invite another try.
-        return finish(state, now, req, Outcome.FAILED, Reason.QUARANTINED, retry_after_s=refused_s)
-    over = limit.charge(state, now, req)
-    if over is not None:
+    retry_after_s = quarantine.refused_for(state, now, req.fingerprint)
+    if retry_after_s is not None:
+        # Another request with the same content has run: `not_run` would invite a retry.
+        return finish(
+            state, now, req, Outcome.FAILED, Reason.QUARANTINED, retry_after_s=retry_after_s
+        )
+    exceeded_limit = limit.charge(state, now, req)
+    if exceeded_limit is not None:
         return finish(
-            state, now, req, Outcome.NOT_RUN, over.reason, retry_after_s=over.retry_after_s
+            state,
+            now,
+            req,
+            Outcome.NOT_RUN,
+            exceeded_limit.reason,
+            retry_after_s=exceeded_limit.retry_after_s,
         )
     return []
 
 
-def _admission(state: State, now: float, req: Request) -> list[Effect]:
-    """Refuse what cannot be answered in time, and let lower work make way before that."""
+def _decide_admission(state: State, now: float, req: Request) -> list[Effect]:
+    """Refuse a request that cannot be answered in time, after displacing lower work."""
     verdict = admission.decide(state, now, req, pool_name(state, req.target))
     match verdict:
-        case admission.Refused(pause, details):
-            refused = Log("not_admitted", {"request_id": req.request_id, **details})
+        case admission.Refused(pause_s, details):
+            log = Log("not_admitted", {"request_id": req.request_id, **details})
             return [
-                *([refused] if details else []),
-                *finish(state, now, req, Outcome.NOT_RUN, Reason.OVERLOAD, retry_after_s=pause),
+                *([log] if details else []),
+                *finish(state, now, req, Outcome.NOT_RUN, Reason.OVERLOAD, retry_after_s=pause_s),
             ]
         case admission.Admitted(displaced, dropped):
             effects = displace(state, displaced) if displaced is not None else []
-            return effects + (_drop(state, now, dropped) if dropped is not None else [])
+            return effects + (_drop_waiting(state, now, dropped) if dropped is not None else [])
         case unreachable:
             assert_never(unreachable)
 
 
-def _drop(state: State, now: float, req: Request) -> list[Effect]:
-    """End a waiting request that nothing was run of, for the sake of an upper tier."""
+def _drop_waiting(state: State, now: float, req: Request) -> list[Effect]:
+    """End a waiting request that never ran, in favour of an upper tier."""
     queue_state.remove(state.queues, req)
-    pause = admission.retry_after(state, now, req, 0.0)
-    return finish(state, now, req, Outcome.NOT_RUN, Reason.DISPLACED, retry_after_s=pause)
+    pause_s = admission.retry_after(state, now, req, 0.0)
+    return finish(state, now, req, Outcome.NOT_RUN, Reason.DISPLACED, retry_after_s=pause_s)
 
 
 def admit(state: State, now: float, req: Request) -> list[Effect]:
-    """Queue a request that passed every check and hand out whatever capacity there is."""
+    """Queue a request that passed every check, and dispatch."""
     req.phase = Phase.WAITING
     if trial.must_wait(state, now, req):
         trial.hold(state, req)
@@ -125,33 +131,35 @@
 
 
 def on_caller_left(state: State, now: float, event: CallerLeft) -> list[Effect]:
-    """Stop working for a caller that is gone."""
+    """Stop working for a caller that has left."""
     req = state.requests.get(event.request_id)
     if req is None:
         return []
     req.caller_left = True
     if req.attempt is None:
         queue_state.remove(state.queues, req)
-        outcome = Outcome.UNKNOWN if follows_holder(state, req) else given_up(req)
+        outcome = Outcome.UNKNOWN if follows_holder(state, req) else unanswered_outcome(req)
         return finish(state, now, req, outcome, Reason.CALLER_LEFT)
     if not req.repeatable and req.kind is Kind.PLAIN:
-        # It cannot be called back, and its account is worth having for the next one who asks.
+        # It cannot be undone, and its account is useful to callers that ask for it later.
         return []
     return cancel(req, CancelReason.CALLER_LEFT)
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Give up what is past its deadline and doubt what has gone silent."""
+    """End expired requests and check running attempts for unresponsive connections."""
     effects: list[Effect] = []
     for req in list(queue_state.expired(state.queues, now)):
         if req.first_token_at is not None:
-            # Its answer has begun; it waits only for a server to go on with it.
+            # Its answer has begun and only has to resume on another server.
             continue
         queue_state.remove(state.queues, req)
-        effects += finish(state, now, req, given_up(req), Reason.DEADLINE, retry_after_s=1.0)
-    effects += _end_unproven(state, now)
+        effects += finish(
+            state, now, req, unanswered_outcome(req), Reason.DEADLINE, retry_after_s=1.0
+        )
+    effects += _finish_unproven(state, now)
     effects += silence_signs.on_tick(state, now)
-    effects += _end_in_vain(state, now)
+    effects += _finish_unservable(state, now)
     for req in list(state.requests.values()):
         if req.attempt is not None:
             effects += _check_running(state, now, req, req.attempt)
@@ -159,7 +167,7 @@
 
 
 def on_server_answered(state: State, now: float, report: ServerReport) -> list[Effect]:
-    """Doubt what its server's answer over a new connection proves to be lost."""
+    """Check the attempts on a server that answered over a new connection."""
     if not silence_signs.note_report(state, now, report):
         return []
     effects: list[Effect] = []
@@ -169,26 +177,26 @@
     return effects
 
 
-def _end_in_vain(state: State, now: float) -> list[Effect]:
-    """Tell callers now whose late requests would only wait until their deadlines."""
+def _finish_unservable(state: State, now: float) -> list[Effect]:
+    """End late requests that are predicted to expire before they are served."""
     effects: list[Effect] = []
     for pool in state.queues.pools:
-        while found := admission.unservable_requests(state, now, pool):
-            for each in found:
-                queue_state.remove(state.queues, each.request)
+        while unservable := admission.unservable_requests(state, now, pool):
+            for entry in unservable:
+                queue_state.remove(state.queues, entry.request)
                 effects += finish(
                     state,
                     now,
-                    each.request,
+                    entry.request,
                     Outcome.NOT_RUN,
                     Reason.OVERLOAD,
-                    retry_after_s=each.retry_after_s,
+                    retry_after_s=entry.retry_after_s,
                 )
     return effects
 
 
-def _end_unproven(state: State, now: float) -> list[Effect]:
-    """End what waits with a key that may have been taken away meanwhile."""
+def _finish_unproven(state: State, now: float) -> list[Effect]:
+    """End waiting requests whose API key may have been revoked meanwhile."""
     if document.proof_age(state, now) <= state.options.key_proof_s:
         return []
     effects: list[Effect] = []
@@ -197,18 +205,21 @@
         if req.keyed:
             queue_state.remove(state.queues, req)
             reason = Reason.KEY_UNPROVEN
-            pause = instance_refusal.come_back_s(state, now, reason)
-            effects += finish(state, now, req, given_up(req), reason, retry_after_s=pause)
+            pause_s = instance_refusal.come_back_s(state, now, reason)
+            effects += finish(
+                state, now, req, unanswered_outcome(req), reason, retry_after_s=pause_s
+            )
     return effects
 
 
 def _check_running(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
+    """Cancel an attempt that is past its deadline or unresponsive."""
     options = state.options
-    late = now > req.deadline + options.deadline_grace_s
-    if late and req.first_token_at is None:
+    is_expired = now > req.deadline + options.deadline_grace_s
+    if is_expired and req.first_token_at is None:
         return cancel(req, CancelReason.DEADLINE)
     if req.end_by is not None and now >= req.end_by:
-        # The operator's limit ends answers that have begun as well.
+        # The operator's limit also ends answers that have begun.
         return cancel(req, CancelReason.DEADLINE)
     if attempt.cancelled is not None or not silence.is_doubtful(state, now, req, attempt):
         return []
@@ -216,20 +227,20 @@
     effects: list[Effect] = [Count(f"silence.doubted.{attempt.server}")]
     server = state.servers.by_name.get(attempt.server)
     if server is not None:
-        # The connection is doubted, not yet the server. A probe over a new connection says which,
-        # and the request goes on elsewhere meanwhile.
+        # Only the connection is suspected. A probe over a new connection checks the server, and the
+        # request goes on elsewhere meanwhile.
         effects.append(ProbeServer(attempt.server, server.entry.address))
     return effects + cancel(req, CancelReason.SILENT)
 
 
-def given_up(req: Request) -> Outcome:
-    """Give the outcome of a request that ends without an answer."""
+def unanswered_outcome(req: Request) -> Outcome:
+    """Return the outcome of a request that ends without an answer."""
     if not req.may_have_run:
         return Outcome.NOT_RUN
     return Outcome.FAILED if req.repeatable else Outcome.UNKNOWN
 
 
-# --- the final word --------------------------------------------------------------------------
+# --- finishing -------------------------------------------------------------------------------
 
 
 def finish(
@@ -244,7 +255,7 @@
     retry_after_s: float | None = None,
     answer: KeptAnswer | None = None,
 ) -> list[Effect]:
-    """Give a request its account and forget it."""
+    """Create a request's account and remove the request."""
     req.phase = Phase.DONE
     state.requests.pop(RequestId(req.request_id), None)
     trial.let_go(state, req.request_id)
--- a/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
@@ -1,8 +1,7 @@
-"""Carries out what `quarantine` and `trial` decide: the reducer's way into both.
+"""Carry out the decisions of `quarantine` and `trial` for the reducer.
 
-Suspects come into `trial`'s hands from `lifecycle`, where they are admitted, or from
-`attempt_flow`, where they wait for another attempt; here they go on to an attempt of their own,
-back to a queue, or to their end.
+`lifecycle` hands suspects over when it admits them, and `attempt_flow` when they wait for another
+attempt. From here they go on to an isolated run, back to a queue, or to their end.
 """
 
 from __future__ import annotations
@@ -30,13 +29,13 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Give the verdicts that are due and move the suspects on."""
+    """Issue the verdicts that are due and move the suspects on."""
     effects = quarantine.on_tick(state, now)
     effects += trial.review_running(state, now)
     if state.quarantine.look_through:
         state.quarantine.look_through = False
-        effects += _look_through(state, now)
-    return effects + _carry_out(state, now, trial.step(state, now))
+        effects += _review_requests(state, now)
+    return effects + _apply_decisions(state, now, trial.step(state, now))
 
 
 def on_message(
@@ -45,7 +44,7 @@
     sender: InstanceName,
     message: CrashNews | CrashesAsk | TrialAsk | TrialAnswer | TrialEnd,
 ) -> list[Effect]:
-    """Take a message of another instance."""
+    """Process a message of another instance."""
     match message:
         case CrashNews():
             return quarantine.on_news(state, now, message)
@@ -54,7 +53,7 @@
         case TrialAsk():
             return trial.on_ask(state, now, sender, message)
         case TrialAnswer():
-            return _carry_out(state, now, trial.on_answer(state, now, sender, message))
+            return _apply_decisions(state, now, trial.on_answer(state, now, sender, message))
         case TrialEnd():
             trial.on_end(state, now, sender, message)
             return []
@@ -62,13 +61,13 @@
             assert_never(unreachable)
 
 
-def _look_through(state: State, now: float) -> list[Effect]:
-    """Find the requests in hand that are suspects, or refused, only since a moment ago."""
+def _review_requests(state: State, now: float) -> list[Effect]:
+    """Hold or cancel the requests that have just become suspects or refused."""
     effects: list[Effect] = []
     for req in list(state.requests.values()):
         if req.attempt is not None:
             if quarantine.refused_for(state, now, req.fingerprint) is not None:
-                # It would crash this server too, and everything else that runs there with it.
+                # Prevents a crash of this server and everything else that runs there.
                 effects += dispatch.cancel(req, CancelReason.QUARANTINED)
         elif req.phase is Phase.WAITING and _is_new_suspect(state, req):
             queue_state.remove(state.queues, req)
@@ -77,22 +76,25 @@
 
 
 def _is_new_suspect(state: State, req: Request) -> bool:
+    """Return whether a waiting request is a suspect that is not held yet."""
     if trial.is_held(state, req.request_id):
         return False
     return quarantine.is_suspect(state, req.fingerprint)
 
 
-def _carry_out(state: State, now: float, decisions: list[Decision]) -> list[Effect]:
+def _apply_decisions(state: State, now: float, decisions: list[Decision]) -> list[Effect]:
+    """Carry out decisions in order."""
     effects: list[Effect] = []
     for decision in decisions:
-        effects += _carry_out_one(state, now, decision)
+        effects += _apply_decision(state, now, decision)
     return effects
 
 
-def _carry_out_one(state: State, now: float, decision: Decision) -> list[Effect]:
+def _apply_decision(state: State, now: float, decision: Decision) -> list[Effect]:
+    """Carry out one decision."""
     match decision:
         case RunAlone(req, server, _):
-            effects = dispatch.start(state, now, req, server)
+            effects = dispatch.start_attempt(state, now, req, server)
             if req.attempt is not None:
                 trial.note_started(state, now, decision, req.attempt)
             return [Count("quarantine.trial"), *effects]
@@ -102,7 +104,7 @@
         case Refuse(req):
             return lifecycle.finish(state, now, req, Outcome.FAILED, Reason.QUARANTINED)
         case GiveUp(req):
-            outcome = lifecycle.given_up(req)
+            outcome = lifecycle.unanswered_outcome(req)
             return lifecycle.finish(state, now, req, outcome, Reason.DEADLINE)
         case Send(effect):
             return [effect]
--- a/tests/core/case_driver.py
+++ b/tests/core/case_driver.py
@@ -1,8 +1,7 @@
-"""Read test cases from data files, and compare what happened with what a case expects.
+"""Read test cases from data files and compare the output with the expectation.
 
-A file holds cases, each begun by `[case name]`; a case has its input and then sections such as
-`[out]`. Lines that begin with `#` are comments, and a comment above the first line of a case's
-input tells what it is about. Blank lines count for nothing.
+A case begins with `[case name]` and its input, followed by sections such as `[out]`. Lines that
+begin with `#` are comments; blank lines are ignored.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
         return self.name
 
     def lines(self, section: str) -> list[str]:
-        """Give the lines of a section, or none."""
+        """Return the lines of a section, or an empty list."""
         return self.sections.get(section, [])
 
 
@@ -45,11 +44,11 @@
         text = line.rstrip()
         if not text or text.startswith("#"):
             continue
-        if found := _CASE.fullmatch(text):
-            cases.append(Case(found[1]))
+        if match := _CASE.fullmatch(text):
+            cases.append(Case(match[1]))
             section = INPUT
-        elif found := _SECTION.fullmatch(text):
-            section = found[1]
+        elif match := _SECTION.fullmatch(text):
+            section = match[1]
         else:
             cases[-1].sections.setdefault(section, []).append(text)
     names = [case.name for case in cases]
@@ -58,7 +57,7 @@
 
 
 def check_lines(case: Case, actual: list[str], section: str = OUTPUT) -> None:
-    """Compare a section with what happened; fail with a diff."""
+    """Compare a section with the output; fail with a diff."""
     expected = case.lines(section)
     if expected == actual:
         return
--- a/tests/core/lifecycle_script.py
+++ b/tests/core/lifecycle_script.py
@@ -1,14 +1,14 @@
-"""The words of `cases/lifecycle.test`: one instance, some servers, and requests on their way.
+"""Interpret the commands of `cases/lifecycle.test`: one instance, some servers and requests.
 
-- `servers N [plain]`: so many servers, s0 and on, with room for one request each.
-- `arrive NAME [once] [deadline=S]`: a caller sends a request; `once` must not be repeated.
-- `sent NAME`, `tokens NAME N`: the first byte of the attempt went out; tokens came.
-- `end NAME HOW`: the attempt ended; see `_ENDS` for the words.
-- `late NAME HOW`: an end of the request's first attempt comes in once more.
+- `servers N [plain]`: N servers from s0 on, with room for one request each.
+- `arrive NAME [once] [deadline=S]`: a caller sends a request; `once` makes it non-repeatable.
+- `sent NAME`, `tokens NAME N`: the first byte of the attempt was sent; tokens arrived.
+- `end NAME HOW`: the attempt ended; see `_ENDS` for HOW.
+- `late NAME HOW`: a stale end of the request's first attempt arrives.
 - `leave NAME`: the caller closed its connection. `wait S`: time passes. `up SERVER`: it reports.
-- `budget N`: so many retries are left.
+- `budget N`: N retries are left.
 
-What the instance does is printed with two spaces before it.
+The instance's actions are printed with an indent of two spaces.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 TARGET: Final = Target("lm")
 CLASS: Final = ServiceClass("quick", 0, target_s=0.5, deadline_s=60.0)
-# The least slots that servers can have; `slack_slots` is 0, so a server takes one request.
+# Without slack slots, a server takes one request.
 OPTIONS: Final = Options(slack_slots=0)
 
 _ENDS: Final[dict[str, AttemptEnd]] = {
@@ -66,7 +66,7 @@
 
 
 class LifecycleScript:
-    """Run the lines of one case."""
+    """Run the lines of a case."""
 
     def __init__(self) -> None:
         self.now = 100.0
@@ -84,8 +84,8 @@
         return self.out
 
     def _command(self, word: str) -> Callable[[list[str]], None]:
-        found: Callable[[list[str]], None] = getattr(self, f"_do_{word}")
-        return found
+        handler: Callable[[list[str]], None] = getattr(self, f"_do_{word}")
+        return handler
 
     def _event(self, event: Event) -> None:
         self._print(reduce(self.state, self.now, event))
@@ -107,17 +107,17 @@
                     self.out.append(f"  cancel {effect.attempt_id} {effect.reason}")
                 case FinishRequest(account):
                     self.out.append(f"  {account.request_id} {account.outcome} {account.reason}")
-                case ProbeServer(server, _) if self._is_doubt(effects):
+                case ProbeServer(server, _) if self._is_for_suspicion(effects):
                     self.out.append(f"  probe {server}")
                 case _:
                     pass
 
     @staticmethod
-    def _is_doubt(effects: list[Effect]) -> bool:
-        """Tell a probe for a doubt from the ones that come all the time."""
+    def _is_for_suspicion(effects: list[Effect]) -> bool:
+        """Return whether a probe is for a suspected connection, and not a regular one."""
         return any(isinstance(each, CancelAttempt) for each in effects)
 
-    # --- words -----------------------------------------------------------------------------
+    # --- commands --------------------------------------------------------------------------
 
     def _do_servers(self, words: list[str]) -> None:
         self.kind = Kind.PLAIN if "plain" in words else Kind.MODEL
@@ -181,6 +181,7 @@
 
 
 def make_state(kind: Kind, servers: int) -> State:
+    """Return the state of an instance with some servers."""
     models = (str(TARGET),) if kind is Kind.MODEL else ()
     service = Service(str(TARGET), kind, models, slots=1)
     entries = [
--- a/tests/core/load_script.py
+++ b/tests/core/load_script.py
@@ -1,18 +1,18 @@
-"""The language of the case files about load: one step of a `LoadWorld` a line.
+"""Interpret the case files about load: each line is a step of a `LoadWorld`.
 
     world KEY=VALUE ...       sets up instances, servers, slots, policy, kind, and any option
     arrive CLASS NAME [at=N] [deadline=S] [prefix=A,B] [tokens=N]
     progress NAME TOKENS      the server sends tokens of the request's attempt
-    end NAME                  the attempt ends, whole
+    end NAME                  the attempt completes
     refuse NAME               the server refuses the attempt before the start
-    leave NAME                the caller goes away
-    pass SECONDS              time passes, with its ticks and load reports
-    hold                      from here on cancelled attempts do not end
-    let-go                    and now they do
-    cut N / heal N            nobody hears the instance, and it hears nobody; and again
-    show                      what runs and what waits
-
-What comes of a step is shown below it: attempts that start or are cancelled, and accounts.
+    leave NAME                the caller leaves
+    pass SECONDS              time passes, with ticks and load reports
+    hold                      cancelled attempts do not end from here on
+    let-go                    cancelled attempts end again
+    cut N / heal N            the instance is disconnected from the others; and reconnected
+    show                      prints the running and the waiting requests
+
+The effects of a step are printed below it: started or cancelled attempts, and accounts.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 def run_script(lines: list[str]) -> list[str]:
-    """Run the lines of a case and give what there is to see."""
+    """Run the lines of a case and return the output."""
     world = make_world(lines[0])
     out: list[str] = []
     for line in lines[1:]:
@@ -43,7 +43,7 @@
 
 
 def make_world(line: str) -> LoadWorld:
-    """Set up the world that a case begins with."""
+    """Return the world that a case begins with."""
     word, *pairs = line.split()
     assert word == "world", f"a case begins with its world, not with {line!r}"
     settings = dict(pair.split("=", 1) for pair in pairs)
@@ -63,7 +63,7 @@
 
 
 def run_line(world: LoadWorld, line: str) -> list[str]:
-    """Take one step; give what it asks to be shown."""
+    """Take one step and return what it asks to be shown."""
     word, *rest = line.split()
     match word, rest:
         case "arrive", [class_name, name, *pairs]:
--- a/tests/core/load_world.py
+++ b/tests/core/load_world.py
@@ -1,9 +1,8 @@
-"""Instances before servers, in one process and on one clock, for tests of decisions under load.
+"""Simulate instances and servers in one process with one clock, for tests under load.
 
-Effects of the instances are carried out by hand: messages between instances arrive at once unless
-a link is cut, an attempt runs until the test ends it, and a cancelled attempt ends at once unless
-the test holds it. The world keeps a record of what the servers were asked to run and of what the
-callers were told; tests judge by these.
+Messages between instances arrive at once unless a link is cut, an attempt runs until the test ends
+it, and a cancelled attempt ends at once unless the test holds it. The world records the attempts
+that servers were sent and the accounts that callers got, for the tests to check.
 """
 
 from __future__ import annotations
@@ -62,14 +61,14 @@
     attempt_id: AttemptId
     server: ServerName
     service_class: str
-    # As the server was told; lower is more urgent.
+    # As sent to the server; lower is more urgent.
     priority: int
     resume_from: int
 
 
 @dataclass(slots=True)
 class Outcomes:
-    """What one class's callers were told."""
+    """The accounts that the callers of one class got."""
 
     accounts: list[Account] = field(default_factory=list)
 
@@ -79,7 +78,7 @@
 
 
 class LoadWorld:
-    """Some instances, the servers before which they stand, and a clock."""
+    """Some instances, their servers and a clock."""
 
     def __init__(
         self,
@@ -98,26 +97,26 @@
         self.target = MODEL if kind is Kind.MODEL else PLAIN
         self.options = options or Options()
         self.classes = classes or CLASSES
-        # Between load reports; None is never.
+        # Interval of load reports; None disables them.
         self.report_s = report_s
         self.config = _config(servers, slots, policy, kind, self.classes)
         self.slots = slots
         self.states: dict[InstanceName, State] = {}
         self.running: dict[AttemptId, Running] = {}
-        # Everything that was ever started, and every order to cancel, in order.
+        # All started attempts, and all cancellations, in order.
         self.started: list[Running] = []
         self.cancelled: list[tuple[str, CancelReason]] = []
         self.told: dict[str, Outcomes] = {name: Outcomes() for name in self.classes}
         self.events: list[str] = []
-        # Messages between instances that were sent.
+        # Number of messages sent between instances.
         self.messages = 0
-        # Instances that nobody hears and that hear nobody.
+        # Instances that are cut off from all others.
         self.cut: set[InstanceName] = set()
-        # Decides whether a message is lost, by its sender and receiver.
+        # Returns whether a message is lost, by its sender and receiver.
         self.lose: Callable[[InstanceName, InstanceName], bool] = lambda sender, receiver: False
-        # Decides whether the first instance hears the heartbeats of the second.
+        # Returns whether the first instance receives heartbeats of the second.
         self.see: Callable[[InstanceName, InstanceName], bool] = lambda one, other: True
-        # While set, messages are kept here rather than delivered.
+        # While set, collects messages instead of delivering them.
         self.late: list[tuple[InstanceName, Event]] | None = None
         # While set, cancelled attempts do not end.
         self.hold_cancelled = False
@@ -135,7 +134,7 @@
         identity = Identity(name, DATA_CENTRE, "khomas", f"127.0.0.1:{7000 + len(name)}", "1")
         state = new_state(identity, self.options, seed=len(self.states))
         state.config = self.config
-        # What is in force is taken from here again on every tick.
+        # Ticks take the configuration in force from here.
         state.settings.config = self.config
         state.settings.ready = True
         state.has_settings = True
@@ -144,11 +143,11 @@
 
     @property
     def first(self) -> State:
-        """Give the state of the first instance."""
+        """Return the state of the first instance."""
         return next(iter(self.states.values()))
 
     def _see_each_other(self) -> None:
-        """Let every instance hear every other one that is not cut off."""
+        """Deliver heartbeats between all instances that are not cut off."""
         for name, state in self.states.items():
             for other in self.states:
                 if other == name or other in self.cut or name in self.cut:
@@ -160,10 +159,10 @@
                 )
                 member.heard_at = self.now
 
-    # --- what happens ----------------------------------------------------------------------
+    # --- events ----------------------------------------------------------------------------
 
     def event(self, instance: InstanceName, event: Event) -> None:
-        """Give an instance an event, and carry out all that follows from it."""
+        """Give an instance an event and carry out all effects that follow."""
         self._mail.append((instance, event))
         while self._mail:
             to, each = self._mail.popleft()
@@ -196,17 +195,17 @@
             self._mail.append((receiver, event))
 
     def keep_late(self) -> None:
-        """Keep back the messages between instances from here on."""
+        """Delay the messages between instances from here on."""
         self.late = []
 
     def take_late(self) -> list[tuple[InstanceName, Event]]:
-        """Give the messages that were kept back, and keep none back from here on."""
+        """Return the delayed messages and stop delaying."""
         late = self.late or []
         self.late = None
         return late
 
     def restart(self, name: InstanceName) -> None:
-        """Replace an instance by one that knows nothing, under the same name."""
+        """Restart an instance with an empty state."""
         self.running = {k: v for k, v in self.running.items() if v.instance != name}
         self._add_instance(name)
 
@@ -276,11 +275,11 @@
         self.event(running.instance, event)
 
     def end(self, running: Running, end: AttemptEnd | None = None) -> None:
-        """Let an attempt end, whole unless told otherwise."""
+        """Let an attempt end; it completes by default."""
         self.event(running.instance, self._ended(running, end or EndComplete(200)))
 
     def oldest(self, class_name: str | None = None) -> Running:
-        """Give the attempt, of a class or of any, that has been running for longest."""
+        """Return the oldest running attempt, of one class or of all."""
         return next(
             each
             for each in self.running.values()
@@ -288,10 +287,10 @@
         )
 
     def run_of(self, request_id: str) -> Running:
-        """Give the running attempt of a request."""
-        found = [each for each in self.running.values() if each.request_id == request_id]
-        assert found, f"{request_id} does not run; what runs is {self.running_ids()}"
-        return found[-1]
+        """Return the running attempt of a request."""
+        attempts = [each for each in self.running.values() if each.request_id == request_id]
+        assert attempts, f"{request_id} does not run; running: {self.running_ids()}"
+        return attempts[-1]
 
     def advance(self, seconds: float) -> None:
         """Let time pass, with its ticks and load reports."""
@@ -307,7 +306,7 @@
                     self.event(name, Tick())
 
     def report(self) -> None:
-        """Let every instance have every server's load report."""
+        """Deliver every server's load report to every instance."""
         for server in self.config.servers:
             seq = next(self._seq)
             load = len(self.on_server(server))
@@ -316,25 +315,25 @@
                 if name not in self.cut:
                     self.event(name, report)
 
-    # --- what is seen ----------------------------------------------------------------------
+    # --- observations ----------------------------------------------------------------------
 
     def on_server(self, server: str) -> list[Running]:
-        """List what a server runs."""
+        """List the attempts that a server runs."""
         return [each for each in self.running.values() if each.server == server]
 
     def running_ids(self) -> list[str]:
-        """List the requests that run, by name."""
+        """List the names of the running requests."""
         return sorted(each.request_id for each in self.running.values())
 
     def waiting(self, instance: int = 0) -> list[str]:
-        """List the requests that wait at an instance, by name."""
+        """List the names of the requests that wait at an instance."""
         return sorted(list(self.states.values())[instance].queues.index)
 
 
 def report_of(
     server: ServerName, seq: int, load: int, slots: int, kind: Kind = Kind.MODEL
 ) -> ServerReport:
-    """Make the load report of a server that has its model loaded."""
+    """Return the load report of a server that has its model loaded."""
     return ServerReport(
         server=server,
         incarnation="1",
--- a/tests/core/requests/test_lifecycle.py
+++ b/tests/core/requests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's way from arrival to its account: cases, and any order of events."""
+"""Test requests from arrival to account: the cases of `cases/lifecycle.test`, and properties."""
 
 from __future__ import annotations
 
@@ -41,6 +41,7 @@
 
 @pytest.mark.parametrize("case", CASES, ids=str)
 def test_case(case: Case) -> None:
+    """Check a case of `cases/lifecycle.test`."""
     check_lines(case, LifecycleScript().run(case.lines("in")))
 
 
@@ -48,8 +49,8 @@
 
 
 @dataclass(slots=True)
-class Sent:
-    """An attempt as the world outside the instance knows it."""
+class ObservedAttempt:
+    """An attempt as seen outside the instance."""
 
     start: StartAttempt
     sent: bool = False
@@ -57,27 +58,27 @@
 
 
 @dataclass(slots=True)
-class Watched:
-    """What the world outside knows of a request."""
+class ObservedRequest:
+    """A request as seen outside the instance."""
 
     req: Request
     accounts: list[Account] = field(default_factory=list)
-    # Attempts whose first byte went out and that no server said it refused.
+    # Attempts that were sent and not refused by the server.
     may_have_begun: int = 0
     tokens: int = 0
 
 
-class Outside:
-    """Everything around one instance: it checks each promise as effects come."""
+class Environment:
+    """The environment of an instance, which checks each guarantee as effects arrive."""
 
     def __init__(self, kind: Kind) -> None:
         self.kind = kind
         self.now = 100.0
         self.state: State = make_state(kind, 2)
-        self.watched: dict[RequestId, Watched] = {}
-        self.attempts: dict[AttemptId, Sent] = {}
-        # Ends that were already told, to be told again late.
-        self.told: list[AttemptEnded] = []
+        self.observed_requests: dict[RequestId, ObservedRequest] = {}
+        self.attempts: dict[AttemptId, ObservedAttempt] = {}
+        # Ends that were reported and may be repeated as stale events.
+        self.reported_ends: list[AttemptEnded] = []
         self.ends: Counter[Outcome] = Counter()
 
     def event(self, event: Event) -> None:
@@ -88,14 +89,14 @@
     def _check(self, effect: Effect) -> None:
         match effect:
             case StartAttempt():
-                watched = self.watched[effect.request_id]
-                assert not watched.accounts, "an attempt after the account"
+                observed = self.observed_requests[effect.request_id]
+                assert not observed.accounts, "attempt started after the account"
                 assert not self._runs(effect.request_id), "two attempts at once"
-                if not watched.req.repeatable:
-                    assert watched.may_have_begun == 0, "a second run of what may run once"
+                if not observed.req.repeatable:
+                    assert observed.may_have_begun == 0, "non-repeatable request run twice"
                 if self.kind is Kind.MODEL:
-                    assert effect.resume_from == watched.tokens, "tokens lost or doubled"
-                self.attempts[effect.attempt_id] = Sent(effect)
+                    assert effect.resume_from == observed.tokens, "tokens lost or duplicated"
+                self.attempts[effect.attempt_id] = ObservedAttempt(effect)
             case CancelAttempt():
                 self.attempts[effect.attempt_id].cancelled = True
             case FinishRequest(account):
@@ -104,24 +105,24 @@
                 pass
 
     def _check_account(self, account: Account) -> None:
-        watched = self.watched[RequestId(account.request_id)]
-        watched.accounts.append(account)
-        assert len(watched.accounts) == 1, "two accounts"
-        assert not self._runs(watched.req.request_id), "an account while an attempt runs"
+        observed = self.observed_requests[RequestId(account.request_id)]
+        observed.accounts.append(account)
+        assert len(observed.accounts) == 1, "two accounts"
+        assert not self._runs(observed.req.request_id), "account while an attempt runs"
         self.ends[account.outcome] += 1
         if account.outcome is Outcome.NOT_RUN:
-            assert watched.may_have_begun == 0, "not_run of what may have run"
+            assert observed.may_have_begun == 0, "not_run for a request that may have run"
         if account.outcome is Outcome.FAILED:
-            assert watched.req.repeatable, "failed of what is not known"
+            assert observed.req.repeatable, "failed for a request with an unknown outcome"
 
     def _runs(self, request_id: RequestId) -> bool:
         return any(each.start.request_id == request_id for each in self.attempts.values())
 
-    # --- what can happen -------------------------------------------------------------------
+    # --- events ----------------------------------------------------------------------------
 
     def arrive(self, *, repeatable: bool, deadline_s: float) -> None:
-        """Let a request come in."""
-        request_id = RequestId(f"r{len(self.watched)}")
+        """Let a request arrive."""
+        request_id = RequestId(f"r{len(self.observed_requests)}")
         req = Request(
             request_id=request_id,
             kind=self.kind,
@@ -132,56 +133,56 @@
             arrived=self.now,
             deadline=self.now + deadline_s,
             repeatable=repeatable or self.kind is Kind.MODEL,
-            fingerprint=str(len(self.watched) % 3),
+            fingerprint=str(len(self.observed_requests) % 3),
         )
-        self.watched[request_id] = Watched(req)
+        self.observed_requests[request_id] = ObservedRequest(req)
         self.event(RequestArrived(req))
 
-    def send(self, attempt: Sent) -> None:
-        """Let the first byte go out."""
+    def send(self, attempt: ObservedAttempt) -> None:
+        """Send the first byte of an attempt."""
         if not attempt.sent:
             attempt.sent = True
-            self.watched[attempt.start.request_id].may_have_begun += 1
+            self.observed_requests[attempt.start.request_id].may_have_begun += 1
             self.event(AttemptSent(attempt.start.request_id, attempt.start.attempt_id))
 
-    def token(self, attempt: Sent) -> None:
-        """Let a token come and be passed on."""
+    def token(self, attempt: ObservedAttempt) -> None:
+        """Receive a token and pass it on."""
         self.send(attempt)
-        self.watched[attempt.start.request_id].tokens += 1
+        self.observed_requests[attempt.start.request_id].tokens += 1
         self.event(AttemptProgress(attempt.start.request_id, attempt.start.attempt_id, 1))
 
-    def end(self, attempt: Sent, end: AttemptEnd) -> None:
+    def end(self, attempt: ObservedAttempt, end: AttemptEnd) -> None:
         """Let an attempt end."""
         start = attempt.start
         if isinstance(end, EndUnsent) and attempt.sent:
             end = EndBroken("reset", server_alive=True)
         if isinstance(end, EndComplete | EndRefused | EndBroken | EndServerError):
             self.send(attempt)
-        watched = self.watched[start.request_id]
+        observed = self.observed_requests[start.request_id]
         if isinstance(end, EndRefused):
-            if watched.tokens:
-                # It has begun, so it cannot refuse any more.
+            if observed.tokens:
+                # It has begun and cannot be refused any more.
                 end = EndBroken("reset", server_alive=True)
             else:
-                watched.may_have_begun -= 1
+                observed.may_have_begun -= 1
         if isinstance(end, EndCancelled) and not attempt.cancelled:
             return
         del self.attempts[start.attempt_id]
         event = AttemptEnded(start.request_id, start.attempt_id, end)
-        self.told.append(event)
+        self.reported_ends.append(event)
         self.event(event)
 
     def late(self, number: int) -> None:
-        """Let an end, or a token, of an attempt that is over come in once more."""
-        if self.told:
-            event = self.told[number % len(self.told)]
+        """Repeat the end of an attempt that is over, and a stale token."""
+        if self.reported_ends:
+            event = self.reported_ends[number % len(self.reported_ends)]
             self.event(event)
             self.event(AttemptProgress(event.request_id, event.attempt_id, 1))
 
     def leave(self, number: int) -> None:
         """Let a caller close its connection."""
-        if self.watched:
-            names = list(self.watched)
+        if self.observed_requests:
+            names = list(self.observed_requests)
             self.event(CallerLeft(names[number % len(names)]))
 
     def wait(self, seconds: float) -> None:
@@ -191,8 +192,8 @@
             self.now += OPTIONS.tick_s
             self.event(Tick())
 
-    def pick(self, number: int) -> Sent | None:
-        """Pick an attempt that is out."""
+    def pick(self, number: int) -> ObservedAttempt | None:
+        """Return one of the current attempts, or None."""
         attempts = list(self.attempts.values())
         return attempts[number % len(attempts)] if attempts else None
 
@@ -222,57 +223,63 @@
 )
 
 
-def take_step(outside: Outside, step: tuple[object, ...]) -> None:
-    """Let one thing happen."""
+def take_step(environment: Environment, step: tuple[object, ...]) -> None:
+    """Take one step of a random sequence."""
     match step:
         case ("arrive", bool(repeatable), float(deadline_s)):
-            outside.arrive(repeatable=repeatable, deadline_s=deadline_s)
+            environment.arrive(repeatable=repeatable, deadline_s=deadline_s)
         case ("late", int(number)):
-            outside.late(number)
+            environment.late(number)
         case ("leave", int(number)):
-            outside.leave(number)
+            environment.leave(number)
         case ("wait", float(seconds)):
-            outside.wait(seconds)
+            environment.wait(seconds)
         case (str(word), int(number), *rest):
-            attempt = outside.pick(number)
+            attempt = environment.pick(number)
             if attempt is not None:
-                act_on(outside, attempt, word, rest)
+                apply_to_attempt(environment, attempt, word, rest)
         case _:
             raise AssertionError(step)
 
 
-def act_on(outside: Outside, attempt: Sent, word: str, rest: list[object]) -> None:
-    """Let something happen to an attempt."""
+def apply_to_attempt(
+    environment: Environment, attempt: ObservedAttempt, word: str, rest: list[object]
+) -> None:
+    """Apply a step to an attempt."""
     match word, rest:
         case "send", []:
-            outside.send(attempt)
+            environment.send(attempt)
         case "token", []:
-            outside.token(attempt)
+            environment.token(attempt)
         case "end", [end]:
             assert isinstance(end, AttemptEnd)
-            outside.end(attempt, end)
+            environment.end(attempt, end)
         case _:
             raise AssertionError(word)
 
 
 @settings(max_examples=300, deadline=None)
 @given(kind=st.sampled_from(Kind), steps=STEPS)
-def test_every_request_gets_one_true_account(kind: Kind, steps: list[tuple[object, ...]]) -> None:
-    # Requests arrive, attempts end in every way, callers leave, late answers come in, in any order.
-    # Each request has exactly one account at the end; `not_run` is never said of what may have run;
-    # what must not be repeated never starts twice; streams go on where they were. `Outside` checks.
-    outside = Outside(kind)
+def test_every_request_gets_one_correct_account(
+    kind: Kind, steps: list[tuple[object, ...]]
+) -> None:
+    """Guards against violated guarantees in any order of events.
+
+    Each request has one account, `not_run` only if it did not run, at most one run if it is not
+    repeatable, and a stream that resumes where it stopped.
+    """
+    environment = Environment(kind)
     for step in steps:
-        take_step(outside, step)
+        take_step(environment, step)
     for _ in range(100):
-        for attempt in list(outside.attempts.values()):
+        for attempt in list(environment.attempts.values()):
             end = EndCancelled(0) if attempt.cancelled else EndComplete(200)
-            outside.end(attempt, end)
-        outside.wait(1.0)
-        if not outside.state.requests:
+            environment.end(attempt, end)
+        environment.wait(1.0)
+        if not environment.state.requests:
             break
-    assert all(len(each.accounts) == 1 for each in outside.watched.values())
-    assert not outside.state.queues.index
-    assert not outside.state.quarantine.held
-    assert not outside.state.quarantine.own
-    assert not any(server.in_flight for server in outside.state.servers.by_name.values())
+    assert all(len(each.accounts) == 1 for each in environment.observed_requests.values())
+    assert not environment.state.queues.index
+    assert not environment.state.quarantine.held
+    assert not environment.state.quarantine.own
+    assert not any(server.in_flight for server in environment.state.servers.by_name.values())
