--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -81,15 +81,21 @@
 
 
 def _is_relay_unresponsive(state: State, now: float) -> bool:
-    news = state.news
-    return news.plan.teller is not None and now - news.teller_heard_at > _RELAY_TIMEOUT_S
+    update_state = state.news
+    return (
+        update_state.plan.teller is not None
+        and now - update_state.teller_heard_at > _RELAY_TIMEOUT_S
+    )
 
 
 def _plan_with_relays(state: State, now: float) -> TellingPlan:
     """Return the plan of an instance that uses a relay, or is one."""
-    news = state.news
-    if _is_relay_unresponsive(state, now) and news.plan.teller is not None:
-        news.silent_teller, news.silent_until = news.plan.teller.name, now + _RELAY_RETRY_AFTER_S
+    update_state = state.news
+    if _is_relay_unresponsive(state, now) and update_state.plan.teller is not None:
+        update_state.silent_teller, update_state.silent_until = (
+            update_state.plan.teller.name,
+            now + _RELAY_RETRY_AFTER_S,
+        )
     local_instances = membership.live_instances(state, now, state.me.data_centre)
     local_relays = telling.tellers(local_instances)
     me = state.me.name
@@ -97,12 +103,18 @@
     if any(each.name == me for each in local_relays):
         return TellingPlan(is_direct=False, tellers=other_relays)
     usable_relays = [
-        each for each in local_relays if each.name != news.silent_teller or now > news.silent_until
+        each
+        for each in local_relays
+        if each.name != update_state.silent_teller or now > update_state.silent_until
     ]
     name = telling.teller_of(usable_relays or local_relays, me)
     relay = None if name is None else membership.member(state, name)
-    if news.plan.teller is None or relay is None or news.plan.teller.name != relay.name:
-        news.teller_heard_at = now
+    if (
+        update_state.plan.teller is None
+        or relay is None
+        or update_state.plan.teller.name != relay.name
+    ):
+        update_state.teller_heard_at = now
     return TellingPlan(is_direct=False, teller=relay, tellers=other_relays)
 
 
@@ -163,8 +175,8 @@
         return effects
     relay_state.bundle_due = now + _BUNDLE_INTERVAL_MAX_S
     bundled = [
-        BundledNews(origin, news, round((now - received_at) * _MS))
-        for origin, (received_at, news) in relay_state.news.items()
+        BundledNews(origin, update, round((now - received_at) * _MS))
+        for origin, (received_at, update) in relay_state.news.items()
     ]
     relay_state.news.clear()
     bundled.append(BundledNews(state.me.name, own_update, 0))
@@ -214,8 +226,8 @@
     parts = [*relay_state.parts, *own_update.parts][-_PARTS_PER_BUNDLE_MAX:]
     relay_state.parts.clear()
     demand = _sum_demand(state, now, own_update.demand)
-    news = LoadNews(state.me.incarnation, relay_state.seq, rows, parts, demand, is_complete)
-    return BundledNews(state.me.name + _SUM_SUFFIX, news, 0)
+    update = LoadNews(state.me.incarnation, relay_state.seq, rows, parts, demand, is_complete)
+    return BundledNews(state.me.name + _SUM_SUFFIX, update, 0)
 
 
 def _sum_row(state: State, now: float, name: ServerName, record: EngineBook) -> LoadRow | None:
--- a/packages/turmericweir-core/turmericweir_core/placement/admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/admission.py
@@ -1,10 +1,10 @@
 """Refuse requests that cannot be answered in time, with a time to retry after.
 
 The wait of a new request is predicted as the work ahead of it, in its own and more urgent tiers,
-over the rate at which this instance's backlog drains. A request whose predicted wait exceeds its
-deadline is refused at once. Before an upper tier is refused, lower work gives way: a running
-attempt is displaced or a waiting request is dropped. Only new and waiting requests are refused,
-never finished answers.
+over the rate at which this instance's backlog drains. A request whose predicted wait exceeds a
+share of the time to its deadline is refused at once. Before an upper tier is refused, lower work
+gives way: a running attempt is displaced or a waiting request is dropped. Only new and waiting
+requests are refused, never finished answers.
 """
 
 from __future__ import annotations
@@ -49,36 +49,36 @@
 def decide(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
     """Decide whether a new request may wait for a server."""
     if state.config.policy is Policy.BASELINE:
-        return _judge_baseline(state, req)
+        return _decide_baseline(state, req)
     if state.config.policy is Policy.PREDICTED:
-        return _judge_predicted(state, now, req, pool)
-    wait = predicted_wait_s(state, now, req, pool)
-    if _can_finish_in_time(state, now, req, wait) and not _is_queue_full(state, req):
+        return _decide_predicted(state, now, req, pool)
+    wait_s = predicted_wait_s(state, now, req, pool)
+    if _is_wait_acceptable(state, now, req, wait_s) and not _is_queue_full(state, req):
         return Admitted()
     lower_work = _find_lower_work(state, now, req, pool)
-    return lower_work or Refused(retry_after(state, now, req, wait))
+    return lower_work or Refused(retry_after(state, now, req, wait_s))
 
 
-def _judge_baseline(state: State, req: Request) -> Admitted | Refused:
+def _decide_baseline(state: State, req: Request) -> Admitted | Refused:
     if _is_queue_full(state, req):
         return Refused(state.options.retry_after_min_s)
     return Admitted()
 
 
-def _judge_predicted(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
+def _decide_predicted(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
     # Counts refused requests too. Prevents a kind of request with too few engines from keeping too
     # few, because most of its requests are refused.
     engine_pools.note_demand(state, now, req, open_servers(state, now, req.target))
-    wait = predicted_admission.wait_s(state, now, req, pool)
-    if predicted_admission.can_answer_in_time(state, now, req, wait) and not _is_queue_full(
+    wait_s = predicted_admission.wait_s(state, now, req, pool)
+    if predicted_admission.can_answer_in_time(state, now, req, wait_s) and not _is_queue_full(
         state, req
     ):
         return Admitted()
     dropped = displacement.waiting_request_to_drop(state, pool, req.priority)
     if dropped is not None:
         return Admitted(drop=dropped)
-    retry_after_s = predicted_admission.retry_after(state, now, req, wait)
-    return Refused(retry_after_s, predicted_admission.explain(state, now, req, wait))
+    retry_after_s = predicted_admission.retry_after(state, now, req, wait_s)
+    return Refused(retry_after_s, predicted_admission.explain(state, now, req, wait_s))
 
 
 def _is_queue_full(state: State, req: Request) -> bool:
@@ -104,7 +104,7 @@
     note_arrival(load, state.options, now, req.priority, queue_state.cost(req))
 
 
-# --- the wait --------------------------------------------------------------------------------
+# --- predicted wait --------------------------------------------------------------------------
 
 
 def predicted_wait_s(state: State, now: float, req: Request, pool: str) -> float:
@@ -116,15 +116,16 @@
         return 0.0
     work_ahead = _work_ahead(state, req, pool)
     upper_arrival_rate = arrival_rate(load, state.options, now, req.priority)
-    wait = _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
-    if _can_finish_in_time(state, now, req, wait):
-        return wait
+    wait_s = _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
+    if _is_wait_acceptable(state, now, req, wait_s):
+        return wait_s
     rate = drain_rate(load, idle_slots_share(state, now, req.target)) or rate
     return _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
 
 
-def _can_finish_in_time(state: State, now: float, req: Request, wait: float) -> bool:
-    return wait <= state.options.admit_share * (req.deadline - now)
+def _is_wait_acceptable(state: State, now: float, req: Request, wait_s: float) -> bool:
+    """Return whether a predicted wait is within the allowed share of the time left."""
+    return wait_s <= state.options.admit_share * (req.deadline - now)
 
 
 def _work_ahead(state: State, req: Request, pool: str) -> float:
@@ -165,11 +166,11 @@
         )
         for req, late_work_ahead in queue.late_ends():
             work_ahead = _work_ahead(state, req, pool) + late_work_ahead
-            wait = _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
-            is_hopeless = not req.may_have_run and wait > req.deadline - now
+            wait_s = _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
+            is_hopeless = not req.may_have_run and wait_s > req.deadline - now
             # Lower work gives way first, as for a new request.
             if is_hopeless and _find_lower_work(state, now, req, pool) is None:
-                unservable.append(UnservableRequest(req, retry_after(state, now, req, wait)))
+                unservable.append(UnservableRequest(req, retry_after(state, now, req, wait_s)))
     return unservable
 
 
@@ -192,8 +193,8 @@
     return window_s + (work_ahead - drained_in_window) / max(rate, MIN_DRAIN_RATE)
 
 
-def retry_after(state: State, now: float, req: Request, wait: float) -> float:
+def retry_after(state: State, now: float, req: Request, wait_s: float) -> float:
     """Return the time after which the backlog has drained enough for such a request."""
     options = state.options
-    overrun_s = wait - (req.deadline - now)
+    overrun_s = wait_s - (req.deadline - now)
     return min(options.retry_after_max_s, max(options.retry_after_min_s, overrun_s))
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_books.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_books.py
@@ -73,7 +73,7 @@
 
 
 def record_outcome(state: State, now: float, attempt: Attempt, end: AttemptEnd) -> None:
-    """Record whether a server failed; an end that this instance caused does not count."""
+    """Record whether a server failed; a cancelled attempt counts only if it was unresponsive."""
     match end:
         case EndComplete(status=status):
             failed = status >= _SERVER_ERROR_STATUS_MIN
--- a/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
@@ -21,16 +21,16 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Longer than several engine steps with a chunk, and short enough that a request can go on elsewhere
-# before callers give the stream up.
+# Time without tokens after which an attempt is unresponsive: longer than several engine steps with
+# a chunk, and short enough that a request can go on elsewhere before callers give the stream up.
 _UNRESPONSIVE_S: Final = 0.6
 # An answer that has not begun is unresponsive only after this multiple of its predicted time.
 _PREDICTED_FACTOR: Final = 3.0
-# Interval between probes of a server that answers, between probes of one that does not, and the
-# failures in a row that count, since one packet may be lost.
+# Interval between probes of a server that answers, interval between probes of one that does not,
+# and the failures in a row after which it counts as dead: one packet may be lost.
 _ANSWERING_PROBE_INTERVAL_S: Final = 2.0
 _RETRY_INTERVAL_S: Final = 0.15
-_FAILURES_MAX: Final = 2
+_DEAD_AFTER_FAILURES: Final = 2
 _MS: Final = 1000.0
 
 
@@ -81,7 +81,7 @@
     if suspicion is None:
         return []
     suspicion.failures += 1
-    if suspicion.failures < _FAILURES_MAX:
+    if suspicion.failures < _DEAD_AFTER_FAILURES:
         return []
     del state.dead.by_server[name]
     effects: list[Effect] = [Count("server.dead"), Log("server_dead", {"peer": name})]
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -175,10 +175,10 @@
 
 
 def _needs_fresh_connection(req: Request) -> bool:
-    """Return whether the request must not be lost on a dead connection.
+    """Return whether a request needs a connection that carried nothing before.
 
-    A non-repeatable plain call may have had its effect, which the caller cannot learn. It gets a
-    connection that carried nothing before.
+    Prevents the loss of a non-repeatable plain call on a dead connection, after which its caller
+    cannot learn whether it ran.
     """
     return req.kind is Kind.PLAIN and not req.repeatable
 
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -126,13 +126,13 @@
     This is the newest request of the least urgent class, late ones first. The first request of each
     class is never dropped, nor one that may have run, since `not_run` would be wrong for it.
     """
-    lower = [
+    lower_queues = [
         queue
         for queue in queue_state.pool_queues(state.queues, pool)
         if queue.service_class.priority > tier and len(queue) > 1
     ]
-    lower.sort(key=lambda queue: queue.service_class.priority, reverse=True)
-    for queue in lower:
+    lower_queues.sort(key=lambda queue: queue.service_class.priority, reverse=True)
+    for queue in lower_queues:
         newest = queue.newest()
         if newest is not queue.head() and not newest.may_have_run:
             return newest
--- a/packages/turmericweir-core/turmericweir_core/placement/placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/placement.py
@@ -95,9 +95,11 @@
 def _remaining_share(state: State, now: float, server: Server) -> int:
     """Count the requests left of this instance's share of a server."""
     instance_count = sharing_instances(state, any_target(server))
-    own_requests = server.own_at_report
-    free_slots = usable_slots(state, server) - own_requests - others_load(state, now, server)
-    return own_requests + max(1, free_slots // instance_count) - len(server.in_flight)
+    own_requests_at_report = server.own_at_report
+    free_slots = (
+        usable_slots(state, server) - own_requests_at_report - others_load(state, now, server)
+    )
+    return own_requests_at_report + max(1, free_slots // instance_count) - len(server.in_flight)
 
 
 def _server_with_longest_prefix(
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
@@ -90,19 +90,21 @@
     return all(rank_of(queue.service_class) <= rank_of(req.service_class) for queue in queues)
 
 
-def retry_after(state: State, now: float, req: Request, wait: float) -> float:
+def retry_after(state: State, now: float, req: Request, predicted_wait_s: float) -> float:
     """Return the time after which such a request could be answered in time."""
     options = state.options
-    deadline_overrun_s = wait + predicted_generation_s(state, now, req) - (req.deadline - now)
-    excess_s = max(wait - req.service_class.target_s, deadline_overrun_s)
+    deadline_overrun_s = (
+        predicted_wait_s + predicted_generation_s(state, now, req) - (req.deadline - now)
+    )
+    excess_s = max(predicted_wait_s - req.service_class.target_s, deadline_overrun_s)
     return min(options.retry_after_max_s, max(options.retry_after_min_s, excess_s))
 
 
-def explain(state: State, now: float, req: Request, wait: float) -> dict[str, object]:
+def explain(state: State, now: float, req: Request, predicted_wait_s: float) -> dict[str, object]:
     """Return the inputs of a refusal for its log line."""
     return {
         "service_class": req.service_class.name,
-        "wait_ms": round(wait * _MS),
+        "wait_ms": round(predicted_wait_s * _MS),
         "answer_ms": round(predicted_generation_s(state, now, req) * _MS),
         "expected_tokens": req.expected_tokens,
         "left_ms": round((req.deadline - now) * _MS),
--- a/tests/core/placement/test_admission.py
+++ b/tests/core/placement/test_admission.py
@@ -27,8 +27,8 @@
 
 def shed_accounts(world: LoadWorld) -> Iterable[Account]:
     """Yield the accounts of requests that were refused or dropped for lack of capacity."""
-    for told in world.told.values():
-        for account in told.accounts:
+    for outcomes in world.told.values():
+        for account in outcomes.accounts:
             if account.reason in (Reason.OVERLOAD, Reason.DISPLACED):
                 yield account
 
--- a/tests/core/placement/test_straggler.py
+++ b/tests/core/placement/test_straggler.py
@@ -44,7 +44,7 @@
         # Tokens a second of each running attempt.
         self.pace = dict.fromkeys(self.world.config.servers, 50.0)
         self._sent: Counter[str] = Counter()
-        self._due: dict[str, float] = {}
+        self._tokens_due: dict[str, float] = {}
         self.world.advance(0.2)
 
     def run(self, seconds: float, *, waiting: int = 4, class_name: str = "fitting") -> None:
@@ -58,9 +58,9 @@
             self.world.advance(0.1)
 
     def _generate(self, running: Running) -> None:
-        tokens_due = self._due.get(running.attempt_id, 0.0) + 0.1 * self.pace[running.server]
+        tokens_due = self._tokens_due.get(running.attempt_id, 0.0) + 0.1 * self.pace[running.server]
         tokens = int(tokens_due)
-        self._due[running.attempt_id] = tokens_due - tokens
+        self._tokens_due[running.attempt_id] = tokens_due - tokens
         if tokens:
             self._sent[running.attempt_id] += tokens
             self.world.progress(running, tokens)
@@ -257,7 +257,7 @@
         )
         self.world.advance(0.2)
         self.gap_s = dict.fromkeys(self.world.config.servers, case.gap_s)
-        self._due: dict[AttemptId, float] = {}
+        self._next_token_at: dict[AttemptId, float] = {}
         for number in range(servers):
             self.arrive_at(ServerName(f"s{number}"), f"r{number}", case)
         self.run(3.0)
@@ -284,9 +284,11 @@
         while self.world.now < until:
             self.world.now += 0.01
             for running in list(self.world.running.values()):
-                due = self._due.setdefault(running.attempt_id, self.world.now)
-                if self.world.now >= due - 1e-9:
-                    self._due[running.attempt_id] = due + self.gap_s[running.server]
+                next_token_at = self._next_token_at.setdefault(running.attempt_id, self.world.now)
+                if self.world.now >= next_token_at - 1e-9:
+                    self._next_token_at[running.attempt_id] = (
+                        next_token_at + self.gap_s[running.server]
+                    )
                     self.world.progress(running, 1)
             if self.world.now - ticked >= self.world.options.tick_s:
                 ticked = self.world.now
