--- a/packages/turmericweir/turmericweir/answers/__init__.py
+++ b/packages/turmericweir/turmericweir/answers/__init__.py
@@ -1,1 +1,1 @@
-"""Shape what callers are answered, whatever server it came from."""
+"""Build the answers that callers receive."""
--- a/packages/turmericweir/turmericweir/answers/caller_answer.py
+++ b/packages/turmericweir/turmericweir/answers/caller_answer.py
@@ -1,13 +1,12 @@
-"""Answers on their way to the caller, in the three forms that callers ask for.
+"""Answers to callers of the completion and service interface.
 
-`StreamAnswer` passes an engine's tokens on as they come, `WholeAnswer` gathers them for a caller
-that did not ask for a stream, `PlainAnswer` passes a plain service's answer on. All begin to write
-as late as they can, so that a retry before the first byte is invisible, and all end in `finish`
-with the request's account.
+`StreamAnswer` forwards an engine's tokens as they arrive, `WholeAnswer` collects them in one JSON
+answer, and `PlainAnswer` forwards a plain service's answer. Writing starts as
+late as possible, because a retry is invisible to the caller until the first byte. Every answer ends
+with `finish`.
 
-What an attempt receives is first kept here and then flushed. A flush waits where the caller reads
-slowly, and may be cancelled there together with the attempt; what is kept goes out with the next
-flush, so the caller's bytes stay whole over all attempts.
+Received data is buffered before it is flushed. A flush to a slow caller may be cancelled together
+with its attempt; the next flush then sends the data that remains in the buffer.
 """
 
 from __future__ import annotations
@@ -17,7 +16,7 @@
 import orjson
 
 from turmericweir.answers import sse
-from turmericweir.answers.caller_problem import Problem, account_headers, problem_of_account
+from turmericweir.answers.caller_problem import Problem, account_headers, make_account_problem
 from turmericweir_core.base.account import Account, Outcome
 from turmericweir_core.messages.effects import ReplayAnswer
 from turmericweir_core.records.claim_answer import KeptAnswer
@@ -26,28 +25,28 @@
     from uvicorn._types import ASGISendCallable
 
 _EVENT_STREAM: Final = b"text/event-stream"
-# A cache or proxy that held events back would cost the stream its use.
+# Prevents caches and proxies from delaying events.
 _NO_CACHE: Final = (b"cache-control", b"no-cache")
 OUTCOME_EVENT: Final = b"event: turmericweir.outcome\ndata: "
-# The account gives the outcome at the end of a stream, so its head cannot.
+# The outcome header of a stream, whose outcome is unknown until its last event.
 IN_STREAM: Final = b"in-stream"
-_WITHOUT_BODY: Final = frozenset({204, 304})
-# Tells a caller that its call was not run for it, but for an earlier one with its key.
-REPLAYED: Final = (b"idempotent-replayed", b"true")
+_STATUSES_WITHOUT_BODY: Final = frozenset({204, 304})
+# Marks the stored answer of an earlier call with the same idempotency key.
+REPLAYED_HEADER: Final = (b"idempotent-replayed", b"true")
 
 
 class WriteCoalescer(Protocol):
-    """What a caller's connection offers for a head that goes out with its body."""
+    """The part of a caller's transport that joins the head of an answer with its body."""
 
     def delay_next_write(self) -> None:
-        """Keep the next write until another one or `flush_delayed`."""
+        """Delay the next write until another write or `flush_delayed`."""
 
     def flush_delayed(self) -> None:
-        """Write what is kept still."""
+        """Send the delayed write."""
 
 
 class Caller:
-    """The caller's side of one request: where an answer is written."""
+    """Writes the answer to one request to its caller."""
 
     __slots__ = (
         "_coalescer",
@@ -61,11 +60,11 @@
     _send: ASGISendCallable
     _coalescer: WriteCoalescer
     request_id: str
-    # The head of the answer was written.
+    # Whether the head of the answer was written.
     is_started: bool
-    # A write waits for the caller to read.
+    # Whether a write waits for the caller to read.
     is_write_blocked: bool
-    # Ask the caller to close the connection: this instance is stopping.
+    # Whether the answer asks the caller to close the connection.
     should_close: bool
 
     def __init__(self, request_id: str, send: ASGISendCallable, coalescer: WriteCoalescer) -> None:
@@ -77,7 +76,7 @@
         self.should_close = False
 
     async def write_head(self, status: int, headers: list[tuple[bytes, bytes]]) -> None:
-        """Write status and headers, together with the part of the body that comes next."""
+        """Write status and headers; they are sent together with the first part of the body."""
         self.is_started = True
         if self.should_close:
             headers = [*headers, (b"connection", b"close")]
@@ -85,70 +84,70 @@
         await self._send({"type": "http.response.start", "status": status, "headers": headers})
 
     async def write_body(self, data: bytes, *, more: bool) -> None:
-        """Write a part of the body, waiting for the caller to read what came before."""
+        """Write a part of the body, and wait while the caller's buffer is full."""
         self.is_write_blocked = True
         try:
             await self._send({"type": "http.response.body", "body": data, "more_body": more})
         finally:
             self.is_write_blocked = False
-            # An answer without a body writes none, and its head must go out all the same.
+            # Sends the delayed head of an answer without a body.
             self._coalescer.flush_delayed()
 
     async def write_problem(self, problem: Problem) -> None:
-        """Write a whole problem answer."""
+        """Write a complete problem answer."""
         await self.write_head(problem.status, problem.headers)
         await self.write_body(problem.body, more=False)
 
 
 class Answer(Protocol):
-    """What the exchange needs of any answer."""
+    """The part of an answer that an exchange uses."""
 
     async def finish(self, account: Account) -> bool:
-        """Write the end; False means that the connection must be cut instead."""
+        """Write the end of the answer; return False if the connection must be reset instead."""
 
 
 class TokenAnswer:
-    """An answer made of an engine's token events."""
+    """An answer that consists of an engine's token events."""
 
-    __slots__ = ("_parts", "_whole", "caller")
+    __slots__ = ("_event_chunks", "_whole_answer", "caller")
 
     caller: Caller
-    # Whole events received so far, over all attempts, in order.
-    _parts: list[bytes]
-    # An answer of the engine that is no stream: status, content type, body.
-    _whole: tuple[int, bytes, bytes] | None
+    # Chunks of complete events from all attempts, in order.
+    _event_chunks: list[bytes]
+    # The engine's answer if it is not a stream: status, content type, body.
+    _whole_answer: tuple[int, bytes, bytes] | None
 
     def __init__(self, caller: Caller) -> None:
         self.caller = caller
-        self._parts = []
-        self._whole = None
+        self._event_chunks = []
+        self._whole_answer = None
 
     def restart_at(self, tokens: int) -> None:
-        """Prepare for an attempt that goes on after so many tokens."""
+        """Prepare for an attempt that resumes after this number of tokens."""
         raise NotImplementedError
 
     def keep(self, events: bytes) -> None:
-        """Take whole events."""
-        self._parts.append(events)
+        """Buffer a chunk of complete events."""
+        self._event_chunks.append(events)
 
     async def flush(self) -> None:
-        """Pass on what was kept, where the caller wants it as it comes."""
+        """Write buffered events if the caller wants a stream."""
         raise NotImplementedError
 
     def text(self, tokens: int) -> str:
-        """Give the text of the first tokens."""
-        return sse.text_of(self._parts, tokens)
+        """Return the text of the first tokens."""
+        return sse.join_token_texts(self._event_chunks, tokens)
 
     def whole(self, status: int, content_type: bytes, body: bytes) -> None:
-        """Take an answer that is no stream, such as an engine's refusal of a bad request."""
-        self._whole = (status, content_type, body)
+        """Record an answer that is not a stream, for example an error status."""
+        self._whole_answer = (status, content_type, body)
 
     async def finish(self, account: Account) -> bool:
-        """Write the end."""
+        """Write the end of the answer; return False if the connection must be reset instead."""
         raise NotImplementedError
 
-    async def _finish_whole(self, account: Account, whole: tuple[int, bytes, bytes]) -> None:
-        status, content_type, body = whole
+    async def _write_whole_answer(self, account: Account, answer: tuple[int, bytes, bytes]) -> None:
+        status, content_type, body = answer
         headers = [
             (b"content-type", content_type or b"application/octet-stream"),
             (b"content-length", b"%d" % len(body)),
@@ -159,29 +158,29 @@
 
 
 class StreamAnswer(TokenAnswer):
-    """Passes tokens on as they come."""
+    """Forwards tokens as they arrive."""
 
-    __slots__ = ("_flushed",)
+    __slots__ = ("_flushed_chunks",)
 
-    # How many of the parts were written.
-    _flushed: int
+    # The number of chunks that were written.
+    _flushed_chunks: int
 
     def __init__(self, caller: Caller) -> None:
         super().__init__(caller)
-        self._flushed = 0
+        self._flushed_chunks = 0
 
     def restart_at(self, tokens: int) -> None:
-        """Go on: what the caller was sent cannot be taken back."""
+        """Do nothing, because the caller already has the tokens."""
 
     async def flush(self) -> None:
-        """Write the events that were not written yet."""
+        """Write all events that were not written yet."""
         caller = self.caller
         if not caller.is_started:
             await caller.write_head(200, self._head())
-        parts = self._parts
-        while self._flushed < len(parts):
-            await caller.write_body(parts[self._flushed], more=True)
-            self._flushed += 1
+        event_chunks = self._event_chunks
+        while self._flushed_chunks < len(event_chunks):
+            await caller.write_body(event_chunks[self._flushed_chunks], more=True)
+            self._flushed_chunks += 1
 
     def _head(self) -> list[tuple[bytes, bytes]]:
         request_id, _ = account_headers(self.caller.request_id, Outcome.COMPLETED)
@@ -193,27 +192,26 @@
         ]
 
     async def finish(self, account: Account) -> bool:
-        """Write the outcome event, and [DONE] only where the answer is whole."""
+        """Write the outcome event, and [DONE] if the answer is complete."""
         completed = account.outcome is Outcome.COMPLETED
-        if completed and self._whole is not None:
-            await self._finish_whole(account, self._whole)
+        if completed and self._whole_answer is not None:
+            await self._write_whole_answer(account, self._whole_answer)
             return True
         if not completed and not self.caller.is_started:
-            await self.caller.write_problem(problem_of_account(account))
+            await self.caller.write_problem(make_account_problem(account))
             return True
         await self.flush()
-        # The outcome comes before [DONE], where many clients stop reading.
+        # The outcome precedes [DONE], because many clients stop reading there.
         end = outcome_event(account) + (sse.DONE if completed else b"")
         await self.caller.write_body(end, more=False)
         return True
 
 
 class WholeAnswer(TokenAnswer):
-    """Gathers tokens to one JSON answer."""
+    """Collects tokens in one JSON answer."""
 
     __slots__ = ("prompt_tokens",)
 
-    # For the usage in the answer.
     prompt_tokens: int
 
     def __init__(self, caller: Caller, prompt_tokens: int) -> None:
@@ -221,36 +219,36 @@
         self.prompt_tokens = prompt_tokens
 
     def restart_at(self, tokens: int) -> None:
-        """Forget what came after the tokens from which the next attempt goes on."""
-        events = list(sse.data_events(self._parts)) if tokens else []
-        self._parts = events[:tokens]
+        """Discard the tokens after those from which the next attempt resumes."""
+        events = list(sse.data_events(self._event_chunks)) if tokens else []
+        self._event_chunks = events[:tokens]
 
     async def flush(self) -> None:
-        """Write nothing before the end."""
+        """Do nothing, because `finish` writes the whole answer."""
 
     async def finish(self, account: Account) -> bool:
-        """Write the whole answer, or the problem."""
+        """Write the complete answer or a problem."""
         if account.outcome is not Outcome.COMPLETED:
-            await self.caller.write_problem(problem_of_account(account))
-        elif self._whole is not None:
-            await self._finish_whole(account, self._whole)
+            await self.caller.write_problem(make_account_problem(account))
+        elif self._whole_answer is not None:
+            await self._write_whole_answer(account, self._whole_answer)
         else:
-            value = sse.aggregate(self._parts, account.request_id, self.prompt_tokens)
+            value = sse.aggregate(self._event_chunks, account.request_id, self.prompt_tokens)
             body = orjson.dumps(value)
-            await self._finish_whole(account, (200, b"application/json", body))
+            await self._write_whole_answer(account, (200, b"application/json", body))
         return True
 
 
 class PlainAnswer:
-    """Passes a plain service's answer on."""
+    """Forwards a plain service's answer."""
 
     __slots__ = (
+        "_announced_bytes",
         "_headers",
-        "_keep_max",
-        "_kept",
-        "_length",
-        "_received",
+        "_received_bytes",
         "_status",
+        "_stored_body",
+        "_stored_max_bytes",
         "_unsent",
         "caller",
     )
@@ -258,80 +256,79 @@
     caller: Caller
     _status: int
     _headers: list[tuple[bytes, bytes]]
-    # Length of the body as the service announced it, or None.
-    _length: int | None
-    _received: int
-    # Bytes that were kept and not written yet.
+    # The body's length according to the service, or None.
+    _announced_bytes: int | None
+    _received_bytes: int
+    # Received bytes that were not written yet.
     _unsent: bytes
-    # Bodies up to this length are kept whole for a caller who sends the same key again.
-    _keep_max: int
-    _kept: bytes
+    # Bodies up to this length are stored for replays with the same idempotency key.
+    _stored_max_bytes: int
+    _stored_body: bytes
 
-    def __init__(self, caller: Caller, keep_max: int = 0) -> None:
+    def __init__(self, caller: Caller, stored_max_bytes: int = 0) -> None:
         self.caller = caller
-        self._keep_max = keep_max
+        self._stored_max_bytes = stored_max_bytes
         self.begin(0, ())
 
     def begin(self, status: int, headers: tuple[tuple[bytes, bytes], ...]) -> None:
-        """Take status and headers of an attempt's answer."""
+        """Record the status and the headers of an attempt's answer."""
         self._status = status
-        if status in _WITHOUT_BODY:
-            # Its length is that of the answer with a body, which will not come.
+        if status in _STATUSES_WITHOUT_BODY:
+            # The announced length belongs to an answer with a body.
             headers = tuple(each for each in headers if each[0] != b"content-length")
         self._headers = list(headers)
-        self._length = _content_length(headers)
-        self._received = 0
+        self._announced_bytes = _content_length(headers)
+        self._received_bytes = 0
         self._unsent = b""
-        self._kept = b""
+        self._stored_body = b""
 
     def keep(self, data: bytes) -> None:
-        """Take a part of the body."""
-        self._received += len(data)
+        """Buffer a part of the body."""
+        self._received_bytes += len(data)
         self._unsent += data
-        if self._received <= self._keep_max:
-            self._kept += data
+        if self._received_bytes <= self._stored_max_bytes:
+            self._stored_body += data
 
     def kept(self) -> KeptAnswer | None:
-        """Give the whole answer, where it is to be kept and small enough."""
-        if not self._keep_max or self._received > self._keep_max:
+        """Return the complete answer if it should be stored and is small enough."""
+        if not self._stored_max_bytes or self._received_bytes > self._stored_max_bytes:
             return None
-        return KeptAnswer(self._status, tuple(self._headers), self._kept)
+        return KeptAnswer(self._status, tuple(self._headers), self._stored_body)
 
     def replay(self, effect: ReplayAnswer) -> None:
-        """Take the answer of an earlier call in place of one of a server."""
-        self.begin(effect.status, (*effect.headers, REPLAYED))
+        """Use the stored answer of an earlier call."""
+        self.begin(effect.status, (*effect.headers, REPLAYED_HEADER))
         self.keep(effect.body)
 
     @property
     def is_whole(self) -> bool:
-        """Whether all of the announced length has come."""
-        return self._received == self._length
+        """Whether the announced length was received."""
+        return self._received_bytes == self._announced_bytes
 
     async def flush(self) -> None:
-        """Write what was kept, with the head before the first part."""
+        """Write buffered data, preceded by the head if it was not written."""
         data = self._unsent
         if data:
-            await self._start()
+            await self._write_head()
             await self.caller.write_body(data, more=True)
             self._unsent = b""
 
-    async def _start(self) -> None:
+    async def _write_head(self) -> None:
         if self.caller.is_started:
             return
-        # Said before the end: a cut after this closes the connection uncleanly, so the caller
-        # never takes the part for a whole answer.
-        named = account_headers(self.caller.request_id, Outcome.COMPLETED)
-        await self.caller.write_head(self._status, [*self._headers, *named])
+        # Writing this outcome before the end is safe, because a partial answer ends in a reset.
+        common_headers = account_headers(self.caller.request_id, Outcome.COMPLETED)
+        await self.caller.write_head(self._status, [*self._headers, *common_headers])
 
     async def finish(self, account: Account) -> bool:
-        """Write the rest, or the problem, or ask for the connection to be cut."""
+        """Write the rest or a problem; return False if the connection must be reset."""
         if account.outcome is Outcome.COMPLETED:
-            await self._start()
+            await self._write_head()
             await self.caller.write_body(self._unsent, more=False)
             return True
         if self.caller.is_started:
             return False
-        await self.caller.write_problem(problem_of_account(account))
+        await self.caller.write_problem(make_account_problem(account))
         return True
 
 
@@ -343,7 +340,7 @@
 
 
 def outcome_event(account: Account) -> bytes:
-    """Build the event that tells a streamed request's outcome."""
+    """Return the event with a streamed request's outcome."""
     value = {
         "outcome": account.outcome.value,
         "reason": account.reason.value,
--- a/packages/turmericweir/turmericweir/answers/caller_problem.py
+++ b/packages/turmericweir/turmericweir/answers/caller_problem.py
@@ -1,6 +1,6 @@
-"""Answers to a caller that was not served: problem details, as in RFC 9457.
+"""Problem answers as in RFC 9457, for requests that were refused or failed.
 
-The outcome decides the status; the reason refines it where nothing was run.
+The status depends on the outcome and, for requests that were not run, on the reason.
 """
 
 from __future__ import annotations
@@ -20,40 +20,40 @@
 PROBLEM_TYPE: Final = b"application/problem+json"
 _TYPE_PREFIX: Final = "urn:turmericweir:reason:"
 
-# Of requests that were not run; the others of them answer 503.
-_STATUS: Final[dict[Reason, int]] = {
+# The status of requests that were not run; 503 for all other reasons.
+_STATUS_BY_REASON: Final[dict[Reason, int]] = {
     Reason.BAD_REQUEST: 400,
     Reason.UNAUTHORISED: 401,
     Reason.UNKNOWN_CLASS: 403,
     Reason.UNKNOWN_TARGET: 404,
     Reason.TOO_SLOW: 408,
     Reason.TOO_LARGE: 413,
-    # As the draft of the Idempotency-Key header has it.
+    # As in the draft of the Idempotency-Key header.
     Reason.KEY_REUSED: 422,
     Reason.CUSTOMER_LIMIT: 429,
     Reason.TEAM_LIMIT: 429,
     Reason.DEADLINE: 504,
 }
-# Of requests that failed or whose fate is unknown.
+# The status of requests that failed or whose outcome is unknown.
 _STATUS_AFTER_START: Final = 502
 _STATUS_OVERLOADED: Final = 503
-# Named to callers whose refusal is temporary where the account names no time itself.
-RETRY_AFTER_S: Final = 1.0
+# The `retry-after` of temporary refusals for which the account has no time.
+DEFAULT_RETRY_AFTER_S: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """A problem answer, ready to be sent."""
+    """A complete problem answer."""
 
     status: int
     headers: list[tuple[bytes, bytes]]
     body: bytes
 
 
-def problem_of_account(account: Account) -> Problem:
-    """Build the answer to a request that ended without its server's whole answer."""
+def make_account_problem(account: Account) -> Problem:
+    """Return the answer to a request that ended without a complete answer of its server."""
     if account.outcome is Outcome.NOT_RUN:
-        status = _STATUS.get(account.reason, _STATUS_OVERLOADED)
+        status = _STATUS_BY_REASON.get(account.reason, _STATUS_OVERLOADED)
     else:
         status = _STATUS_AFTER_START
     return make_problem(
@@ -66,15 +66,15 @@
     )
 
 
-def refusal(
+def make_refusal(
     request_id: str, reason: Reason, *, detail: str = "", status: int | None = None
 ) -> Problem:
-    """Build the answer to a request that was refused at the border, before the reducer saw it."""
+    """Return the answer to a request that was refused before it reached the reducer."""
     return make_problem(
         request_id,
         Outcome.NOT_RUN,
         reason,
-        status=status or _STATUS.get(reason, _STATUS_OVERLOADED),
+        status=status or _STATUS_BY_REASON.get(reason, _STATUS_OVERLOADED),
         detail=detail or MESSAGES[reason],
         retry_after_s=None,
     )
@@ -89,7 +89,7 @@
     detail: str,
     retry_after_s: float | None,
 ) -> Problem:
-    """Build a problem answer."""
+    """Return a problem answer."""
     value = {
         "type": _TYPE_PREFIX + reason.value,
         "title": HTTPStatus(status).phrase,
@@ -105,18 +105,20 @@
         (b"content-length", b"%d" % len(body)),
         *account_headers(request_id, outcome),
     ]
-    if outcome is Outcome.NOT_RUN and status in _TEMPORARY:
-        headers.append((b"retry-after", b"%d" % max(1, ceil(retry_after_s or RETRY_AFTER_S))))
+    if outcome is Outcome.NOT_RUN and status in _TEMPORARY_STATUSES:
+        headers.append(
+            (b"retry-after", b"%d" % max(1, ceil(retry_after_s or DEFAULT_RETRY_AFTER_S)))
+        )
     if status == HTTPStatus.UNAUTHORIZED:
         headers.append((b"www-authenticate", b"Bearer"))
     return Problem(status, headers, body)
 
 
-_TEMPORARY: Final = frozenset({429, 503, 504})
+_TEMPORARY_STATUSES: Final = frozenset({429, 503, 504})
 
 
 def account_headers(request_id: str, outcome: Outcome) -> list[tuple[bytes, bytes]]:
-    """Build the headers that every answer carries."""
+    """Return the headers of every answer: the request id and the outcome."""
     return [
         (REQUEST_ID_HEADER, request_id.encode("ascii")),
         (OUTCOME_HEADER, outcome.value.encode("ascii")),
--- a/packages/turmericweir/turmericweir/answers/caller_refusal.py
+++ b/packages/turmericweir/turmericweir/answers/caller_refusal.py
@@ -1,4 +1,4 @@
-"""The refusal of a request at the border, before the reducer has seen it."""
+"""The refusal of a request before it reaches the reducer."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
 
 
 class RefusedError(Exception):
-    """The request is refused at the border."""
+    """Raised for a request that is refused before it reaches the reducer."""
 
     def __init__(self, reason: Reason, detail: str = "", *, status: int | None = None) -> None:
         super().__init__(detail or reason.value)
         self.reason = reason
         self.detail = detail
-        # Overrides the status that the reason has.
+        # Overrides the status for the reason.
         self.status = status
 
 
 def new_request_id() -> RequestId:
-    """Make a request id, which sorts by time."""
+    """Return a new request id; ids sort by time."""
     return RequestId(str(uuid7()))
--- a/packages/turmericweir/turmericweir/answers/forward_answer.py
+++ b/packages/turmericweir/turmericweir/answers/forward_answer.py
@@ -1,9 +1,9 @@
-"""A server's answer on its way to the caller, over as many attempts as it takes.
+"""The answer to a forwarded request, over all of its attempts.
 
-Nothing is written before it is worth something: of a stream the first event, of anything else the
-whole answer. Until then another attempt is invisible to the caller. A server's own failure is kept
-and passed on if no other attempt follows; an answer that breaks off after its beginning was written
-ends in a reset, so that nobody takes it for a whole one.
+Writing starts with the first event of a stream, or with the complete answer otherwise. Until then a
+retry is invisible to the caller. A server's error answer is stored and sent only if no further
+attempt succeeds. A partial answer ends in a reset of the connection, which prevents the caller from
+treating it as complete.
 """
 
 from __future__ import annotations
@@ -16,19 +16,19 @@
 from turmericweir_core.base.account import Account, Outcome
 from turmericweir_core.base.reasons import Reason
 
-_WITHOUT_BODY: Final = frozenset({204, 304})
-_LENGTH: Final = b"content-length"
+_STATUSES_WITHOUT_BODY: Final = frozenset({204, 304})
+_CONTENT_LENGTH: Final = b"content-length"
 
 
 class ForwardAnswer:
-    """Where the answer goes."""
+    """Buffers and writes the answer to one forwarded request."""
 
     __slots__ = (
-        "_begun",
-        "_failure",
+        "_error_answer",
+        "_has_body",
         "_headers",
+        "_is_stopping",
         "_status",
-        "_stopping",
         "_unsent",
         "_wire",
         "caller",
@@ -37,82 +37,82 @@
 
     caller: Caller
     _wire: Wire
-    # Whether this instance is stopping, and the caller is to connect anew.
-    _stopping: Callable[[], bool]
+    # Returns whether this instance is stopping and the caller should reconnect.
+    _is_stopping: Callable[[], bool]
     _status: int
     _headers: Headers
-    # Bytes that were kept and not written yet.
+    # Received bytes that were not written yet.
     _unsent: bytes
-    # The id of the last whole event that the caller has or was kept for it, over all attempts; one
-    # that resumes a stream brings the first.
+    # The id of the last complete event that was written or buffered, over all attempts. Initially
+    # the id from which the caller resumes the stream.
     last_event: bytes
-    # An event was kept, so the head stays that of the attempt which brought it.
-    _begun: bool
-    # A server's answer that says it failed: status, headers, body.
-    _failure: tuple[int, Headers, bytes] | None
+    # Whether a part of the body was received, after which the head is fixed.
+    _has_body: bool
+    # The error answer of a server: status, headers, body.
+    _error_answer: tuple[int, Headers, bytes] | None
 
     def __init__(
-        self, caller: Caller, wire: Wire, stopping: Callable[[], bool], resume_after: bytes
+        self, caller: Caller, wire: Wire, is_stopping: Callable[[], bool], resume_after: bytes
     ) -> None:
         self.caller = caller
         self._wire = wire
-        self._stopping = stopping
+        self._is_stopping = is_stopping
         self._status = 0
         self._headers = []
         self._unsent = b""
         self.last_event = resume_after
-        self._begun = False
-        self._failure = None
+        self._has_body = False
+        self._error_answer = None
 
     def begin(self, status: int, headers: Headers) -> None:
-        """Take the head of an attempt's answer; of a stream that goes on, the first one stays."""
-        if self._begun:
+        """Record the head of an attempt's answer, except for a resumed stream."""
+        if self._has_body:
             return
         self._status = status
         self._headers = self._wire.caller_headers(headers)
         self._unsent = b""
 
     def fail(self, status: int, headers: Headers, body: bytes) -> None:
-        """Keep a server's whole answer that says it failed."""
-        self._failure = (status, self._wire.caller_headers(headers), body)
+        """Store a server's error answer."""
+        self._error_answer = (status, self._wire.caller_headers(headers), body)
 
     def keep(self, data: bytes) -> None:
-        """Take a part of the body."""
+        """Buffer a part of the body."""
         self._unsent += data
-        self._begun = self._begun or bool(data)
+        self._has_body = self._has_body or bool(data)
 
     async def flush(self) -> None:
-        """Write what was kept, with the head before the first part."""
+        """Write buffered data, preceded by the head if it was not written."""
         if not self._unsent:
             return
-        await self._start()
+        await self._write_head()
         data, self._unsent = self._unsent, b""
         await self.caller.write_body(data, more=True)
 
-    async def _start(self) -> None:
+    async def _write_head(self) -> None:
         if not self.caller.is_started:
-            self.caller.should_close = self._stopping()
+            self.caller.should_close = self._is_stopping()
             await self.caller.write_head(self._status, self._headers)
 
     async def finish(self, account: Account) -> bool:
-        """Write the end, or a problem; False means that the connection must be cut instead."""
+        """Write the end or a problem; return False if the connection must be reset instead."""
         if account.outcome is Outcome.COMPLETED:
-            await self._finish_whole()
+            await self._write_whole_answer()
             return True
         if self.caller.is_started:
             return False
-        if account.reason is Reason.SERVER_ERROR and self._failure is not None:
-            self._status, self._headers, self._unsent = self._failure
-            await self._finish_whole()
+        if account.reason is Reason.SERVER_ERROR and self._error_answer is not None:
+            self._status, self._headers, self._unsent = self._error_answer
+            await self._write_whole_answer()
             return True
-        self.caller.should_close = self._stopping()
+        self.caller.should_close = self._is_stopping()
         await self.caller.write_problem(self._wire.problem(account))
         return True
 
-    async def _finish_whole(self) -> None:
-        if not self.caller.is_started and self._status not in _WITHOUT_BODY:
-            # The whole body is here, so its length is known however the server framed it.
-            named = [each for each in self._headers if each[0] != _LENGTH]
-            self._headers = [*named, (_LENGTH, b"%d" % len(self._unsent))]
-        await self._start()
+    async def _write_whole_answer(self) -> None:
+        if not self.caller.is_started and self._status not in _STATUSES_WITHOUT_BODY:
+            # The complete body is buffered, so its length is known.
+            other_headers = [each for each in self._headers if each[0] != _CONTENT_LENGTH]
+            self._headers = [*other_headers, (_CONTENT_LENGTH, b"%d" % len(self._unsent))]
+        await self._write_head()
         await self.caller.write_body(self._unsent, more=False)
--- a/packages/turmericweir/turmericweir/answers/forward_events.py
+++ b/packages/turmericweir/turmericweir/answers/forward_events.py
@@ -1,7 +1,7 @@
-"""Cut a stream into whole events, and know the id of the last one.
+"""Split a resumable stream into complete events.
 
-A server may stop in the middle of an event. What goes on elsewhere goes on after the last whole
-one, so only whole events of a resumable stream are passed on.
+A server may fail in the middle of an event. Another server then resumes after the last complete
+event, so only complete events of a resumable stream are forwarded.
 """
 
 from __future__ import annotations
@@ -10,59 +10,59 @@
 
 _END: Final = b"\n\n"
 _ID: Final = b"id:"
-# An event that grows beyond this is none, and would fill the memory.
-EVENT_MAX: Final = 1_048_576
+# Prevents an endless event from filling the memory.
+EVENT_MAX_BYTES: Final = 1_048_576
 
 
 class EventCutter:
-    """Takes the chunks of one attempt."""
+    """Splits the chunks of one attempt and records the id of the last event."""
 
-    __slots__ = ("_after", "_buffer", "last_event")
+    __slots__ = ("_buffer", "_resume_after", "last_event")
 
-    # What came behind the last whole event.
+    # The bytes after the last complete event.
     _buffer: bytes
-    # The id after which this attempt was asked to go on; empty at the beginning.
-    _after: bytes
+    # The event id after which this attempt resumes; empty for a new stream.
+    _resume_after: bytes
     last_event: bytes
 
-    def __init__(self, after: bytes) -> None:
+    def __init__(self, resume_after: bytes) -> None:
         self._buffer = b""
-        self._after = after
-        self.last_event = after
+        self._resume_after = resume_after
+        self.last_event = resume_after
 
     @property
     def has_rest(self) -> bool:
-        """Whether an event was begun and not ended."""
+        """Whether an event is incomplete."""
         return bool(self._buffer)
 
     def take(self, chunk: bytes) -> tuple[bytes, int]:
-        """Give the whole events that a chunk completes, and how many there are."""
+        """Return the events that a chunk completes, and their number."""
         data = self._buffer + chunk
-        cut = data.rfind(_END)
-        if cut < 0:
-            if len(data) > EVENT_MAX:
-                raise ValueError("an event has no end")
+        events_end = data.rfind(_END)
+        if events_end < 0:
+            if len(data) > EVENT_MAX_BYTES:
+                raise ValueError("an event exceeds the maximum size")
             self._buffer = data
             return b"", 0
-        cut += len(_END)
-        whole, self._buffer = data[:cut], data[cut:]
-        return self._fresh(whole)
-
-    def _fresh(self, whole: bytes) -> tuple[bytes, int]:
-        """Leave out events that the caller has already; none is expected, and each is doubled."""
-        kept: list[bytes] = []
-        for event in whole.split(_END)[:-1]:
-            name = _event_id(event)
-            if name and _is_past(name, self._after):
+        events_end += len(_END)
+        events, self._buffer = data[:events_end], data[events_end:]
+        return self._without_duplicates(events)
+
+    def _without_duplicates(self, events: bytes) -> tuple[bytes, int]:
+        """Return the events without those that the caller already has, and their number."""
+        new_events: list[bytes] = []
+        for event in events.split(_END)[:-1]:
+            event_id = _event_id(event)
+            if event_id and _is_duplicate(event_id, self._resume_after):
                 continue
-            if name:
-                self.last_event = name
-            kept.append(event + _END)
-        return b"".join(kept), len(kept)
+            if event_id:
+                self.last_event = event_id
+            new_events.append(event + _END)
+        return b"".join(new_events), len(new_events)
 
 
 def count_events(data: bytes) -> int:
-    """Count the ends of events."""
+    """Return the number of event ends in the data."""
     return data.count(_END)
 
 
@@ -73,5 +73,5 @@
     return b""
 
 
-def _is_past(name: bytes, after: bytes) -> bool:
-    return name.isdigit() and after.isdigit() and int(name) <= int(after)
+def _is_duplicate(event_id: bytes, resume_after: bytes) -> bool:
+    return event_id.isdigit() and resume_after.isdigit() and int(event_id) <= int(resume_after)
--- a/packages/turmericweir/turmericweir/answers/forward_wire.py
+++ b/packages/turmericweir/turmericweir/answers/forward_wire.py
@@ -1,8 +1,8 @@
-"""What forwarding needs of whoever knows the names that callers and servers use.
+"""The interface between the forwarding of requests and a platform's HTTP headers.
 
-A platform has its own names for the headers that say who asks, how much time is left, which answer
-belongs to which request, and that nothing was run. An adapter translates them by these types; what
-follows from them is decided in the core and carried out by `forward`.
+Each platform has its own headers for the customer, the time left, the request of an answer and the
+refusal of a request. An adapter translates them to and from these types. The core decides on the
+request, and `servers.forward` executes the decisions.
 """
 
 from __future__ import annotations
@@ -25,44 +25,43 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestHead:
-    """A caller's request but for its body."""
+    """A caller's request without its body."""
 
     method: bytes
-    # As the caller wrote it, with the query.
+    # With the query, as encoded by the caller.
     target: bytes
     # Names in lower case.
     headers: Headers
-    # When its headers were whole, by the runtime's clock.
+    # When the headers were complete, by the event loop's clock.
     arrived: float
 
     @property
     def path(self) -> str:
-        """The path without the query, as the caller encoded it."""
+        """The path without the query, as encoded by the caller."""
         return self.target.partition(b"?")[0].decode("latin-1")
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardCall:
-    """What is sent to a server, whichever it is."""
+    """The part of a forwarded request that is the same for every server."""
 
     method: bytes
     target: bytes
-    # Those that every server gets.
     headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
-    # By this an answer of a server is known to be this request's.
+    # Identifies an answer as belonging to this request.
     answer_id: bytes
-    # The answer is passed on as it comes.
+    # Whether the answer is forwarded as it arrives.
     streamed: bool
-    # Another server may go on with the stream after the last whole event.
+    # Whether another server may resume the stream after the last complete event.
     resumable: bool
-    # The caller has the stream up to this event from an earlier request; empty for none.
+    # The last event that the caller has from an earlier request; empty for none.
     resume_after: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Inquiry:
-    """A request that was understood."""
+    """A valid request for the core and the call for its servers."""
 
     request: Request
     call: ForwardCall
@@ -70,20 +69,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Passable:
-    """The answer is this request's, and may be passed on."""
+    """The answer belongs to this request and may be forwarded."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The server says that it did not run the request."""
+    """The server reports that it did not run the request."""
 
-    # It will not run any other either.
+    # Whether the server runs no further requests.
     leaving: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Spoiled:
-    """The answer is not one that may be passed on, and proves nothing."""
+    """The answer must not be forwarded; whether the request was run is unknown."""
 
     error: str
 
@@ -92,29 +91,29 @@
 
 
 class Wire(Protocol):
-    """The names on both sides."""
+    """Translates between a platform's HTTP headers and the core's types."""
 
     def identify(self, head: RequestHead) -> RequestId:
-        """Name a request by what its caller named it."""
+        """Return the request id from the caller's headers, or a new one."""
 
     def read(
         self, config: Config, rng: Random, head: RequestHead, body: bytes, request_id: RequestId
     ) -> Inquiry:
-        """Understand a request; raises `RefusedError`."""
+        """Parse and validate a request; raise `RefusedError` if it is invalid."""
 
     def refusal(self, request_id: str, error: RefusedError) -> Problem:
-        """Build the answer to a request that was refused at the border."""
+        """Return the answer to a request that was refused before it reached the reducer."""
 
     def problem(self, account: Account) -> Problem:
-        """Build the answer to a request that ended without a server's answer."""
+        """Return the answer to a request that ended without a server's answer."""
 
     def server_headers(
         self, call: ForwardCall, start: StartAttempt, left_s: float, last_event: bytes
     ) -> Headers:
-        """Give all headers for one server; `last_event` is empty but for a stream that goes on."""
+        """Return all headers for one server; `last_event` is empty unless a stream is resumed."""
 
     def judge(self, call: ForwardCall, status: int, headers: Mapping[bytes, bytes]) -> Verdict:
-        """Judge the head of a server's answer."""
+        """Return how to treat an answer with this status and these headers."""
 
     def caller_headers(self, headers: Headers) -> Headers:
-        """Keep those headers of an answer that are meant for the caller."""
+        """Return the headers of an answer that are for the caller."""
--- a/packages/turmericweir/turmericweir/answers/hop_by_hop.py
+++ b/packages/turmericweir/turmericweir/answers/hop_by_hop.py
@@ -1,8 +1,4 @@
-"""Headers that belong to one connection and not to the request or answer that it carries.
-
-Callers' requests and servers' answers pass through here on two connections; what one of them needs
-must not reach the other.
-"""
+"""Hop-by-hop headers, which are not forwarded between the caller's and the server's connection."""
 
 from __future__ import annotations
 
@@ -26,6 +22,6 @@
 
 
 def named_by_connection(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
-    """Give the names, in lower case, that a message's own `connection` header adds to them."""
-    found = b",".join(value for name, value in headers if name == b"connection")
-    return frozenset(each.strip().lower() for each in found.split(b",") if each.strip())
+    """Return the header names, in lower case, that the `connection` header lists as hop-by-hop."""
+    listed_names = b",".join(value for name, value in headers if name == b"connection")
+    return frozenset(each.strip().lower() for each in listed_names.split(b",") if each.strip())
--- a/packages/turmericweir/turmericweir/answers/sse.py
+++ b/packages/turmericweir/turmericweir/answers/sse.py
@@ -1,8 +1,8 @@
-"""Server-sent events, as engines send them and callers get them.
+"""Split and parse the server-sent events of engines.
 
-On the way through, events are cut apart but never parsed: a JSON string cannot hold a raw line
-break, so a blank line always ends an event. They are parsed only where the text is needed: for a
-caller that did not ask for a stream, and to resume a stream that broke off.
+Forwarded events are split but not parsed. A blank line always ends an event, because a JSON string
+cannot contain a raw line break. Events are parsed only to build a JSON answer or to
+resume a stream.
 """
 
 from __future__ import annotations
@@ -14,50 +14,50 @@
 
 END: Final = b"\n\n"
 DATA: Final = b"data:"
-# Ends an engine's answer. A JSON text ends with a brace, so no token event ends like this.
+# Ends an engine's stream. No token event ends like this, because JSON objects end with a brace.
 DONE: Final = b"data: [DONE]\n\n"
 _ERROR: Final = b'{"error"'
 _END_AND_DATA: Final = END + DATA
 
 
 def split_whole(buffer: bytes) -> tuple[bytes, bytes]:
-    """Split off the whole events at the front; the rest waits for more bytes."""
+    """Return the complete events at the start of the buffer, and the rest."""
     if buffer.endswith(END):
         return buffer, b""
-    cut = buffer.rfind(END)
-    if cut < 0:
+    events_end = buffer.rfind(END)
+    if events_end < 0:
         return b"", buffer
-    cut += len(END)
-    return buffer[:cut], buffer[cut:]
+    events_end += len(END)
+    return buffer[:events_end], buffer[events_end:]
 
 
-def count_data(whole: bytes) -> int:
-    """Count the events with data; comments, which keep a stream alive, are none."""
-    return whole.count(_END_AND_DATA) + whole.startswith(DATA)
+def count_data(events: bytes) -> int:
+    """Return the number of events with data; comments are not counted."""
+    return events.count(_END_AND_DATA) + events.startswith(DATA)
 
 
-def cut_at_error(whole: bytes) -> bytes | None:
-    """Give the events before one that reports an error of the engine, or None without one.
+def cut_at_error(events: bytes) -> bytes | None:
+    """Return the events before an error event, or None if there is no error event.
 
-    The quotes of a token's text are escaped, so these bytes stand in no text.
+    Quotes in a token's text are escaped, so no text contains the bytes that are searched for.
     """
-    at = whole.find(_ERROR)
-    if at < 0:
+    error_start = events.find(_ERROR)
+    if error_start < 0:
         return None
-    start = whole.rfind(END, 0, at)
-    return whole[: start + len(END)] if start >= 0 else b""
+    start = events.rfind(END, 0, error_start)
+    return events[: start + len(END)] if start >= 0 else b""
 
 
-def data_events(parts: Sequence[bytes]) -> Iterator[bytes]:
-    """Yield the events with data out of whole events, each with its end."""
-    for event in b"".join(parts).split(END):
+def data_events(event_chunks: Sequence[bytes]) -> Iterator[bytes]:
+    """Yield each event with data, including its end."""
+    for event in b"".join(event_chunks).split(END):
         if event.startswith(DATA):
             yield event + END
 
 
-# Any: what is in an event is up to the engine; only the fields named here are looked at.
+# Any: the engine determines the content of an event.
 def parse_event(event: bytes) -> dict[str, Any]:
-    """Parse the JSON of one event; an unusable one gives an empty object."""
+    """Return the JSON object of an event, or an empty object if it is invalid."""
     try:
         value = orjson.loads(event[len(DATA) :])
     except orjson.JSONDecodeError:
@@ -66,9 +66,9 @@
 
 
 def token_text(chunk: dict[str, Any]) -> str:
-    """Give the text of one chat completion chunk."""
-    content = _first_choice(chunk).get("delta", {})
-    text = content.get("content") if isinstance(content, dict) else None
+    """Return the text of one chat completion chunk."""
+    delta = _first_choice(chunk).get("delta", {})
+    text = delta.get("content") if isinstance(delta, dict) else None
     return text if isinstance(text, str) else ""
 
 
@@ -79,25 +79,25 @@
     return {}
 
 
-def text_of(parts: Sequence[bytes], tokens: int) -> str:
-    """Give the text of the first tokens of a stream."""
+def join_token_texts(event_chunks: Sequence[bytes], tokens: int) -> str:
+    """Return the text of the first tokens of a stream."""
     texts: list[str] = []
-    for event in data_events(parts):
+    for event in data_events(event_chunks):
         if len(texts) == tokens:
             break
         texts.append(token_text(parse_event(event)))
     return "".join(texts)
 
 
-def aggregate(parts: Sequence[bytes], request_id: str, prompt_tokens: int) -> dict[str, Any]:
-    """Join the chunks of a stream to the answer of a caller that wanted it whole."""
+def aggregate(event_chunks: Sequence[bytes], request_id: str, prompt_tokens: int) -> dict[str, Any]:
+    """Return the JSON answer that joins the chunks of a stream."""
     texts: list[str] = []
-    last: dict[str, Any] = {}
+    last_chunk: dict[str, Any] = {}
     finish_reason: object = None
-    for event in data_events(parts):
-        last = parse_event(event)
-        texts.append(token_text(last))
-        finish_reason = _first_choice(last).get("finish_reason") or finish_reason
+    for event in data_events(event_chunks):
+        last_chunk = parse_event(event)
+        texts.append(token_text(last_chunk))
+        finish_reason = _first_choice(last_chunk).get("finish_reason") or finish_reason
     choice = {
         "index": 0,
         "message": {"role": "assistant", "content": "".join(texts)},
@@ -109,9 +109,9 @@
         "total_tokens": prompt_tokens + len(texts),
     }
     return {
-        "id": last.get("id", request_id),
+        "id": last_chunk.get("id", request_id),
         "object": "chat.completion",
-        "model": last.get("model", ""),
+        "model": last_chunk.get("model", ""),
         "choices": [choice],
         "usage": usage,
     }
--- a/packages/turmericweir/turmericweir/callers/caller_app.py
+++ b/packages/turmericweir/turmericweir/callers/caller_app.py
@@ -19,7 +19,7 @@
     OUTCOME_HEADER,
     REQUEST_ID_HEADER,
     make_problem,
-    refusal,
+    make_refusal,
 )
 from turmericweir.answers.caller_refusal import RefusedError, new_request_id
 from turmericweir.callers.caller_request import (
@@ -96,7 +96,7 @@
         # An unread body remains on the connection, which therefore cannot be reused.
         caller.should_close = caller.should_close or exc.reason in _BODY_UNREAD_REASONS
         await caller.write_problem(
-            refusal(caller.request_id, exc.reason, detail=exc.detail, status=exc.status)
+            make_refusal(caller.request_id, exc.reason, detail=exc.detail, status=exc.status)
         )
 
     async def _answer_internal_error(self, scope: HTTPScope, caller: Caller) -> None:
--- a/packages/turmericweir/turmericweir/callers/http_server.py
+++ b/packages/turmericweir/turmericweir/callers/http_server.py
@@ -20,7 +20,7 @@
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 from uvicorn.server import ServerState
 
-from turmericweir.answers.caller_problem import Problem, refusal
+from turmericweir.answers.caller_problem import Problem, make_refusal
 from turmericweir.answers.caller_refusal import new_request_id
 from turmericweir.callers.caller_transport import CoalescingTransport
 from turmericweir.callers.http_limits import HttpLimits
@@ -174,7 +174,7 @@
     def _refuse(self, reason: Reason, status: int | None) -> None:
         if self.transport.is_closing():
             return
-        problem = refusal(new_request_id(), reason, status=status)
+        problem = make_refusal(new_request_id(), reason, status=status)
         self.transport.write(_problem_bytes(problem))
         self.transport.close()
 
--- a/tests/daemon/test_codecs.py
+++ b/tests/daemon/test_codecs.py
@@ -91,7 +91,7 @@
     assert partial == b""
     assert b"".join(parts) == stream
     assert sum(map(sse.count_data, parts)) == 3
-    assert sse.text_of(parts, 2) == 'adata: [DONE]\n\n{"error"'
+    assert sse.join_token_texts(parts, 2) == 'adata: [DONE]\n\n{"error"'
 
 
 def test_error_event_is_not_a_token() -> None:
