--- a/packages/turmericweir/turmericweir/answers/caller_answer.py
+++ b/packages/turmericweir/turmericweir/answers/caller_answer.py
@@ -1,9 +1,8 @@
 """Answers to callers of the completion and service interface.
 
 `StreamAnswer` forwards an engine's tokens as they arrive, `WholeAnswer` collects them in one JSON
-answer, and `PlainAnswer` forwards a plain service's answer. Writing starts as
-late as possible, because a retry is invisible to the caller until the first byte. Every answer ends
-with `finish`.
+answer, and `PlainAnswer` forwards a plain service's answer. Writing starts as late as possible,
+because a retry is invisible to the caller until the first byte. Every answer ends with `finish`.
 
 Received data is buffered before it is flushed. A flush to a slow caller may be cancelled together
 with its attempt; the next flush then sends the data that remains in the buffer.
--- a/packages/turmericweir/turmericweir/daemon.py
+++ b/packages/turmericweir/turmericweir/daemon.py
@@ -1,8 +1,8 @@
-"""The whole daemon: makes the parts, joins them and runs them until it is told to stop.
+"""The daemon: create its parts, connect them and run them until it is stopped.
 
-A graceful stop goes in this order, so that no request is cut off: readiness falls, the balancer
-looks away while requests are still accepted, the reducer says that nothing is in flight, the
-listening sockets close, and the process ends with status 0.
+A graceful stop first ends readiness and continues to serve requests until the balancer has noticed.
+When the reducer reports that no request is in flight, the listening sockets are closed and the
+process ends with status 0.
 """
 
 from __future__ import annotations
@@ -41,14 +41,14 @@
 from turmericweir_core.reducers.reducer import new_state, reduce
 from turmericweir_core.state.state import Identity, State
 
-# The status of a process that was told to end at once.
-FORCED: Final = 130
+# The exit status after a second interrupt.
+FORCED_STOP_STATUS: Final = 130
 _READY: Final = "READY"
 
 
 @dataclass(frozen=True, slots=True)
-class Parts:
-    """The adapters that the daemon runs."""
+class DaemonParts:
+    """The adapters of the daemon."""
 
     pool: BackendPool
     platform: PlatformClient
@@ -60,34 +60,33 @@
 
 
 async def run(cfg: ProcessSettings) -> int:
-    """Run the daemon; return the status to exit with."""
+    """Run the daemon and return the exit status."""
     async with AsyncExitStack() as stack:
         stack.enter_context(logs.LogFile(cfg.log))
-        caller_sock = stack.enter_context(bind(cfg.caller_address, "listen for callers"))
-        admin_sock = stack.enter_context(bind(cfg.admin_address, "listen for operators"))
+        caller_socket = stack.enter_context(bind(cfg.caller_address, "listen for callers"))
+        admin_socket = stack.enter_context(bind(cfg.admin_address, "listen for operators"))
         parts = await _make_parts(cfg, stack)
         async with anyio.create_task_group() as group:
             node = _make_node(cfg, parts, group)
-            _give_seeds(node, cfg)
+            _send_seeds(node, cfg)
             _start_parts(node, parts, group)
-            # Modules and models live as long as the process. Without this every full collection
-            # goes through all of them, and no caller is answered for some 40 ms.
+            # Excludes permanent objects from collections, which would delay requests.
             gc.collect()
             gc.freeze()
-            status = await _serve(cfg, node, parts, caller_sock, admin_sock)
+            status = await _serve(cfg, node, parts, caller_socket, admin_socket)
             group.cancel_scope.cancel()
         return status
 
 
-async def _make_parts(cfg: ProcessSettings, stack: AsyncExitStack) -> Parts:
-    me = InstanceName(cfg.name)
+async def _make_parts(cfg: ProcessSettings, stack: AsyncExitStack) -> DaemonParts:
+    own_name = InstanceName(cfg.name)
     peer_address = cfg.peer_listen_address or cfg.peer_address
     pool = await stack.enter_async_context(BackendPool())
-    return Parts(
+    return DaemonParts(
         pool=pool,
         platform=PlatformClient(pool, cfg.platform.address, cfg.platform.source or cfg.name),
-        streams=await stack.enter_async_context(PeerStreams(me, peer_address)),
-        datagrams=await stack.enter_async_context(PeerDatagrams(me, peer_address)),
+        streams=await stack.enter_async_context(PeerStreams(own_name, peer_address)),
+        datagrams=await stack.enter_async_context(PeerDatagrams(own_name, peer_address)),
         servers=ServerCalls(pool),
         operators=Operators(),
         metrics=_make_metrics(cfg, stack),
@@ -114,7 +113,7 @@
     return new_state(identity, cfg.core_options(), seed)
 
 
-def _make_node(cfg: ProcessSettings, parts: Parts, group: TaskGroup) -> Node:
+def _make_node(cfg: ProcessSettings, parts: DaemonParts, group: TaskGroup) -> Node:
     adapters = Adapters(
         platform=parts.platform,
         peers=parts.streams,
@@ -129,54 +128,54 @@
     return node
 
 
-def _give_seeds(node: Node, cfg: ProcessSettings) -> None:
+def _send_seeds(node: Node, cfg: ProcessSettings) -> None:
     node.handle(SeedsGiven(cfg.seeds))
 
 
-def _start_parts(node: Node, parts: Parts, group: TaskGroup) -> None:
+def _start_parts(node: Node, parts: DaemonParts, group: TaskGroup) -> None:
     group.start_soon(node.tick_forever)
     group.start_soon(parts.pool.sweep_forever)
     group.start_soon(parts.platform.follow_settings)
-    group.start_soon(parts.platform.follow_list)
+    group.start_soon(parts.platform.follow_instance_list)
     group.start_soon(parts.streams.serve)
 
 
 async def _serve(
     cfg: ProcessSettings,
     node: Node,
-    parts: Parts,
-    caller_sock: socket.socket,
-    admin_sock: socket.socket,
+    parts: DaemonParts,
+    caller_socket: socket.socket,
+    admin_socket: socket.socket,
 ) -> int:
     callers = HttpServer(CallerApp(node, parts.pool, cfg.limits), cfg.limits)
     views: dict[str, Callable[[], object]] = {
         "idle_connections": parts.pool.counts,
-        "pool": lambda: _pool_counts(parts.pool),
+        "pool": lambda: _connection_counts(parts.pool),
         "traffic": lambda: node.traffic,
-        "live_instances": lambda: _live_names(node),
+        "live_instances": lambda: _live_instance_names(node),
     }
     operators = OperatorPort(node, views, parts.operators, cfg.admin_tokens)
     admin = HttpServer(operators, cfg.limits)
     forced = anyio.Event()
     async with anyio.create_task_group() as group:
-        group.start_soon(_serve_http, admin, admin_sock)
-        group.start_soon(_take_signals, node, forced)
-        group.start_soon(_end_on, forced, group.cancel_scope)
-        addresses = (address_of(caller_sock), address_of(admin_sock))
-        group.start_soon(_announce, cfg.name, callers, admin, addresses)
-        group.start_soon(_stop_when_done, node, callers)
-        await _serve_http(callers, caller_sock)
-        # Returns when the last caller has its answer.
+        group.start_soon(_serve_http, admin, admin_socket)
+        group.start_soon(_handle_signals, node, forced)
+        group.start_soon(_cancel_on_event, forced, group.cancel_scope)
+        addresses = (address_of(caller_socket), address_of(admin_socket))
+        group.start_soon(_report_listening, cfg.name, callers, admin, addresses)
+        group.start_soon(_stop_callers_on_exit, node, callers)
+        await _serve_http(callers, caller_socket)
+        # `_serve_http` returns after the last answer.
         group.cancel_scope.cancel()
-    return FORCED if forced.is_set() else 0
+    return FORCED_STOP_STATUS if forced.is_set() else 0
 
 
-def _live_names(node: Node) -> list[str]:
+def _live_instance_names(node: Node) -> list[str]:
     now = anyio.current_time()
     return [each.name for each in membership.live_instances(node.state, now)]
 
 
-def _pool_counts(pool: BackendPool) -> dict[str, int]:
+def _connection_counts(pool: BackendPool) -> dict[str, int]:
     return {"opened": pool.opened, "reused": pool.reused}
 
 
@@ -184,7 +183,7 @@
     await server.serve([sock])
 
 
-async def _announce(
+async def _report_listening(
     name: str, callers: HttpServer, admin: HttpServer, addresses: tuple[str, str]
 ) -> None:
     caller_address, admin_address = addresses
@@ -196,7 +195,7 @@
         sys.stdout.flush()
 
 
-async def _take_signals(node: Node, forced: anyio.Event) -> None:
+async def _handle_signals(node: Node, forced: anyio.Event) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for signum in signals:
             if node.stopping and signum == signal.SIGINT:
@@ -207,11 +206,11 @@
                 node.stop()
 
 
-async def _stop_when_done(node: Node, callers: HttpServer) -> None:
+async def _stop_callers_on_exit(node: Node, callers: HttpServer) -> None:
     await node.exit_wanted.wait()
     callers.stop()
 
 
-async def _end_on(forced: anyio.Event, scope: anyio.CancelScope) -> None:
+async def _cancel_on_event(forced: anyio.Event, scope: anyio.CancelScope) -> None:
     await forced.wait()
     scope.cancel()
--- a/packages/turmericweir/turmericweir/entry_daemon.py
+++ b/packages/turmericweir/turmericweir/entry_daemon.py
@@ -1,7 +1,7 @@
-"""The daemon on a platform whose store keeps settings and servers' entries.
+"""The daemon on a platform whose store contains the settings and the entries of the servers.
 
-The same parts as in `daemon`, but for what the platform brings (`Border`): the names on the wire,
-how the store is followed, where readiness is asked for. A graceful stop goes in the same order.
+It has the parts of `daemon`, except for the platform's adapters (`Border`): the HTTP headers, the
+reader of the store and the readiness port. A graceful stop has the same order.
 """
 
 from __future__ import annotations
@@ -59,86 +59,82 @@
 if TYPE_CHECKING:
     from uvicorn._types import ASGI3Application
 
-# Of the bound on keys, what a request takes at the most from here to its server, and what clocks
-# and ticks may add.
+# The part of the revocation bound that is reserved for forwarding a request and for clock errors.
 _REVOKE_MARGIN_S: Final = 0.6
-# Requests that crash their servers do so as they are begun; the events of this time are proof.
-_HARMLESS_S: Final = 0.25
-# Before the platform kills a process that was told to stop, it ends by itself.
+# The time after its start in which a request that crashes its server does so.
+_CRASH_WINDOW_S: Final = 0.25
+# How long before the platform's kill a stopping process ends by itself.
 _STOP_MARGIN_S: Final = 0.5
-# The balancer looks away after two answers that are a second apart; until then callers still come.
+# Longer than the two readiness checks after which the balancer sends no more requests.
 _STOP_GRACE_S: Final = 2.6
-# Callers may leave an answer unread for so long.
+# The maximum time for which a caller may leave an answer unread.
 _UNREAD_S: Final = 10.0
-_LOG_FLUSH_S: Final = 0.25
-# Servers of one target that an instance uses. Instances with different subsets have different homes
-# for a prompt's parts, and each has them read anew.
-_SUBSET: Final = 192
-# Between two readings of the time of day.
-_CLOCK_S: Final = 1.0
-# What a successor waits on top of a lease, for clocks of unequal rate.
+_LOG_FLUSH_INTERVAL_S: Final = 0.25
+# The maximum number of servers of one target that an instance uses. Instances with different
+# subsets send the same prompt to different engines, which lowers the cache hit rate.
+_SUBSET_SIZE: Final = 192
+_CLOCK_INTERVAL_S: Final = 1.0
+# How much longer than a lease a successor waits, as clocks may differ in rate.
 _LEASE_MARGIN_SHARE: Final = 0.1
-# Between two looks at the settings file, which may change without a signal.
-_RELOAD_S: Final = 1.0
-# Idle connections are kept a little longer than callers were promised.
+_RELOAD_INTERVAL_S: Final = 1.0
+# How much longer than the documented time idle connections are kept.
 _KEEP_ALIVE_EXTRA_S: Final = 1.0
-# Lives of objects before collections of the youngest of them: collections are rare, since nearly
-# everything here dies by its count of references.
-_COLLECT_AFTER: Final = 20_000
+# Collections are rare because reference counting frees nearly all objects.
+_GC_THRESHOLD: Final = 20_000
 
 
 class StoreFollower(DocumentPort, Protocol):
-    """What the daemon needs of whoever reads the platform's store."""
+    """The reader of the platform's store."""
 
     def attach(self, node: Node) -> None:
-        """Take the node that is told."""
+        """Set the node that receives the events."""
 
     async def follow_document(self) -> None:
-        """Follow the settings."""
+        """Follow the settings document."""
 
     async def follow_registry(self) -> None:
-        """Follow the servers' entries."""
+        """Follow the registry of servers."""
 
 
 class DutyClient(DutyPort, Protocol):
-    """What the daemon needs of whoever makes the calls of the duties."""
+    """The client that makes the calls of the duties."""
 
     def attach(self, node: Node) -> None:
-        """Take the node that is told."""
+        """Set the node that receives the events."""
 
 
-class LogClient(PlatformPort, Protocol):
-    """What the daemon needs of whoever reads and appends to the streams of the leases."""
+class LeaseLogClient(PlatformPort, Protocol):
+    """The client of the lease streams."""
 
     def attach(self, node: Node) -> None:
-        """Take the node that is told."""
+        """Set the node that receives the events."""
 
 
 @dataclass(frozen=True, slots=True)
 class Duties:
-    """What a platform brings that has duties of one holder at a time."""
+    """The adapters of a platform that has duties with one holder at a time."""
 
     client: DutyClient
-    log: LogClient
+    log: LeaseLogClient
     reports_usage: bool
     orders_servers: bool
 
 
 @dataclass(frozen=True, slots=True)
 class Border:
-    """What a platform brings."""
+    """The adapters of a platform."""
 
     wire: Wire
-    # Makes the follower of the store.
+    # Creates the reader of the store.
     follower: Callable[[BackendPool, EntrySettings], StoreFollower]
-    # Makes the application that answers the balancer, by whether the process is ready.
+    # Creates the readiness application from a function that returns whether the process is ready.
     readiness: Callable[[Callable[[], bool]], ASGI3Application]
-    # Makes the parts of the duties; called only where the settings name such.
+    # Creates the adapters of the duties; called only if the settings contain duties.
     duties: Callable[[BackendPool, EntrySettings, DutiesSettings], Duties]
 
 
-class LiveLimits:
-    """The limits of the callers' port, as the settings in force say."""
+class SettingsHttpLimits:
+    """The limits of all ports according to the settings in force."""
 
     _state: State
 
@@ -147,22 +143,22 @@
 
     @property
     def header_bytes(self) -> int:
-        """Request line and headers together, bytes."""
+        """The maximum size of the request line and the headers, in bytes."""
         return self._state.config.limits.header_bytes
 
     @property
     def header_s(self) -> float:
-        """Time from the first byte of a request to the end of its headers, seconds."""
+        """The maximum time from a request's first byte to the end of its headers, in seconds."""
         return self._state.config.limits.header_s
 
     @property
     def keep_alive_s(self) -> float:
-        """How long an idle connection of a caller is kept, seconds."""
+        """The time for which an idle connection is kept, in seconds."""
         return self._state.config.limits.idle_s + _KEEP_ALIVE_EXTRA_S
 
 
 def make_options(cfg: EntrySettings) -> Options:
-    """Set what the platform holds the process to."""
+    """Return the options that follow from the platform's bounds."""
     bounds = cfg.bounds
     proof_s = bounds.revoke_ms / 1000.0 - _REVOKE_MARGIN_S
     return Options(
@@ -178,11 +174,11 @@
         retry_pay_all=True,
         retry_after_min_s=0.1,
         probe_servers=False,
-        subset_size=_SUBSET,
+        subset_size=_SUBSET_SIZE,
         first_silence_s=0.3,
         crash_doubt_s=0.0,
-        harmless_s=_HARMLESS_S,
-        trial_s=_HARMLESS_S,
+        harmless_s=_CRASH_WINDOW_S,
+        trial_s=_CRASH_WINDOW_S,
         servers_stale_s=3.0,
         servers_ask_s=1.0,
         servers_wait_s=1.0,
@@ -208,7 +204,7 @@
 
 
 def make_state(cfg: EntrySettings) -> State:
-    """Make the state of a process that has just started."""
+    """Return the initial state of a process."""
     regions = set(cfg.regions.values()) - {cfg.region}
     identity = Identity(
         name=InstanceName(cfg.name),
@@ -219,20 +215,20 @@
         other_regions=tuple(sorted(regions)),
         strength=cfg.machine.strength,
     )
-    # The settings log is not read here, and its part of the state not even loaded.
-    unread: SettingsSync = None  # type: ignore[assignment]
+    # This daemon does not read the settings log and does not load the module of its state.
+    no_settings_sync: SettingsSync = None  # type: ignore[assignment]
     state = State(
         me=identity,
         options=make_options(cfg),
         rng=Random(secrets.randbits(64)),
-        settings=unread,
+        settings=no_settings_sync,
         document=DocumentState(),
     )
     return state
 
 
 def _add_duties(state: State, cfg: DutiesSettings, duties: Duties) -> Reducer:
-    """Have a state keep what the duties need; give the reducer that does them."""
+    """Add the duties to the state and return the reducer that performs them."""
     from turmericweir_core.reducers import reducer_duties
 
     state.duties = DutyState(
@@ -258,20 +254,20 @@
     cfg: EntrySettings,
     border: Border,
     callers: socket.socket,
-    stop_asked: Callable[[], bool],
+    is_stop_requested: Callable[[], bool],
 ) -> int:
-    """Run the daemon by its settings file, for those who connect to a socket of its caller.
+    """Run the daemon on a bound callers' socket and return the exit status.
 
-    `stop_asked` tells whether a signal to stop came earlier. Return the status to exit with.
+    `is_stop_requested` returns whether a stop signal arrived before the daemon handles signals.
     """
     async with AsyncExitStack() as stack:
         pipe = stack.enter_context(LogPipe(sys.stdout.fileno(), cfg.name))
         logs.write("starting", data_centre=cfg.data_centre, store=cfg.store.address)
         sockets = _bind_all(cfg, callers, stack)
-        me = InstanceName(cfg.name)
+        own_name = InstanceName(cfg.name)
         pool = await stack.enter_async_context(BackendPool())
-        streams = await stack.enter_async_context(PeerStreams(me, cfg.peer_address))
-        datagrams = await stack.enter_async_context(PeerDatagrams(me, cfg.peer_address))
+        streams = await stack.enter_async_context(PeerStreams(own_name, cfg.peer_address))
+        datagrams = await stack.enter_async_context(PeerDatagrams(own_name, cfg.peer_address))
         servers = EntryCalls(pool)
         metrics = PageMetrics()
         follower = border.follower(pool, cfg)
@@ -304,11 +300,11 @@
                 "The version of the settings in force here.",
                 lambda: node.state.settings_offset(),
             )
-            group.start_soon(pipe.flush_forever, _LOG_FLUSH_S)
+            group.start_soon(pipe.flush_forever, _LOG_FLUSH_INTERVAL_S)
             group.start_soon(_reload_forever, node, path)
-            _start(node, pool, streams, datagrams, follower, group)
-            _tune_collector()
-            group.start_soon(_take_signals, node, stop_asked)
+            _start_tasks(node, pool, streams, datagrams, follower, group)
+            _tune_garbage_collector()
+            group.start_soon(_handle_signals, node, is_stop_requested)
             await _serve(cfg, node, pool, border, metrics, sockets)
             group.cancel_scope.cancel()
         logs.write("stopped", in_flight=len(node.exchanges))
@@ -326,18 +322,20 @@
 def _bind_all(cfg: EntrySettings, callers: socket.socket, stack: AsyncExitStack) -> _Sockets:
     metrics = f"{cfg.host}:{cfg.metrics_port}" if cfg.metrics_port else ""
 
-    def bound(address: str, step: str) -> socket.socket:
+    def bind_address(address: str, step: str) -> socket.socket:
         return stack.enter_context(bind(address, step))
 
     return _Sockets(
         callers=callers,
-        readiness=bound(cfg.readiness_address, "listen for the balancer"),
-        admin=bound(cfg.admin_address, "listen for operators") if cfg.admin_address else None,
-        metrics=bound(metrics, "listen for the collector") if metrics else None,
+        readiness=bind_address(cfg.readiness_address, "listen for the balancer"),
+        admin=(
+            bind_address(cfg.admin_address, "listen for operators") if cfg.admin_address else None
+        ),
+        metrics=bind_address(metrics, "listen for the collector") if metrics else None,
     )
 
 
-def _start(
+def _start_tasks(
     node: Node,
     pool: BackendPool,
     streams: PeerStreams,
@@ -352,15 +350,15 @@
     group.start_soon(follower.follow_registry)
 
 
-def _tune_collector() -> None:
-    """Spare modules from collections, which would stop the process for some 40 ms each."""
+def _tune_garbage_collector() -> None:
+    """Exclude permanent objects from collections, which would delay requests."""
     gc.collect()
     gc.freeze()
-    gc.set_threshold(_COLLECT_AFTER, 20, 20)
+    gc.set_threshold(_GC_THRESHOLD, 20, 20)
 
 
 def is_ready(node: Node) -> bool:
-    """Tell whether callers should be sent here: it knows what to do and may do it."""
+    """Return whether the instance can serve callers: it has servers and recent settings."""
     state = node.state
     if not node.ready or state.servers.listed_at is None:
         return False
@@ -375,7 +373,7 @@
     metrics: PageMetrics,
     sockets: _Sockets,
 ) -> None:
-    limits: HttpLimits = LiveLimits(node.state)
+    limits: HttpLimits = SettingsHttpLimits(node.state)
     callers = HttpServer(ForwardApp(node, pool, border.wire), limits)
     readiness = HttpServer(border.readiness(lambda: is_ready(node)), limits)
     async with anyio.create_task_group() as group:
@@ -388,10 +386,10 @@
             admin = EntryAdmin(node, views, lambda: is_ready(node), cfg.admin_token_sha256)
             group.start_soon(_serve_http, HttpServer(admin, limits), sockets.admin)
         if sockets.metrics is not None:
-            collected = HttpServer(MetricsApp(metrics), limits)
-            group.start_soon(_serve_http, collected, sockets.metrics)
-        group.start_soon(_stop_when_done, node, callers, group.cancel_scope)
-        group.start_soon(_announce, node)
+            metrics_server = HttpServer(MetricsApp(metrics), limits)
+            group.start_soon(_serve_http, metrics_server, sockets.metrics)
+        group.start_soon(_stop_on_exit, node, callers, group.cancel_scope)
+        group.start_soon(_log_when_ready, node)
         await _serve_http(callers, sockets.callers)
         group.cancel_scope.cancel()
 
@@ -401,18 +399,17 @@
 
 
 async def _reload_forever(node: Node, path: Path) -> None:
-    """Take the settings file again where it has changed, with or without a signal.
+    """Reload the settings file when it changes.
 
-    What the process listens on stays as it was at the start. A file that cannot be used changes
-    nothing.
+    Addresses of ports do not change. An invalid file is ignored.
     """
-    changed_at = _changed_at(path)
+    modified_at_ns = _modified_at_ns(path)
     while True:
-        await anyio.sleep(_RELOAD_S)
-        found = _changed_at(path)
-        if found == changed_at:
+        await anyio.sleep(_RELOAD_INTERVAL_S)
+        new_modified_at_ns = _modified_at_ns(path)
+        if new_modified_at_ns == modified_at_ns:
             continue
-        changed_at = found
+        modified_at_ns = new_modified_at_ns
         result = read_entry_settings(path)
         if not is_successful(result):
             logs.write("reload_failed", error=str(result.failure()))
@@ -423,34 +420,34 @@
         logs.write("reloaded", bounds=msgspec.to_builtins(cfg.bounds))
 
 
-def _changed_at(path: Path) -> int:
+def _modified_at_ns(path: Path) -> int:
     try:
         return path.stat().st_mtime_ns
     except OSError:
-        # It is being written anew.
+        # The file is being replaced.
         return 0
 
 
 async def _read_clock_forever(node: Node) -> None:
-    """Tell the reducer the time of day, by which usage is accounted."""
+    """Send the wall clock time, which usage accounting needs, to the reducer."""
     while True:
         node.handle(WallClockRead(time.time()))
-        await anyio.sleep(_CLOCK_S)
+        await anyio.sleep(_CLOCK_INTERVAL_S)
 
 
-async def _announce(node: Node) -> None:
-    """Say once when the process is ready for callers."""
-    started = anyio.current_time()
-    # Looked at again and again: what makes it ready are facts of several concerns, and ages.
+async def _log_when_ready(node: Node) -> None:
+    """Log when the process becomes ready for callers."""
+    started_at = anyio.current_time()
+    # Polled, because readiness also depends on the age of the settings.
     while not is_ready(node):  # noqa: ASYNC110
-        await anyio.sleep(_LOG_FLUSH_S)
-    logs.write("ready", after_ms=round((anyio.current_time() - started) * 1000))
+        await anyio.sleep(_LOG_FLUSH_INTERVAL_S)
+    logs.write("ready", after_ms=round((anyio.current_time() - started_at) * 1000))
 
 
-async def _take_signals(node: Node, stop_asked: Callable[[], bool]) -> None:
+async def _handle_signals(node: Node, is_stop_requested: Callable[[], bool]) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
-        # Looked at once signals come here, so that none is lost in between.
-        if stop_asked() and not node.stopping:
+        # Checked after the receiver is open, which prevents the loss of a signal.
+        if is_stop_requested() and not node.stopping:
             logs.write("signal", signal="SIGTERM", in_flight=len(node.exchanges))
             node.stop()
         async for signum in signals:
@@ -459,18 +456,19 @@
                 node.stop()
 
 
-async def _stop_when_done(node: Node, callers: HttpServer, scope: anyio.CancelScope) -> None:
+async def _stop_on_exit(node: Node, callers: HttpServer, scope: anyio.CancelScope) -> None:
     await node.exit_wanted.wait()
     if node.exchanges:
-        # The time is over: what still runs is cut, so that nobody takes a part for the whole.
+        # The stop limit has passed. Resets the connections of running requests, which prevents
+        # callers from treating partial answers as complete.
         for exchange in list(node.exchanges.values()):
             with contextlib.suppress(Exception):
                 exchange.fail(TimeoutError("the process has to stop"))
         scope.cancel()
         return
     callers.stop()
-    # Connections on which nothing came yet are waited for, but not beyond the time of the stop.
+    # Waits for connections without a request, but only until the stop limit.
     state = node.state
-    since = anyio.current_time() - (state.stopping_since or 0.0)
-    await anyio.sleep(max(0.0, state.options.stop_limit_s - since))
+    stopping_for_s = anyio.current_time() - (state.stopping_since or 0.0)
+    await anyio.sleep(max(0.0, state.options.stop_limit_s - stopping_for_s))
     scope.cancel()
--- a/packages/turmericweir/turmericweir/main.py
+++ b/packages/turmericweir/turmericweir/main.py
@@ -1,7 +1,7 @@
-"""The command `turmericweir`: read the process's settings file and run the daemon.
+"""The command `turmericweir`: read the settings file of the process and run the daemon.
 
-Mistakes of whoever starts it, such as a wrong setting or a port in use, end it with status 2 and
-one line that says what and where.
+Errors at the start, such as an invalid setting or a port in use, end it with status 2 and an error
+message of one line.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from turmericweir.process.errors import DaemonError, ListenError
 from turmericweir.process.process_settings import ProcessSettings, read_settings
 
-WRONG_START: Final = 2
-INTERRUPTED: Final = 130
+START_ERROR_STATUS: Final = 2
+INTERRUPTED_STATUS: Final = 130
 
 
 @click.command()
@@ -34,17 +34,17 @@
 @click.version_option(package_name="turmericweir")
 def main(path: Path, check: bool) -> None:
     """Route language-model and plain-service traffic."""
-    cfg = _settings_or_exit(path)
+    cfg = _read_settings_or_exit(path)
     if check:
         click.echo(f"{path}: ok")
         return
     sys.exit(_run(cfg))
 
 
-def _settings_or_exit(path: Path) -> ProcessSettings:
+def _read_settings_or_exit(path: Path) -> ProcessSettings:
     result = read_settings(path)
     if not is_successful(result):
-        _fail(result.failure())
+        _exit_with_error(result.failure())
     return result.unwrap()
 
 
@@ -52,14 +52,14 @@
     try:
         return anyio.run(run, cfg)
     except ListenError as exc:
-        _fail(exc)
+        _exit_with_error(exc)
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return INTERRUPTED_STATUS
 
 
-def _fail(error: DaemonError) -> NoReturn:
+def _exit_with_error(error: DaemonError) -> NoReturn:
     click.echo(f"turmericweir: {error}", err=True)
-    sys.exit(WRONG_START)
+    sys.exit(START_ERROR_STATUS)
 
 
 if __name__ == "__main__":
--- a/packages/turmericweir/turmericweir/platform_client.py
+++ b/packages/turmericweir/turmericweir/platform_client.py
@@ -1,8 +1,7 @@
-"""The platform's protocol: log streams, the list of instances, the weight store.
+"""The client of the platform: log streams, the list of instances, permits to load models.
 
-The settings stream is followed all the time and the list is read at intervals; everything else is
-done when the reducer asks for it. All results go to the reducer as events; it decides what a
-failure means.
+The client follows the settings stream, reads the list of instances periodically and executes the
+reducer's effects. Results and failures are passed to the reducer as events.
 """
 
 from __future__ import annotations
@@ -36,32 +35,32 @@
 )
 from turmericweir_core.state.settings_sync import settings_read_offset
 
-Parsed = TypeVar("Parsed")
+ParsedBody = TypeVar("ParsedBody")
 
-SETTINGS: Final = "settings"
-# Records of one read.
-READ_MAX: Final = 1000
+SETTINGS_STREAM_NAME: Final = "settings"
+# The maximum number of records of one read, unless the effect has a limit.
+READ_RECORDS_MAX: Final = 1000
 _CALL_TIMEOUT_S: Final = 3.0
 _BACKOFF_FIRST_S: Final = 0.1
 _BACKOFF_MAX_S: Final = 2.0
-_EXPIRED: Final = 410
-_TOO_MANY: Final = 429
-_RETRY_AFTER_S: Final = 1.0
+_STATUS_EXPIRED: Final = 410
+_STATUS_TOO_MANY_REQUESTS: Final = 429
+_DEFAULT_RETRY_AFTER_S: Final = 1.0
 
 
-class _Body(BaseModel):
-    # A later release of the platform may say more than this one reads.
+class _ResponseBody(BaseModel):
+    # Later releases of the platform may add fields.
     model_config = ConfigDict(extra="ignore", frozen=True)
 
 
-class AppendBody(_Body):
+class AppendBody(_ResponseBody):
     """The answer to an append."""
 
     first: int
     end: int
 
 
-class RecordBody(_Body):
+class RecordBody(_ResponseBody):
     """One record of a read."""
 
     offset: int
@@ -69,21 +68,21 @@
     value: Any
 
 
-class ReadBody(_Body):
+class ReadBody(_ResponseBody):
     """The answer to a read."""
 
     records: tuple[RecordBody, ...]
     end: int
 
 
-class ExpiredBody(_Body):
-    """The answer to a read of what is not kept any more."""
+class ExpiredBody(_ResponseBody):
+    """The answer to a read of records that have expired."""
 
     oldest: int
     end: int
 
 
-class InstanceBody(_Body):
+class InstanceBody(_ResponseBody):
     """One entry of the list of instances."""
 
     name: str
@@ -96,63 +95,62 @@
     state: Literal["live", "leaving"]
 
 
-class ListBody(_Body):
+class ListBody(_ResponseBody):
     """The list of instances."""
 
     instances: tuple[InstanceBody, ...]
 
 
 class Backoff:
-    """Waits longer after each failure in a row, with jitter.
+    """Exponential delays between retries, with jitter.
 
-    Without jitter all instances, which saw the outage end together, would ask together.
+    The jitter prevents all instances from retrying at the same time after an outage.
     """
 
-    # Failures in a row.
-    _failures: int
+    _consecutive_failures: int
     _rng: Random
 
     def __init__(self, rng: Random) -> None:
-        self._failures = 0
+        self._consecutive_failures = 0
         self._rng = rng
 
     @property
-    def failing(self) -> bool:
-        """Whether the last try failed."""
-        return self._failures > 0
+    def is_failing(self) -> bool:
+        """Whether the last attempt failed."""
+        return self._consecutive_failures > 0
 
     def reset(self) -> None:
-        """Note a success."""
-        self._failures = 0
+        """Reset the delay after a success."""
+        self._consecutive_failures = 0
 
     async def wait(self) -> None:
-        """Wait after a failure."""
-        longest = min(_BACKOFF_MAX_S, _BACKOFF_FIRST_S * 2.0**self._failures)
-        self._failures = min(self._failures + 1, 10)
-        await anyio.sleep(longest * (0.5 + self._rng.random() / 2))
+        """Wait after a failure, longer after each consecutive one."""
+        max_wait_s = min(_BACKOFF_MAX_S, _BACKOFF_FIRST_S * 2.0**self._consecutive_failures)
+        self._consecutive_failures = min(self._consecutive_failures + 1, 10)
+        await anyio.sleep(max_wait_s * (0.5 + self._rng.random() / 2))
 
 
 class PlatformClient:
-    """Speaks to the platform."""
+    """Follows the platform's streams and lists, and executes effects on the platform."""
 
     _node: Node
     _pool: BackendPool
     _address: str
-    # Sent with each call.
-    _source: tuple[tuple[bytes, bytes], ...]
+    # The header of each call that identifies this instance.
+    _source_header: tuple[tuple[bytes, bytes], ...]
     _rng: Random
-    # Streams that are being read out of turn, and the read that is wanted after that.
-    _reading: dict[str, ReadLog | None]
+    # Streams that are being read for an effect, and the effect to execute next.
+    _stream_reads: dict[str, ReadLog | None]
 
     def __init__(self, pool: BackendPool, address: str, source: str) -> None:
         self._pool = pool
         self._address = address
-        self._source = ((b"x-instance", source.encode("ascii")),)
+        self._source_header = ((b"x-instance", source.encode("ascii")),)
         self._rng = Random()
-        self._reading = {}
+        self._stream_reads = {}
 
     def attach(self, node: Node) -> None:
-        """Take the node whose effects these are; it is made after its adapters."""
+        """Set the node that receives the events; it is created after its adapters."""
         self._node = node
 
     async def _call(
@@ -164,12 +162,12 @@
             self._address,
             target,
             value=value,
-            headers=self._source,
+            headers=self._source_header,
             timeout_s=timeout_s,
             traffic=self._node.traffic.platform,
         )
 
-    def _bad(self, step: str, detail: str) -> CallError:
+    def _protocol_error(self, step: str, detail: str) -> CallError:
         return CallError(step, self._address, detail, sent=True)
 
     # Appends.
@@ -184,69 +182,69 @@
         try:
             answer = await self._call(b"POST", target, value=value, timeout_s=_CALL_TIMEOUT_S)
         except CallError as exc:
-            self._append_failed(effect, str(exc), maybe=exc.sent)
+            self._append_failed(effect, str(exc), may_have_applied=exc.sent)
             return
         if answer.status != 200:
-            # Only a 4xx says that the platform has looked at the append and turned it down.
+            # Only a 4xx status proves that the platform has rejected the append.
             refused = 400 <= answer.status < 500
-            self._append_failed(effect, f"status {answer.status}", maybe=not refused)
+            self._append_failed(effect, f"status {answer.status}", may_have_applied=not refused)
             return
         try:
             body = AppendBody.model_validate(answer.json())
         except ValueError as exc:
-            self._append_failed(effect, str(exc), maybe=True)
+            self._append_failed(effect, str(exc), may_have_applied=True)
             return
         self._node.handle(AppendDone(effect.stream, effect.token, body.first, body.end))
 
-    def _append_failed(self, effect: AppendRecords, error: str, *, maybe: bool) -> None:
-        self._node.handle(AppendFailed(effect.stream, effect.token, error, maybe))
+    def _append_failed(self, effect: AppendRecords, error: str, *, may_have_applied: bool) -> None:
+        self._node.handle(AppendFailed(effect.stream, effect.token, error, may_have_applied))
 
     # Reads.
 
     async def follow_settings(self) -> None:
-        """Follow the settings stream from wherever this instance's settings stand."""
+        """Follow the settings stream from this instance's settings offset."""
         backoff = Backoff(self._rng)
         while True:
             offset = self._settings_offset()
-            event = await self._read(SETTINGS, offset, self._node.state.options.poll_wait_s)
+            event = await self._read(
+                SETTINGS_STREAM_NAME, offset, self._node.state.options.poll_wait_s
+            )
             self._node.handle(event)
-            stuck = self._settings_offset() == offset
-            if isinstance(event, LogRead) and not (event.records and stuck):
+            has_not_advanced = self._settings_offset() == offset
+            if isinstance(event, LogRead) and not (event.records and has_not_advanced):
                 backoff.reset()
             else:
-                # A failed read, or records that do not bring the settings on: reading them again
-                # at once would only turn in a circle.
+                # Prevents a busy loop after a failed read or after records without effect.
                 await backoff.wait()
 
     def _settings_offset(self) -> int:
-        # Not the offset of the settings in force: where the next record has expired, reading has
-        # to go on beyond the gap. A new instance would else ask for that record for ever, and its
-        # callers would be refused.
+        # Prevents an instance from requesting an expired record forever: reading continues after
+        # the gap, although the settings in force are older.
         return settings_read_offset(self._node.state.settings)
 
     def read(self, effect: ReadLog) -> None:
-        """Read a stream out of turn, in the background; one read of a stream at a time."""
-        if effect.stream in self._reading:
-            self._reading[effect.stream] = effect
+        """Read a stream in the background, with at most one read per stream at a time."""
+        if effect.stream in self._stream_reads:
+            self._stream_reads[effect.stream] = effect
             return
-        self._reading[effect.stream] = None
-        self._node.in_background(self._read_out_of_turn, effect)
+        self._stream_reads[effect.stream] = None
+        self._node.in_background(self._read_for_effect, effect)
 
-    async def _read_out_of_turn(self, effect: ReadLog) -> None:
+    async def _read_for_effect(self, effect: ReadLog) -> None:
         stream = effect.stream
-        again: ReadLog | None = effect
+        next_read: ReadLog | None = effect
         try:
-            while again is not None:
-                limit = READ_MAX if again.limit is None else again.limit
-                event = await self._read(stream, again.offset, 0.0, limit)
-                self._reading[stream] = None
+            while next_read is not None:
+                limit = READ_RECORDS_MAX if next_read.limit is None else next_read.limit
+                event = await self._read(stream, next_read.offset, 0.0, limit)
+                self._stream_reads[stream] = None
                 self._node.handle(event)
-                again = self._reading[stream]
+                next_read = self._stream_reads[stream]
         finally:
-            del self._reading[stream]
+            del self._stream_reads[stream]
 
     async def _read(
-        self, stream: str, offset: int, wait_s: float, limit: int = READ_MAX
+        self, stream: str, offset: int, wait_s: float, limit: int = READ_RECORDS_MAX
     ) -> LogRead | LogExpired | LogFailed:
         wait_ms = int(wait_s * 1000)
         target = f"/log/{stream}?from={offset}&limit={limit}&wait_ms={wait_ms}"
@@ -257,32 +255,34 @@
             return LogFailed(stream, str(exc))
 
     def _read_answer(self, stream: str, answer: Answer) -> LogRead | LogExpired:
-        if answer.status == _EXPIRED:
+        if answer.status == _STATUS_EXPIRED:
             expired = self._parse("read log", ExpiredBody.model_validate, answer)
             return LogExpired(stream, expired.oldest, expired.end)
         if answer.status != 200:
-            raise self._bad("read log", f"status {answer.status}")
+            raise self._protocol_error("read log", f"status {answer.status}")
         body = self._parse("read log", ReadBody.model_validate, answer)
         records = tuple(LogRecord(each.offset, each.value) for each in body.records)
         return LogRead(stream, records, body.end)
 
-    def _parse(self, step: str, validate: Callable[[Any], Parsed], answer: Answer) -> Parsed:
+    def _parse(
+        self, step: str, validate: Callable[[Any], ParsedBody], answer: Answer
+    ) -> ParsedBody:
         try:
             return validate(answer.json())
         except ValueError as exc:
-            raise self._bad(step, str(exc)) from exc
+            raise self._protocol_error(step, str(exc)) from exc
 
     # The list of instances.
 
-    async def follow_list(self) -> None:
-        """Read the list of instances again and again."""
+    async def follow_instance_list(self) -> None:
+        """Read the list of instances periodically."""
         backoff = Backoff(self._rng)
         while True:
             try:
                 self._node.handle(await self._read_list())
             except CallError as exc:
-                if not backoff.failing:
-                    # Only the first of a row: an outage may be long.
+                if not backoff.is_failing:
+                    # Logs only the first of consecutive failures.
                     logs.write("list_unread", step=exc.step, peer=exc.peer, error=exc.detail)
                 await backoff.wait()
             else:
@@ -292,21 +292,21 @@
     async def _read_list(self) -> ListRead:
         answer = await self._call(b"GET", "/instances", timeout_s=_CALL_TIMEOUT_S)
         if answer.status != 200:
-            raise self._bad("read list", f"status {answer.status}")
+            raise self._protocol_error("read list", f"status {answer.status}")
         body = self._parse("read list", ListBody.model_validate, answer)
-        servers = tuple(_server(each) for each in body.instances if each.kind != "entry")
-        instances = tuple(_instance(each) for each in body.instances if each.kind == "entry")
+        servers = tuple(_server_entry(each) for each in body.instances if each.kind != "entry")
+        instances = tuple(_listed_instance(each) for each in body.instances if each.kind == "entry")
         return ListRead(servers, instances)
 
     # The weight store.
 
     def ask_weights(self, effect: AskWeights) -> None:
-        """Ask for leave to load a model, in the background."""
-        self._node.in_background(self._ask_weights, effect)
+        """Request a permit to load a model, in the background."""
+        self._node.in_background(self._request_load_permit, effect)
 
-    async def _ask_weights(self, effect: AskWeights) -> None:
+    async def _request_load_permit(self, effect: AskWeights) -> None:
         value = {"model": effect.model, "version": effect.version}
-        retry_after_s = _RETRY_AFTER_S
+        retry_after_s = _DEFAULT_RETRY_AFTER_S
         granted = False
         try:
             answer = await self._call(
@@ -316,22 +316,22 @@
             logs.write("weights_unanswered", step=exc.step, peer=exc.peer, error=exc.detail)
         else:
             granted = answer.status == 200
-            if answer.status == _TOO_MANY:
-                retry_after_s = _retry_after(answer)
+            if answer.status == _STATUS_TOO_MANY_REQUESTS:
+                retry_after_s = _retry_after_s(answer)
         event = WeightsAnswered(
             effect.model, effect.version, granted, 0.0 if granted else retry_after_s
         )
         self._node.handle(event)
 
 
-def _retry_after(answer: Answer) -> float:
+def _retry_after_s(answer: Answer) -> float:
     try:
         return max(0.0, float(answer.headers.get(b"retry-after", b"")))
     except ValueError:
-        return _RETRY_AFTER_S
+        return _DEFAULT_RETRY_AFTER_S
 
 
-def _server(body: InstanceBody) -> ServerEntry:
+def _server_entry(body: InstanceBody) -> ServerEntry:
     return ServerEntry(
         name=ServerName(body.name),
         service=body.service,
@@ -342,7 +342,7 @@
     )
 
 
-def _instance(body: InstanceBody) -> ListedInstance:
+def _listed_instance(body: InstanceBody) -> ListedInstance:
     return ListedInstance(
         name=InstanceName(body.name),
         data_centre=body.data_centre,
