--- a/packages/turmericweir/turmericweir/callers/exchange.py
+++ b/packages/turmericweir/turmericweir/callers/exchange.py
@@ -2,7 +2,7 @@
 
 An exchange passes its request to the reducer, waits for a decision, runs the attempt that it names
 and reports its end, until the reducer returns the final account. All of this runs in the caller's
-task, which avoids a task switch in the common case.
+task, which avoids queues and task switches.
 """
 
 from __future__ import annotations
@@ -63,7 +63,7 @@
 
 
 class Job(Protocol):
-    """How the attempts of one kind of request are made, and its answer."""
+    """Makes the attempts of one kind of request and owns the answer."""
 
     @property
     def answer(self) -> Answer:
--- a/packages/turmericweir/turmericweir/callers/http_server.py
+++ b/packages/turmericweir/turmericweir/callers/http_server.py
@@ -228,8 +228,8 @@
 
         Callers may connect until the balancer notices the stop. Closing the port would reset
         connections that the kernel has completed but the process has not accepted, and requests
-        that it has not read. The port therefore first refuses new connections while it accepts
-        the ones in progress, and then waits for the first request on each of them.
+        that it has not read. The port therefore first stops taking new connections while it
+        accepts the ones in progress, and then waits for the first request on each of them.
         """
         for sock in sockets or []:
             take_no_more(sock)
--- a/packages/turmericweir/turmericweir/entry_daemon.py
+++ b/packages/turmericweir/turmericweir/entry_daemon.py
@@ -1,7 +1,7 @@
 """The daemon on a platform whose store contains the settings and the entries of the servers.
 
 It has the parts of `daemon`, except for the platform's adapters (`Border`): the HTTP headers, the
-reader of the store and the readiness port. A graceful stop has the same order.
+reader of the store and the readiness port. A graceful stop has the same steps.
 """
 
 from __future__ import annotations
@@ -61,7 +61,7 @@
 
 # The part of the revocation bound that is reserved for forwarding a request and for clock errors.
 _REVOKE_MARGIN_S: Final = 0.6
-# The time after its start in which a request that crashes its server does so.
+# A request that crashes its server does so within this time after its start.
 _CRASH_WINDOW_S: Final = 0.25
 # How long before the platform's kill a stopping process ends by itself.
 _STOP_MARGIN_S: Final = 0.5
@@ -463,7 +463,7 @@
         # callers from treating partial answers as complete.
         for exchange in list(node.exchanges.values()):
             with contextlib.suppress(Exception):
-                exchange.fail(TimeoutError("the process has to stop"))
+                exchange.fail(TimeoutError("the stop time limit has passed"))
         scope.cancel()
         return
     callers.stop()
--- a/tests/daemon/test_codecs.py
+++ b/tests/daemon/test_codecs.py
@@ -81,13 +81,13 @@
     parts: list[bytes] = []
     partial = b""
     for start in range(0, len(stream), step):
-        whole, partial = sse.split_whole(partial + stream[start : start + step])
-        if whole:
-            assert whole.endswith(b"\n\n")
+        events, partial = sse.split_whole(partial + stream[start : start + step])
+        if events:
+            assert events.endswith(b"\n\n")
             # Control sequences within a token's text must be ignored.
-            assert not whole.endswith(sse.DONE)
-            assert sse.cut_at_error(whole) is None
-            parts.append(whole)
+            assert not events.endswith(sse.DONE)
+            assert sse.cut_at_error(events) is None
+            parts.append(events)
     assert partial == b""
     assert b"".join(parts) == stream
     assert sum(map(sse.count_data, parts)) == 3
--- a/tests/daemon/test_path.py
+++ b/tests/daemon/test_path.py
@@ -52,11 +52,11 @@
 
 def test_answer_that_is_not_streamed_has_the_same_text(single: Single) -> None:
     streamed = single.complete("the same prompt", 6, stream=True)
-    whole = single.complete("the same prompt", 6, stream=False)
+    unstreamed = single.complete("the same prompt", 6, stream=False)
 
-    assert whole.status == 200
-    assert whole.headers["turmericweir-outcome"] == "completed"
-    answer = whole.json()
+    assert unstreamed.status == 200
+    assert unstreamed.headers["turmericweir-outcome"] == "completed"
+    answer = unstreamed.json()
     assert answer["object"] == "chat.completion"
     assert answer["choices"][0]["message"]["content"] == "".join(texts_of(streamed.body))
     assert answer["usage"]["completion_tokens"] == 6
