--- a/packages/turmericweir/turmericweir/peers/peer_codec.py
+++ b/packages/turmericweir/turmericweir/peers/peer_codec.py
@@ -95,7 +95,7 @@
         """Take the result of decoding one frame of so many bytes."""
         if is_successful(result):
             received = result.unwrap()
-            self._node.traffic.of_message(received.message).received.add(size)
+            self._node.traffic.counter_for(received.message).received.add(size)
             self._node.handle(received)
         else:
             self.drop(result.failure())
--- a/packages/turmericweir/turmericweir/peers/peer_datagrams.py
+++ b/packages/turmericweir/turmericweir/peers/peer_datagrams.py
@@ -87,7 +87,7 @@
         except (OSError, ValueError) as exc:
             self._unsent(effect.address, exc)
             return
-        self._node.traffic.of_message(effect.message).sent.add(len(frame))
+        self._node.traffic.counter_for(effect.message).sent.add(len(frame))
         self._node.traffic.datagrams.sent.add(len(frame))
 
     def _encode(self, message: PeerMessage) -> bytes:
--- a/packages/turmericweir/turmericweir/peers/peer_streams.py
+++ b/packages/turmericweir/turmericweir/peers/peer_streams.py
@@ -22,7 +22,7 @@
 from turmericweir.process import logs
 from turmericweir.process.errors import ListenError, PeerError, describe
 from turmericweir.process.node import Node
-from turmericweir.process.traffic import Kind
+from turmericweir.process.traffic import TrafficCounter
 from turmericweir.servers.backend_stream import set_options
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.messages.effects import SendPeer
@@ -204,7 +204,7 @@
             self._links[effect.peer] = link
             self._node.in_background(link.run)
         frame = encode(self._me, effect.message)
-        self._node.traffic.of_message(effect.message).sent.add(len(frame))
+        self._node.traffic.counter_for(effect.message).sent.add(len(frame))
         link.send(frame)
 
     async def serve(self) -> None:
@@ -218,7 +218,9 @@
         await self._listener.serve(accept)
 
 
-async def _receive_frames(stream: SocketStream, reader: FrameReader, traffic: Kind) -> None:
+async def _receive_frames(
+    stream: SocketStream, reader: FrameReader, traffic: TrafficCounter
+) -> None:
     address = stream.extra(SocketAttribute.remote_address)
     origin = f"{address[0]}:{address[1]}"
     set_options(stream.extra(SocketAttribute.raw_socket))
--- a/packages/turmericweir/turmericweir/process/traffic.py
+++ b/packages/turmericweir/turmericweir/process/traffic.py
@@ -1,10 +1,10 @@
-"""Counts the bytes of control traffic, for the state dump and for measurements.
+"""Counters of control traffic, for the state dump and for measurements.
 
-Control is everything that an instance exchanges with its peers and with the platform, and its
-questions for the load of servers. What callers send and get is not counted.
+Control traffic is everything that an instance exchanges with its peers and the platform, and its
+load probes of servers. Callers' traffic is not counted.
 
-Payloads are counted where they leave the process or come in; of HTTP calls the headers as well. The
-headers of UDP, TCP and IP are not: `messages` is what they can be worked out from.
+The counters include payloads, and the headers of HTTP calls. They exclude the headers of UDP, TCP
+and IP, which can be estimated from `messages`.
 """
 
 from __future__ import annotations
@@ -13,8 +13,8 @@
 
 
 @dataclass(slots=True)
-class Direction:
-    """One way of one kind of traffic, since the start of the process."""
+class DirectionCounter:
+    """Traffic in one direction since the start of the process."""
 
     bytes: int = 0
     messages: int = 0
@@ -26,26 +26,26 @@
 
 
 @dataclass(slots=True)
-class Kind:
-    """Both ways of one kind of traffic."""
+class TrafficCounter:
+    """Traffic of one kind in both directions."""
 
-    sent: Direction = field(default_factory=Direction)
-    received: Direction = field(default_factory=Direction)
+    sent: DirectionCounter = field(default_factory=DirectionCounter)
+    received: DirectionCounter = field(default_factory=DirectionCounter)
 
 
 @dataclass(slots=True)
 class Traffic:
     """All control traffic of this process."""
 
-    datagrams: Kind = field(default_factory=Kind)
+    datagrams: TrafficCounter = field(default_factory=TrafficCounter)
     # Streams to and from peers, with their acknowledgements.
-    streams: Kind = field(default_factory=Kind)
-    platform: Kind = field(default_factory=Kind)
-    # Questions for the load of servers.
-    probes: Kind = field(default_factory=Kind)
-    # Frames of datagrams and streams by their type; what is queued counts as sent.
-    by_message: dict[str, Kind] = field(default_factory=dict)
-
-    def of_message(self, message: object) -> Kind:
-        """Give the counts of a message's type."""
-        return self.by_message.setdefault(type(message).__name__, Kind())
+    streams: TrafficCounter = field(default_factory=TrafficCounter)
+    platform: TrafficCounter = field(default_factory=TrafficCounter)
+    # Load probes of servers.
+    probes: TrafficCounter = field(default_factory=TrafficCounter)
+    # Frames of datagrams and streams by message type; queued frames count as sent.
+    by_message: dict[str, TrafficCounter] = field(default_factory=dict)
+
+    def counter_for(self, message: object) -> TrafficCounter:
+        """Return the counter for the type of a message."""
+        return self.by_message.setdefault(type(message).__name__, TrafficCounter())
--- a/packages/turmericweir/turmericweir/servers/__init__.py
+++ b/packages/turmericweir/turmericweir/servers/__init__.py
@@ -1,1 +1,1 @@
-"""Speak to backend servers: connections, calls, attempts."""
+"""Communication with backend servers: connections, calls and attempts."""
--- a/packages/turmericweir/turmericweir/servers/backend_attempt.py
+++ b/packages/turmericweir/turmericweir/servers/backend_attempt.py
@@ -1,8 +1,8 @@
-"""What attempts at engines and at plain services have in common.
+"""The common part of attempts on engines and on plain services.
 
-An attempt is one request on one connection. It ends in one of core's `AttemptEnd` types; which one
-decides what the caller may be told, so the classification is made here, in one place: nothing was
-written, or the server itself says that it had not started, or anything else, which proves nothing.
+An attempt is one request on one connection. It ends in one of the core's `AttemptEnd` types, which
+determines whether the request may be retried. This module distinguishes three cases: nothing was
+written, the server reported that it had not started, or the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -14,8 +14,8 @@
 import httpcore
 
 from turmericweir.process.errors import CallError, describe
-from turmericweir.servers.backend_call import TRANSPORT_ERRORS, FirstByte, call, read_body
-from turmericweir.servers.backend_pool import IDLE_MAX_S, PROVEN_IDLE_S
+from turmericweir.servers.backend_call import TRANSPORT_ERRORS, FirstByteCallback, call, read_body
+from turmericweir.servers.backend_pool import IDLE_MAX_S, VERIFIED_IDLE_MAX_S
 from turmericweir_core.messages.effects import StartAttempt
 from turmericweir_core.messages.events import (
     AttemptEnd,
@@ -29,122 +29,126 @@
     from turmericweir.process.node import Node
     from turmericweir.servers.backend_pool import BackendPool
 
-# How long a new connection may take to show that a server lives.
+# Time limit for a load request on a new connection.
 PROBE_TIMEOUT_S: Final = 1.0
-# The same where connecting alone is asked for: some round trips between data centres.
+# Time limit for a connection attempt: some round trips between data centres.
 CONNECT_PROBE_S: Final = 0.3
-# How long a refusal's or an error's body, or the end of a finished answer, is waited for.
+# Time limit for reading the body of a refusal or an error, or the end of a complete answer.
 TAIL_TIMEOUT_S: Final = 0.25
-TAIL_MAX: Final = 65_536
+TAIL_MAX_BYTES: Final = 65_536
 NOT_STARTED: Final = b"x-not-started"
 LEAVING: Final = b"x-leaving"
 ATTEMPT_ID: Final = b"x-attempt-id"
 REQUEST_ID: Final = b"x-request-id"
 PRIORITY: Final = b"x-priority"
-_YES: Final = b"1"
+_TRUE: Final = b"1"
 
-# Consumes an answer and says how the attempt ended.
+# Consumes an answer and returns how the attempt ended.
 Consume = Callable[[httpcore.Response], Awaitable[AttemptEnd]]
-Lives = Callable[["BackendPool", str], Awaitable[bool]]
+# Returns whether a server can be reached on a new connection.
+AliveCheck = Callable[["BackendPool", str], Awaitable[bool]]
 MakeRequest = Callable[[], httpcore.Request]
 
 
 class Attempt:
-    """One attempt: sends the request, has the answer consumed, classifies the end."""
+    """Sends one request, passes the answer to a consumer and classifies the end."""
 
-    __slots__ = ("_first_byte", "_kept", "_lives", "broke", "node", "pool", "start")
+    __slots__ = ("_check_alive", "_first_byte", "_is_reused", "broke", "node", "pool", "start")
 
     node: Node
     pool: BackendPool
     start: StartAttempt
-    # How the connection was lost after something had been written to it; empty before that.
+    # The connection error that occurred after the first byte was written; empty without one.
     broke: str
-    _first_byte: FirstByte
-    # Its connection was kept from an earlier request.
-    _kept: bool
-    # Asks whether a server answers on a new connection.
-    _lives: Lives
+    _first_byte: FirstByteCallback
+    # The connection has carried an earlier request.
+    _is_reused: bool
+    _check_alive: AliveCheck
 
     def __init__(
-        self, node: Node, pool: BackendPool, start: StartAttempt, lives: Lives | None = None
+        self,
+        node: Node,
+        pool: BackendPool,
+        start: StartAttempt,
+        check_alive: AliveCheck | None = None,
     ) -> None:
-        self._lives = lives or is_alive
+        self._check_alive = check_alive or is_alive
         self.node = node
         self.pool = pool
         self.start = start
         self.broke = ""
-        self._first_byte = FirstByte(self._announce)
-        self._kept = False
+        self._first_byte = FirstByteCallback(self._report_sent)
+        self._is_reused = False
 
     @property
     def sent(self) -> bool:
-        """Whether the server may have begun."""
+        """Return whether the server may have started."""
         return self._first_byte.sent
 
-    def _announce(self) -> None:
+    def _report_sent(self) -> None:
         start = self.start
-        self.node.handle(AttemptSent(start.request_id, start.attempt_id, self._kept))
+        self.node.handle(AttemptSent(start.request_id, start.attempt_id, self._is_reused))
 
     async def run(self, make: MakeRequest, consume: Consume) -> AttemptEnd:
-        """Run the attempt to its end; being cancelled ends it too.
+        """Run the attempt until it ends or is cancelled.
 
-        The request is made only once there is a connection, as it may say how much time is left.
+        The request is built after the connection is open, since it may contain the remaining time.
         """
         address = self.start.address
         try:
-            conn = await self.pool.take(address, idle_max_s=_idle_max_s(self.start))
-            self._kept = conn.is_kept
+            conn = await self.pool.acquire(address, idle_max_s=_idle_max_s(self.start))
+            self._is_reused = conn.is_reused
             try:
                 response = await conn.send(make(), self._first_byte)
                 end = await consume(response)
-                # Marks the connection as idle, if the answer was read to its end.
+                # Marks the connection as idle if the answer was read completely.
                 await response.aclose()
                 return end
             finally:
-                await self.pool.give_back(address, conn)
+                await self.pool.release(address, conn)
         except TRANSPORT_ERRORS as exc:
-            return await self.lost(describe(exc))
+            return await self.classify_loss(describe(exc))
 
-    async def lost(self, error: str) -> AttemptEnd:
-        """Classify a loss of the connection by what had been written to it."""
+    async def classify_loss(self, error: str) -> AttemptEnd:
+        """Classify a connection error by whether anything had been written."""
         if not self.sent:
             return EndUnsent(error)
         self.broke = error
-        return EndBroken(error, await self._lives(self.pool, self.start.address))
+        return EndBroken(error, await self._check_alive(self.pool, self.start.address))
 
-    async def refusal(
+    async def read_refusal(
         self, response: httpcore.Response, headers: Mapping[bytes, bytes]
     ) -> EndRefused | None:
-        """Recognise a server's word that it had not started."""
-        if headers.get(NOT_STARTED) != _YES:
+        """Return the refusal if the server reported that it had not started."""
+        if headers.get(NOT_STARTED) != _TRUE:
             return None
         await read_tail(response)
-        return EndRefused(response.status, headers.get(LEAVING) == _YES)
+        return EndRefused(response.status, headers.get(LEAVING) == _TRUE)
 
-    def is_ours(self, headers: Mapping[bytes, bytes], *, required: bool) -> bool:
-        """Check that an answer belongs to this attempt.
+    def is_matching_answer(self, headers: Mapping[bytes, bytes], *, required: bool) -> bool:
+        """Return whether an answer belongs to this attempt, by the id that the server echoes.
 
-        A server, or something between, that mixes up its connections would hand one caller's answer
-        to another; the id that the server echoes shows it before a byte is passed on.
+        Prevents one caller from receiving another's answer when a server or a proxy confuses its
+        connections.
         """
-        echoed = headers.get(ATTEMPT_ID)
-        if echoed is None and not required:
+        echoed_id = headers.get(ATTEMPT_ID)
+        if echoed_id is None and not required:
             return True
-        if echoed == self.start.attempt_id.encode("ascii"):
+        if echoed_id == self.start.attempt_id.encode("ascii"):
             return True
         self.node.count("attempt.foreign_answer")
         return False
 
 
 def _idle_max_s(start: StartAttempt) -> float:
-    """Give how long the connection of an attempt may have been idle, seconds."""
+    """Return how long the connection of an attempt may have been idle, in seconds."""
     if start.fresh_connection:
         return 0.0
-    return PROVEN_IDLE_S if start.proven_connection else IDLE_MAX_S
+    return VERIFIED_IDLE_MAX_S if start.proven_connection else IDLE_MAX_S
 
 
 def attempt_headers(start: StartAttempt) -> list[tuple[bytes, bytes]]:
-    """Name the request and the attempt to the server."""
+    """Return the headers that identify the request and the attempt."""
     return [
         (REQUEST_ID, start.request_id.encode("ascii")),
         (ATTEMPT_ID, start.attempt_id.encode("ascii")),
@@ -152,29 +156,29 @@
 
 
 async def read_tail(response: httpcore.Response) -> None:
-    """Read a short rest of an answer so that its connection can be used again."""
+    """Read the short remainder of an answer to make its connection reusable."""
     with anyio.move_on_after(TAIL_TIMEOUT_S):
         try:
-            await read_body(response, TAIL_MAX)
+            await read_body(response, TAIL_MAX_BYTES)
         except TRANSPORT_ERRORS:
             return
 
 
-async def connects(pool: BackendPool, address: str) -> bool:
-    """Tell whether a new connection to a server works; it is kept for the next request."""
+async def can_connect(pool: BackendPool, address: str) -> bool:
+    """Return whether a new connection to a server can be opened; add it to the pool."""
     try:
         with anyio.fail_after(CONNECT_PROBE_S):
-            conn = await pool.take(address, idle_max_s=0.0)
+            conn = await pool.acquire(address, idle_max_s=0.0)
     except (TimeoutError, *TRANSPORT_ERRORS):
         return False
-    await pool.give_back(address, conn)
+    await pool.release(address, conn)
     return True
 
 
 async def is_alive(pool: BackendPool, address: str) -> bool:
-    """Tell whether a server answers on a new connection.
+    """Return whether a server answers on a new connection.
 
-    Silence or a break of one connection is no evidence against the server itself.
+    An unresponsive or broken connection alone does not show that the server has failed.
     """
     try:
         answer = await call(
--- a/packages/turmericweir/turmericweir/servers/backend_call.py
+++ b/packages/turmericweir/turmericweir/servers/backend_call.py
@@ -1,6 +1,6 @@
-"""One whole call, question and answer, with a time limit: probes, orders, platform calls.
+"""Complete HTTP calls with a time limit: load probes, orders and platform calls.
 
-Attempts of callers' requests do not come this way, since they stream.
+Attempts for callers' requests do not use this module, since their answers are streamed.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 import orjson
 
 from turmericweir.process.errors import CallError, describe
-from turmericweir.process.traffic import Kind
+from turmericweir.process.traffic import TrafficCounter
 from turmericweir.servers.backend_pool import (
     IDLE_MAX_S,
     BackendConnection,
@@ -22,7 +22,7 @@
     make_request,
 )
 
-# Whatever httpcore raises when the other end or the network fails.
+# The errors that httpcore raises when the server or the network fails.
 TRANSPORT_ERRORS: Final = (
     httpcore.NetworkError,
     httpcore.TimeoutException,
@@ -30,44 +30,44 @@
     httpcore.ConnectionNotAvailable,
     OSError,
 )
-ANSWER_MAX: Final = 16_777_216
+ANSWER_MAX_BYTES: Final = 16_777_216
 _JSON: Final = (b"content-type", b"application/json")
-# Colon, blank and line end of a header; version, blanks and line ends around the first line.
-_HEADER_EXTRA: Final = 4
-_LINE_EXTRA: Final = 13
+# Colon, space and line end of a header; version, spaces and line ends around the first line.
+_HEADER_OVERHEAD_BYTES: Final = 4
+_FIRST_LINE_OVERHEAD_BYTES: Final = 13
 
 
-class FirstByte:
-    """Notes the moment before the first byte of a request goes out."""
+class FirstByteCallback:
+    """Records that the first byte of a request is about to be written."""
 
-    __slots__ = ("_announce", "sent")
+    __slots__ = ("_callback", "sent")
 
     sent: bool
-    _announce: Callable[[], None] | None
+    _callback: Callable[[], None] | None
 
-    def __init__(self, announce: Callable[[], None] | None = None) -> None:
+    def __init__(self, callback: Callable[[], None] | None = None) -> None:
         self.sent = False
-        self._announce = announce
+        self._callback = callback
 
     def __call__(self) -> None:
-        """Take the word that the first byte goes out next."""
+        """Record it and run the callback."""
         self.sent = True
-        if self._announce is not None:
-            self._announce()
+        if self._callback is not None:
+            self._callback()
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """A whole answer."""
+    """A complete HTTP answer."""
 
     status: int
-    # Names in lower case.
+    # By lower-case name.
     headers: dict[bytes, bytes]
     body: bytes
 
     # Any: the caller validates it.
     def json(self) -> Any:
-        """Decode the body; raises ValueError where it is not JSON."""
+        """Decode the body; raise ValueError if it is not JSON."""
         return orjson.loads(self.body)
 
 
@@ -82,70 +82,70 @@
     headers: tuple[tuple[bytes, bytes], ...] = (),
     timeout_s: float,
     fresh: bool = False,
-    traffic: Kind | None = None,
+    traffic: TrafficCounter | None = None,
 ) -> Answer:
-    """Make one call with an optional body, JSON or raw; raises CallError without a whole answer."""
+    """Make one call with an optional JSON or raw body; raise CallError without a full answer."""
     body = raw if value is None else orjson.dumps(value)
     sent_headers = [*headers, *([_JSON] if value is not None else [])]
     request = make_request(method, address, target.encode("ascii"), sent_headers, body)
-    first_byte = FirstByte()
+    first_byte = FirstByteCallback()
     if traffic is not None:
-        traffic.sent.add(_size(method + target.encode("ascii"), request.headers, body))
+        traffic.sent.add(_wire_size(method + target.encode("ascii"), request.headers, body))
     try:
         with anyio.fail_after(timeout_s):
-            conn = await pool.take(address, idle_max_s=0.0 if fresh else IDLE_MAX_S)
+            conn = await pool.acquire(address, idle_max_s=0.0 if fresh else IDLE_MAX_S)
             try:
                 return await _exchange(conn, request, first_byte, traffic)
             finally:
-                await pool.give_back(address, conn)
+                await pool.release(address, conn)
     except TimeoutError:
-        detail = f"no whole answer in {timeout_s} s"
+        detail = f"no complete answer within {timeout_s} s"
         raise CallError(target, address, detail, sent=first_byte.sent) from None
     except TRANSPORT_ERRORS as exc:
         raise CallError(target, address, describe(exc), sent=first_byte.sent) from exc
 
 
-def _size(line: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> int:
-    """Give the bytes of a message on the wire: its first line, header lines and body."""
-    lines = sum(len(name) + len(value) + _HEADER_EXTRA for name, value in headers)
-    return len(line) + _LINE_EXTRA + lines + len(body)
+def _wire_size(first_line: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> int:
+    """Return the size of a message on the wire: first line, header lines and body."""
+    header_bytes = sum(len(name) + len(value) + _HEADER_OVERHEAD_BYTES for name, value in headers)
+    return len(first_line) + _FIRST_LINE_OVERHEAD_BYTES + header_bytes + len(body)
 
 
 async def _exchange(
     conn: BackendConnection,
     request: httpcore.Request,
-    first_byte: FirstByte,
-    traffic: Kind | None,
+    first_byte: FirstByteCallback,
+    traffic: TrafficCounter | None,
 ) -> Answer:
     response = await conn.send(request, first_byte)
-    body = await read_body(response, ANSWER_MAX)
+    body = await read_body(response, ANSWER_MAX_BYTES)
     await response.aclose()
     if traffic is not None:
-        traffic.received.add(_size(b"200 OK", response.headers, body))
+        traffic.received.add(_wire_size(b"200 OK", response.headers, body))
     return Answer(response.status, lower_headers(response), body)
 
 
 def body_of(response: httpcore.Response) -> AsyncIterator[bytes]:
-    """Iterate over the body as it comes.
+    """Return an iterator over the body as it arrives.
 
-    `Response.aiter_stream` would put one more generator between, which is entered for each chunk.
+    Avoids the additional generator that `Response.aiter_stream` would run for each chunk.
     """
     assert isinstance(response.stream, AsyncIterable)
     return aiter(response.stream)
 
 
 async def read_body(response: httpcore.Response, limit: int) -> bytes:
-    """Read a whole body of limited size."""
-    parts: list[bytes] = []
+    """Read a complete body of limited size."""
+    chunks: list[bytes] = []
     size = 0
     async for chunk in body_of(response):
-        parts.append(chunk)
+        chunks.append(chunk)
         size += len(chunk)
         if size > limit:
-            raise httpcore.RemoteProtocolError(f"the answer is longer than {limit} bytes")
-    return b"".join(parts)
+            raise httpcore.RemoteProtocolError(f"the answer body exceeds {limit} bytes")
+    return b"".join(chunks)
 
 
 def lower_headers(response: httpcore.Response) -> dict[bytes, bytes]:
-    """Give the headers of a response by lower-case name; of repeated ones, the last."""
+    """Return the headers of a response by lower-case name; the last of repeated ones."""
     return {name.lower(): value for name, value in response.headers}
--- a/packages/turmericweir/turmericweir/servers/backend_engine.py
+++ b/packages/turmericweir/turmericweir/servers/backend_engine.py
@@ -1,8 +1,8 @@
-"""The protocol of model engines: completions, cancelling and resuming them.
+"""The protocol of model engines: run, cancel and resume completions.
 
-An engine always streams to the daemon. The hot path is one chunk from the network: whole events are
-cut off, counted and passed on, with one event for the reducer; nothing is parsed, no task and no
-timer is made. A stream that goes silent is noticed by the reducer, which orders a cancel.
+An engine always streams to the daemon. The hot path handles one network chunk: it splits off the
+complete events, counts them, sends them on and reports them to the reducer. It parses nothing and
+creates no task or timer. The reducer detects unresponsive streams and cancels their attempts.
 """
 
 from __future__ import annotations
@@ -47,14 +47,14 @@
 _PATH: Final = b"/v1/chat/completions"
 _HEADERS: Final = [(b"content-type", b"application/json"), (b"accept", b"text/event-stream")]
 _EVENT_STREAM: Final = b"text/event-stream"
-# An event that grows beyond this is no token, and would fill the memory.
-_EVENT_MAX: Final = 1_048_576
-_WHOLE_MAX: Final = 1_048_576
+# Prevents an event without an end from exhausting the memory.
+_EVENT_MAX_BYTES: Final = 1_048_576
+_BODY_MAX_BYTES: Final = 1_048_576
 _CANCEL_TIMEOUT_S: Final = 1.0
 
 
 class EngineAttempt:
-    """One attempt of a completion on an engine."""
+    """One attempt to run a completion on an engine."""
 
     __slots__ = ("_answer", "_attempt", "_body", "_node", "_start", "tokens")
 
@@ -62,7 +62,7 @@
     _start: StartAttempt
     _attempt: Attempt
     _answer: TokenAnswer
-    # The caller's JSON, with `stream` forced.
+    # The caller's JSON with `stream` set to true.
     _body: bytes
     # Tokens received in this attempt.
     tokens: int
@@ -79,12 +79,12 @@
 
     @property
     def sent(self) -> bool:
-        """Whether the engine may have begun."""
+        """Return whether the engine may have started."""
         return self._attempt.sent
 
     @property
     def broke(self) -> str:
-        """How the connection was lost; empty while it was not."""
+        """Return the error that broke the connection; empty without one."""
         return self._attempt.broke
 
     async def run(self) -> AttemptEnd:
@@ -100,7 +100,7 @@
 
     async def _consume(self, response: httpcore.Response) -> AttemptEnd:
         headers = lower_headers(response)
-        refusal = await self._attempt.refusal(response, headers)
+        refusal = await self._attempt.read_refusal(response, headers)
         if refusal is not None:
             return refusal
         status = response.status
@@ -108,47 +108,47 @@
             await read_tail(response)
             return EndServerError(status)
         content_type = headers.get(b"content-type", b"")
-        streams = status == 200 and content_type.startswith(_EVENT_STREAM)
-        if not self._attempt.is_ours(headers, required=streams):
-            return EndBroken("the answer is of another attempt", server_alive=True)
-        if streams:
+        is_stream = status == 200 and content_type.startswith(_EVENT_STREAM)
+        if not self._attempt.is_matching_answer(headers, required=is_stream):
+            return EndBroken("the answer belongs to another attempt", server_alive=True)
+        if is_stream:
             return await self._stream(response)
-        self._answer.whole(status, content_type, await read_body(response, _WHOLE_MAX))
+        self._answer.whole(status, content_type, await read_body(response, _BODY_MAX_BYTES))
         return EndComplete(status)
 
     async def _stream(self, response: httpcore.Response) -> AttemptEnd:
         partial = b""
         chunks = body_of(response)
         async for chunk in chunks:
-            whole, partial = sse.split_whole(partial + chunk if partial else chunk)
-            if whole:
-                before_error = sse.cut_at_error(whole)
+            events, partial = sse.split_whole(partial + chunk if partial else chunk)
+            if events:
+                before_error = sse.cut_at_error(events)
                 if before_error is not None:
-                    await self._pass_on(before_error)
+                    await self._deliver(before_error)
                     return EndBroken("the engine reported an error", server_alive=True)
-                if whole.endswith(sse.DONE):
-                    await self._pass_on(whole[: -len(sse.DONE)])
+                if events.endswith(sse.DONE):
+                    await self._deliver(events[: -len(sse.DONE)])
                     await _read_end(chunks)
                     return EndComplete(response.status)
-                await self._pass_on(whole)
-            elif len(partial) > _EVENT_MAX:
-                return EndBroken("an event does not end", server_alive=True)
-        return await self._attempt.lost("the stream ended without [DONE]")
+                await self._deliver(events)
+            elif len(partial) > _EVENT_MAX_BYTES:
+                return EndBroken("an event exceeds the size limit", server_alive=True)
+        return await self._attempt.classify_loss("the stream ended without [DONE]")
 
-    async def _pass_on(self, whole: bytes) -> None:
-        tokens = sse.count_data(whole)
+    async def _deliver(self, events: bytes) -> None:
+        tokens = sse.count_data(events)
         if tokens:
             self.tokens += tokens
             start = self._start
-            # Kept for the caller before the reducer counts it as delivered: a retry that the
-            # reducer resumes after these tokens must not find them missing.
-            self._answer.keep(whole)
+            # Stored before the reducer counts the tokens as delivered. Prevents a retry that
+            # resumes after these tokens from missing them.
+            self._answer.keep(events)
             self._node.handle(AttemptProgress(start.request_id, start.attempt_id, tokens))
             await self._answer.flush()
 
 
 async def _read_end(chunks: AsyncIterator[bytes]) -> None:
-    """Read the end of the body after [DONE], so that the connection can be used again."""
+    """Read the end of the body after [DONE] to make the connection reusable."""
     with anyio.move_on_after(TAIL_TIMEOUT_S):
         try:
             await anext(chunks, None)
@@ -163,10 +163,9 @@
 
 
 async def cancel_at_engine(pool: BackendPool, start: StartAttempt) -> None:
-    """Tell an engine to stop an attempt; best effort, since closing the connection says it too.
+    """Ask an engine to stop an attempt; ignore errors, since the connection is closed as well.
 
-    Over a new connection: a kept one may have gone silent with the attempt's own, and the engine
-    would go on generating for nobody.
+    Uses a new connection, since pooled ones may be unresponsive like that of the attempt.
     """
     value = {"request_id": start.request_id, "attempt_id": start.attempt_id}
     try:
--- a/packages/turmericweir/turmericweir/servers/backend_service.py
+++ b/packages/turmericweir/turmericweir/servers/backend_service.py
@@ -1,8 +1,8 @@
-"""Calls of plain services: any method and path, forwarded as they are.
+"""Calls to plain services: any method and path, forwarded unchanged.
 
-The caller is sent the status and the headers with the first bytes of the body. From there on the
-call cannot be tried again, and a cut must reach the caller as a cut. An answer whose status is an
-error is still the service's whole answer; only `X-Not-Started` says that nothing was run.
+The caller receives the status and the headers with the first bytes of the body. After that, the
+call cannot be retried, and a broken connection is passed on to the caller. An answer with an error
+status is a complete answer; only `X-Not-Started` means that the service did not run the call.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
     from turmericweir.answers.caller_answer import PlainAnswer
     from turmericweir.process.node import Node
 
-# The router's own; a caller's token is meant for the router, and a service that got it could act as
-# the caller. `expect` was answered by the caller's server already.
+# Headers for the router itself. Prevents a service from receiving the caller's token and acting as
+# the caller. The HTTP server for callers has already handled `expect`.
 _NOT_FORWARDED: Final = HOP_BY_HOP | {
     b"host",
     b"content-length",
@@ -42,41 +42,43 @@
     ATTEMPT_ID,
     PRIORITY,
 }
-# `date` is set by the caller's server.
-_NOT_PASSED_ON: Final = HOP_BY_HOP | {b"date", REQUEST_ID, ATTEMPT_ID, NOT_STARTED, LEAVING}
-_OWN_PREFIX: Final = b"turmericweir-"
+# `date` is set by the HTTP server for callers.
+_NOT_RETURNED: Final = HOP_BY_HOP | {b"date", REQUEST_ID, ATTEMPT_ID, NOT_STARTED, LEAVING}
+_ROUTER_HEADER_PREFIX: Final = b"turmericweir-"
 
 
 @dataclass(frozen=True, slots=True)
 class PlainCall:
-    """What the caller asked for, as it is forwarded."""
+    """A caller's request in the form in which it is forwarded."""
 
     method: bytes
     # Path and query as the caller encoded them.
     target: bytes
-    # End-to-end headers.
+    # End-to-end headers only.
     headers: tuple[tuple[bytes, bytes], ...]
     body: bytes
 
 
-def _end_to_end(
+def _end_to_end_headers(
     headers: list[tuple[bytes, bytes]], dropped: frozenset[bytes]
 ) -> tuple[tuple[bytes, bytes], ...]:
-    named = named_by_connection(headers)
+    connection_headers = named_by_connection(headers)
     return tuple(
         (name, value)
         for name, value in headers
-        if name not in dropped and name not in named and not name.startswith(_OWN_PREFIX)
+        if name not in dropped
+        and name not in connection_headers
+        and not name.startswith(_ROUTER_HEADER_PREFIX)
     )
 
 
 def forwarded_headers(headers: list[tuple[bytes, bytes]]) -> tuple[tuple[bytes, bytes], ...]:
-    """Keep the caller's headers that are meant for the service."""
-    return _end_to_end(headers, _NOT_FORWARDED)
+    """Return the caller's headers that are forwarded to the service."""
+    return _end_to_end_headers(headers, _NOT_FORWARDED)
 
 
 class ServiceAttempt:
-    """One attempt of a call on a plain service."""
+    """One attempt to run a call on a plain service."""
 
     __slots__ = ("_answer", "_attempt", "_call", "_node", "_start")
 
@@ -102,12 +104,12 @@
 
     @property
     def sent(self) -> bool:
-        """Whether the service may have begun."""
+        """Return whether the service may have started."""
         return self._attempt.sent
 
     @property
     def broke(self) -> str:
-        """How the connection was lost; empty while it was not."""
+        """Return the error that broke the connection; empty without one."""
         return self._attempt.broke
 
     async def run(self) -> AttemptEnd:
@@ -121,18 +123,18 @@
 
     async def _consume(self, response: httpcore.Response) -> AttemptEnd:
         headers = lower_headers(response)
-        refusal = await self._attempt.refusal(response, headers)
+        refusal = await self._attempt.read_refusal(response, headers)
         if refusal is not None:
             return refusal
-        if not self._attempt.is_ours(headers, required=False):
-            return EndBroken("the answer is of another attempt", server_alive=True)
-        lower = [(name.lower(), value) for name, value in response.headers]
+        if not self._attempt.is_matching_answer(headers, required=False):
+            return EndBroken("the answer belongs to another attempt", server_alive=True)
+        response_headers = [(name.lower(), value) for name, value in response.headers]
         answer = self._answer
-        answer.begin(response.status, _end_to_end(lower, _NOT_PASSED_ON))
+        answer.begin(response.status, _end_to_end_headers(response_headers, _NOT_RETURNED))
         async for chunk in body_of(response):
             answer.keep(chunk)
             if not answer.is_whole:
-                # The reducer must know that the caller has a part: there is no second try now.
+                # Reports that the caller receives a part, which rules out a retry.
                 start = self._start
                 self._node.handle(AttemptProgress(start.request_id, start.attempt_id, 1))
                 await answer.flush()
--- a/packages/turmericweir/turmericweir/servers/backend_stream.py
+++ b/packages/turmericweir/turmericweir/servers/backend_stream.py
@@ -1,13 +1,10 @@
-"""The TCP connection below an HTTP connection, as httpcore's protocol code wants it.
+"""The TCP connection below an HTTP connection, as a network stream for httpcore.
 
-httpcore's own stream opens a scope with a time limit for each read and write, also where there is
-no limit: a dozen for each small request. anyio's socket stream, below it, lets all other tasks run
-at each write and takes the socket out of the event loop's poll set after each read. This one stands
-on the event loop's transport and passes reads and writes straight on. It bounds neither: a silent
-server is noticed by the reducer, a dead peer by the socket's own timeouts.
+The stream calls the event loop's transport directly, which avoids the cancel scopes of httpcore's
+own stream and the task switches of anyio's. Reads and writes have no time limits: the reducer
+detects unresponsive servers, and the socket's timeouts detect dead ones.
 
-It also knows the moment before the first byte of a request goes out, from which on the server may
-have begun.
+It also runs a callback before the first byte of a request, since the server may start after that.
 """
 
 from __future__ import annotations
@@ -24,11 +21,11 @@
 from anyio.lowlevel import checkpoint_if_cancelled
 
 CONNECT_TIMEOUT_S: Final = 0.35
-# Beyond so many bytes that nobody has read, no more is read from the connection.
-UNREAD_MAX: Final = 65_536
-# The system probes a silent connection after 5 s and gives it up after 3 unanswered probes, 2 s
-# apart; data that stays unacknowledged for 6 s breaks it as well. Without these, a connection that
-# lost its other end without a word would be waited on for hours.
+# Reading from the connection pauses while more bytes than this are unread.
+UNREAD_MAX_BYTES: Final = 65_536
+# The system probes an idle connection after 5 s and closes it after 3 unanswered probes, 2 s apart;
+# data that is unacknowledged for 6 s closes it as well. Prevents waiting for hours on a connection
+# whose other end has disappeared.
 SOCKET_OPTIONS: Final[tuple[tuple[int, int, int], ...]] = (
     (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
     (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, 5),
@@ -38,187 +35,188 @@
 )
 
 
-class _Wire(asyncio.Protocol):
-    """What the event loop tells of one connection."""
+class _ConnectionProtocol(asyncio.Protocol):
+    """Receives the event loop's callbacks for one connection."""
 
     transport: asyncio.Transport
-    # What has come and was not read yet, and its size.
-    received: deque[bytes]
-    _unread: int
-    # The other end sends no more, or the connection is lost.
-    ended: bool
-    # Why it was lost; None also where it was closed in order.
-    fault: Exception | None
-    # Set when something comes or may be written; None while nobody waits.
-    _came: anyio.Event | None
-    # The system takes no more for now.
-    _blocked: bool
+    # Chunks that were received and not read yet, and their total size.
+    received_chunks: deque[bytes]
+    _unread_bytes: int
+    # The other end has closed its side, or the connection is lost.
+    has_ended: bool
+    # Why the connection was lost; None if it was closed normally.
+    error: Exception | None
+    # Set when data arrives, writing resumes or the connection ends; None while no task waits.
+    _progressed: anyio.Event | None
+    # The send buffer is full.
+    _is_write_paused: bool
 
     def __init__(self) -> None:
-        self.received = deque()
-        self._unread = 0
-        self.ended = False
-        self.fault = None
-        self._came = None
-        self._blocked = False
+        self.received_chunks = deque()
+        self._unread_bytes = 0
+        self.has_ended = False
+        self.error = None
+        self._progressed = None
+        self._is_write_paused = False
 
     async def wait_received(self) -> None:
-        """Wait until something can be read, or nothing more will come."""
-        while not self.received and not self.ended:
-            self._came = anyio.Event()
+        """Wait until data can be read or the connection has ended."""
+        while not self.received_chunks and not self.has_ended:
+            self._progressed = anyio.Event()
             try:
-                await self._came.wait()
+                await self._progressed.wait()
             finally:
-                self._came = None
+                self._progressed = None
 
     async def wait_writable(self) -> None:
-        """Wait until the system has taken most of what was written, or an answer comes.
+        """Wait until most of the send buffer is written or data arrives.
 
-        Failure: a server answers before it has read a long body, and reads on only then. Waiting
-        for it to read would keep its answer from the caller; the rest of the body follows by
-        itself, before anything else on this connection.
+        Prevents a deadlock with a server that answers before it has read a long body. The transport
+        writes the rest of the body in the background.
         """
-        while self._blocked and not self.received:
-            self._came = anyio.Event()
+        while self._is_write_paused and not self.received_chunks:
+            self._progressed = anyio.Event()
             try:
-                await self._came.wait()
+                await self._progressed.wait()
             finally:
-                self._came = None
+                self._progressed = None
 
-    def take(self) -> bytes:
-        """Take the oldest part of what has come; nothing at the end."""
-        if not self.received:
+    def pop_chunk(self) -> bytes:
+        """Remove and return the oldest received chunk; empty at the end."""
+        if not self.received_chunks:
             return b""
-        data = self.received.popleft()
-        if self._unread > UNREAD_MAX >= self._unread - len(data):
+        data = self.received_chunks.popleft()
+        if self._unread_bytes > UNREAD_MAX_BYTES >= self._unread_bytes - len(data):
             self.transport.resume_reading()
-        self._unread -= len(data)
+        self._unread_bytes -= len(data)
         return data
 
     # Called by the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self.transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Keep what came, and read no more for now where it is much.
+        """Store received data and pause reading above the limit.
 
-        Failure: a caller that reads slowly, before a server that sends fast, fills the memory.
+        Prevents a fast server and a slow caller from exhausting the memory.
         """
-        self.received.append(data)
-        if self._unread <= UNREAD_MAX < self._unread + len(data):
+        self.received_chunks.append(data)
+        if self._unread_bytes <= UNREAD_MAX_BYTES < self._unread_bytes + len(data):
             self.transport.pause_reading()
-        self._unread += len(data)
+        self._unread_bytes += len(data)
         self._wake()
 
     def eof_received(self) -> bool:
-        """Note the end; True keeps the transport open until the attempt closes it."""
-        self.ended = True
+        """Record the end; True keeps the transport open until the attempt closes it."""
+        self.has_ended = True
         self._wake()
         return True
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Wake whoever waits."""
-        self.ended = True
-        self.fault = exc
+        """Record the end and wake the waiting task."""
+        self.has_ended = True
+        self.error = exc
         self._wake()
         self.resume_writing()
 
     def pause_writing(self) -> None:
-        """Have the writer wait."""
-        self._blocked = True
+        """Make the writer wait."""
+        self._is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Let the writer go on."""
-        if self._blocked:
-            self._blocked = False
+        """Wake the waiting writer."""
+        if self._is_write_paused:
+            self._is_write_paused = False
             self._wake()
 
     def _wake(self) -> None:
-        if self._came is not None:
-            self._came.set()
+        if self._progressed is not None:
+            self._progressed.set()
 
 
 class BackendStream(httpcore.AsyncNetworkStream):
     """One TCP connection to a backend server or the platform."""
 
-    _wire: _Wire
+    _protocol: _ConnectionProtocol
     # Called once, just before the next bytes are written.
     before_write: Callable[[], None] | None
 
-    def __init__(self, wire: _Wire) -> None:
-        self._wire = wire
+    def __init__(self, protocol: _ConnectionProtocol) -> None:
+        self._protocol = protocol
         self.before_write = None
 
     # The signatures, with their `timeout`, are httpcore's.
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:  # noqa: ASYNC109
-        """Read what has come, waiting for it as long as it takes; nothing at the end."""
+        """Return the next received data, without a time limit; empty at the end."""
         assert timeout is None
-        wire = self._wire
-        await wire.wait_received()
-        if not wire.received and wire.fault is not None:
-            raise httpcore.ReadError(str(wire.fault)) from wire.fault
-        return wire.take()
+        protocol = self._protocol
+        await protocol.wait_received()
+        if not protocol.received_chunks and protocol.error is not None:
+            raise httpcore.ReadError(str(protocol.error)) from protocol.error
+        return protocol.pop_chunk()
 
     async def write(self, buffer: bytes, timeout: float | None = None) -> None:  # noqa: ASYNC109
-        """Write all of it."""
+        """Write the whole buffer."""
         assert timeout is None
         if not buffer:
             return
-        announce = self.before_write
-        if announce is not None:
+        before_write = self.before_write
+        if before_write is not None:
             self.before_write = None
-            announce()
-        # The announcement may have led to the attempt being cancelled.
+            before_write()
+        # The callback may have cancelled the attempt.
         await checkpoint_if_cancelled()
-        wire = self._wire
-        if not wire.transport.is_closing():
-            wire.transport.write(buffer)
-            await wire.wait_writable()
-        if wire.transport.is_closing():
-            raise httpcore.WriteError(str(wire.fault or "the connection is closed")) from wire.fault
+        protocol = self._protocol
+        if not protocol.transport.is_closing():
+            protocol.transport.write(buffer)
+            await protocol.wait_writable()
+        if protocol.transport.is_closing():
+            raise httpcore.WriteError(
+                str(protocol.error or "the connection is closed")
+            ) from protocol.error
 
     @property
     def has_unread(self) -> bool:
-        """Whether something has come that nobody has read."""
-        return bool(self._wire.received)
+        """Return whether there is received data that was not read."""
+        return bool(self._protocol.received_chunks)
 
     async def aclose(self) -> None:
         """Close the connection."""
-        self._wire.transport.abort()
+        self._protocol.transport.abort()
 
-    # Any: httpcore asks for things of any kind by name.
+    # Any: httpcore requests values of any type by name.
     def get_extra_info(self, info: str) -> Any:
-        """Tell what httpcore asks for: whether an idle connection was closed by its server."""
+        """Return whether the connection is readable, the one value that httpcore requests."""
         return self._is_readable() if info == "is_readable" else None
 
     def _is_readable(self) -> bool:
-        wire = self._wire
-        if wire.ended or wire.received or wire.transport.is_closing():
+        protocol = self._protocol
+        if protocol.has_ended or protocol.received_chunks or protocol.transport.is_closing():
             return True
-        # Asked anew: what came since the event loop last looked is not in `received` yet.
+        # Polls the socket, since the event loop may not have delivered the newest data yet.
         poll = select.poll()
-        poll.register(wire.transport.get_extra_info("socket"), select.POLLIN)
+        poll.register(protocol.transport.get_extra_info("socket"), select.POLLIN)
         return bool(poll.poll(0))
 
 
 async def connect(address: str) -> BackendStream:
-    """Open a connection; raises httpcore's errors."""
+    """Open a connection; raise httpcore's errors."""
     host, _, port = address.rpartition(":")
     try:
         with anyio.fail_after(CONNECT_TIMEOUT_S):
             loop = asyncio.get_running_loop()
-            _, wire = await loop.create_connection(_Wire, host, int(port))
+            _, protocol = await loop.create_connection(_ConnectionProtocol, host, int(port))
     except TimeoutError:
-        raise httpcore.ConnectTimeout(f"no connection in {CONNECT_TIMEOUT_S} s") from None
+        raise httpcore.ConnectTimeout(f"no connection within {CONNECT_TIMEOUT_S} s") from None
     except OSError as exc:
         raise httpcore.ConnectError(str(exc.__cause__ or exc)) from exc
-    set_options(wire.transport.get_extra_info("socket"))
-    return BackendStream(wire)
+    set_options(protocol.transport.get_extra_info("socket"))
+    return BackendStream(protocol)
 
 
 def set_options(raw: socket.socket) -> None:
-    """Have the system notice a connection that lost its other end."""
+    """Set the socket options by which the system detects dead connections."""
     for level, option, value in SOCKET_OPTIONS:
         raw.setsockopt(level, option, value)
--- a/packages/turmericweir/turmericweir/servers/server_calls.py
+++ b/packages/turmericweir/turmericweir/servers/server_calls.py
@@ -1,7 +1,7 @@
-"""Calls to backend servers that belong to no caller's request: load probes and orders.
+"""Calls to backend servers outside callers' requests: load probes and orders.
 
-The two kinds of servers report load in nearly the same words; what a plain service lacks has a
-default here.
+Engines and plain services send nearly the same load reports; the fields that a plain service omits
+have defaults.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from turmericweir_core.messages.events import OrderDone, ServerReport, ServerUnreachable
 
 _LOAD_TIMEOUT_S: Final = 1.0
-_FENCE_OLD: Final = 409
+_STALE_FENCE_STATUS: Final = 409
 
 
 class LoadBody(BaseModel):
     """A load report as an engine or a plain service sends it."""
 
-    # Another release of a server may say more than this one reads.
+    # Other releases of a server may send more fields.
     model_config = ConfigDict(extra="ignore", frozen=True)
 
     incarnation: str
     seq: int
     running: int = Field(ge=0)
     waiting: int = Field(default=0, ge=0)
-    # An engine's batch, or the limit of a plain service.
+    # Batch size of an engine, and request limit of a plain service.
     slots: int | None = Field(default=None, gt=0)
     limit: int | None = Field(default=None, gt=0)
     kv_used: int = 0
@@ -47,11 +47,11 @@
 
 
 class ServerCalls:
-    """Makes the calls in the background and hands their answers to the reducer."""
+    """Makes the calls in the background and sends the results to the reducer."""
 
     _node: Node
     _pool: BackendPool
-    # Servers that are being probed: a slow one is not asked again meanwhile.
+    # Servers with a running probe, which get no second one.
     _probing: set[ServerName]
 
     def __init__(self, pool: BackendPool) -> None:
@@ -59,11 +59,11 @@
         self._probing = set()
 
     def attach(self, node: Node) -> None:
-        """Take the node whose effects these are; it is made after its adapters."""
+        """Set the node, which is created after its adapters."""
         self._node = node
 
     def probe(self, effect: ProbeServer) -> None:
-        """Ask a server for its load."""
+        """Request the load of a server in the background."""
         if effect.server not in self._probing:
             self._probing.add(effect.server)
             self._node.in_background(self._probe, effect)
@@ -87,11 +87,11 @@
             self._probing.discard(effect.server)
 
     def distrust(self, effect: DistrustConnections) -> None:
-        """Use no connection again that is open to a server now."""
+        """Stop reusing the connections that are open to a server now."""
         self._pool.distrust(effect.address)
 
     def order(self, effect: SendOrder) -> None:
-        """Give a server an order."""
+        """Send an order to a server in the background."""
         self._node.in_background(self._order, effect)
 
     async def _order(self, effect: SendOrder) -> None:
@@ -114,30 +114,29 @@
             effect.server,
             effect.token,
             ok=answer.status == 200,
-            stale_fence=answer.status == _FENCE_OLD,
+            stale_fence=answer.status == _STALE_FENCE_STATUS,
             error="" if answer.status == 200 else f"status {answer.status}",
         )
         self._node.handle(done)
 
     async def _send_order(self, effect: SendOrder, value: dict[str, Any]) -> Answer:
-        # The process may have been stopped since the reducer looked at the lease. Looking again
-        # here leaves only the way into the socket.
-        left_s = effect.not_after - anyio.current_time()
-        if left_s <= 0:
-            raise CallError("order", effect.address, "the lease has lapsed", sent=False)
+        # The process may have been suspended since the reducer checked the lease.
+        remaining_s = effect.not_after - anyio.current_time()
+        if remaining_s <= 0:
+            raise CallError("order", effect.address, "the lease expired before sending", sent=False)
         return await call(
             self._pool,
             b"POST",
             effect.address,
             "/v1/orders",
             value=value,
-            timeout_s=min(effect.timeout_s, left_s),
+            timeout_s=min(effect.timeout_s, remaining_s),
             fresh=True,
         )
 
 
 def _read_report(effect: ProbeServer, answer: Answer, asked_at: float) -> ServerReport:
-    """Validate a report; one that cannot be used counts as no answer."""
+    """Return the validated report; raise CallError for an unusable one."""
     server, address = effect.server, effect.address
     if answer.status != 200:
         raise CallError("load report", address, f"status {answer.status}", sent=True)
@@ -145,7 +144,7 @@
         body = LoadBody.model_validate(answer.json())
     except (ValidationError, orjson.JSONDecodeError) as exc:
         logs.write("bad_load_report", peer=server, error=str(exc))
-        raise CallError("load report", address, "it is malformed", sent=True) from exc
+        raise CallError("load report", address, "the report is malformed", sent=True) from exc
     return ServerReport(
         server=server,
         incarnation=body.incarnation,
--- a/tests/daemon/test_backend_stream.py
+++ b/tests/daemon/test_backend_stream.py
@@ -1,4 +1,4 @@
-"""The connection to a backend server below HTTP: what is kept, what is written, how it ends."""
+"""Tests of the TCP connection to a backend server: buffering, writing and closing."""
 
 from __future__ import annotations
 
@@ -9,11 +9,16 @@
 import httpcore
 import pytest
 
-from turmericweir.servers.backend_stream import UNREAD_MAX, BackendStream, _Wire, connect
+from turmericweir.servers.backend_stream import (
+    UNREAD_MAX_BYTES,
+    BackendStream,
+    _ConnectionProtocol,
+    connect,
+)
 
 
 class FakeTransport(asyncio.Transport):
-    """Keeps what is written and whether reading is paused."""
+    """Records written data and whether reading is paused."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -35,37 +40,35 @@
         return False
 
 
-def make_wire() -> tuple[_Wire, FakeTransport]:
-    wire, transport = _Wire(), FakeTransport()
-    wire.connection_made(transport)
-    return wire, transport
+def make_protocol() -> tuple[_ConnectionProtocol, FakeTransport]:
+    protocol, transport = _ConnectionProtocol(), FakeTransport()
+    protocol.connection_made(transport)
+    return protocol, transport
 
 
-def test_fast_server_before_a_slow_caller_fills_no_memory() -> None:
-    # A server sends faster than the caller reads. Nothing is read from the server any more once a
-    # limit is kept, until the caller has taken enough; every byte arrives in order.
+def test_reading_pauses_while_the_caller_is_slower_than_the_server() -> None:
+    # Guards against unbounded buffering, and against lost or reordered data when reading resumes.
     async def run() -> None:
-        wire, transport = make_wire()
-        parts = [bytes([number]) * (UNREAD_MAX // 2) for number in range(4)]
+        protocol, transport = make_protocol()
+        chunks = [bytes([number]) * (UNREAD_MAX_BYTES // 2) for number in range(4)]
         paused = []
-        for part in parts:
-            wire.data_received(part)
+        for chunk in chunks:
+            protocol.data_received(chunk)
             paused.append(transport.paused)
-        stream = BackendStream(wire)
-        for part in parts:
-            assert await stream.read(65_536) == part
+        stream = BackendStream(protocol)
+        for chunk in chunks:
+            assert await stream.read(65_536) == chunk
             paused.append(transport.paused)
         assert paused == [False, False, True, True, True, False, False, False]
 
     anyio.run(run)
 
 
-def test_attempt_that_its_announcement_cancels_writes_nothing() -> None:
-    # The word that the first byte goes out next leads to the attempt being cancelled. Were it
-    # written still, the server would run what nobody waits for.
+def test_attempt_cancelled_by_the_write_callback_writes_nothing() -> None:
+    # Guards against a server running a request whose attempt was already cancelled.
     async def run() -> None:
-        wire, transport = make_wire()
-        stream = BackendStream(wire)
+        protocol, transport = make_protocol()
+        stream = BackendStream(protocol)
         with anyio.CancelScope() as scope:
             stream.before_write = scope.cancel
             await stream.write(b"GET / HTTP/1.1\r\n\r\n")
@@ -75,11 +78,12 @@
     anyio.run(run)
 
 
-def test_writer_waits_until_the_system_takes_more() -> None:
+def test_writer_waits_until_writing_resumes() -> None:
+    # Guards against unbounded buffering of writes.
     async def run() -> None:
-        wire, transport = make_wire()
-        stream = BackendStream(wire)
-        wire.pause_writing()
+        protocol, transport = make_protocol()
+        stream = BackendStream(protocol)
+        protocol.pause_writing()
         order: list[str] = []
 
         async def write() -> None:
@@ -90,7 +94,7 @@
             tasks.start_soon(write)
             await anyio.wait_all_tasks_blocked()
             order.append("resumed")
-            wire.resume_writing()
+            protocol.resume_writing()
         assert order == ["resumed", "written"]
         assert transport.written == [b"x"]
 
@@ -98,9 +102,9 @@
 
 
 @pytest.mark.parametrize("reset", [True, False])
-def test_connection_that_its_server_ends_is_seen(reset: bool) -> None:
-    # The server ends the connection while it is idle. It must not be taken for another request, and
-    # who reads from it learns of a reset as an error and of an orderly end as the end.
+def test_connection_closed_by_its_server_is_detected(reset: bool) -> None:
+    # Guards against reusing a connection that the server closed or reset while it was idle, and
+    # against reading a reset as a normal end.
     async def run() -> None:
         connected: asyncio.Future[asyncio.StreamWriter] = asyncio.Future()
         server = await asyncio.start_server(
@@ -113,7 +117,7 @@
             assert not stream.get_extra_info("is_readable")
             transport = cast(asyncio.Transport, writer.transport)
             if reset:
-                # What it has not read makes the system answer the close with a reset.
+                # Unread data makes the system close the connection with a reset.
                 transport.pause_reading()
                 await stream.write(b"unread")
                 transport.abort()
