--- a/packages/turmericweir/turmericweir/process/__init__.py
+++ b/packages/turmericweir/turmericweir/process/__init__.py
@@ -1,4 +1,4 @@
-"""Run the process: settings files, logs, metrics, sockets, and the loop around the core (`node`).
+"""The process around the core: settings files, logs, metrics, sockets and the event loop (`node`).
 
-Other packages of the daemon hand their events to the node and are called for its effects.
+Other packages of the daemon send their events to the node, which calls them to perform effects.
 """
--- a/packages/turmericweir/turmericweir/process/boot_clock.py
+++ b/packages/turmericweir/turmericweir/process/boot_clock.py
@@ -1,8 +1,7 @@
-"""An event loop whose clock goes on while the machine is suspended.
+"""An event loop whose clock includes the time in which the machine was suspended.
 
-Failure: a machine sleeps for some seconds. The usual clock does not count them, so on waking every
-lease, deadline and proof still looks as young as before, and a key that was taken away meanwhile is
-served on. With this clock all ages are true at the first event after waking.
+Prevents leases, deadlines and freshness proofs from appearing fresh after a suspension, and keys
+that were revoked meanwhile from being accepted.
 """
 
 from __future__ import annotations
@@ -12,8 +11,8 @@
 
 
 class BootClockLoop(asyncio.SelectorEventLoop):
-    """The usual loop by another clock."""
+    """The selector event loop with the boot-time clock."""
 
     def time(self) -> float:
-        """Give the time since the machine was started, seconds."""
+        """Return the time since the machine was started, in seconds."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
--- a/packages/turmericweir/turmericweir/process/entry_settings.py
+++ b/packages/turmericweir/turmericweir/process/entry_settings.py
@@ -1,8 +1,8 @@
-"""The settings file of a process whose platform keeps settings and servers in a store.
+"""The settings file of a process whose platform provides settings and servers in a store.
 
-JSON, with lines of comment that begin with two slashes. It says who the process is, where it
-listens and what the platform holds it to; everything that operators change while it runs comes from
-the store. `deploy/settings.json` is its template.
+The file is JSON with comment lines that begin with two slashes. It contains the process's identity,
+its addresses and the platform's bounds; the store provides everything that operators change at
+runtime. `deploy/settings.json` is the template.
 """
 
 from __future__ import annotations
@@ -18,107 +18,107 @@
 from turmericweir.process.errors import SettingsFileError
 
 _COMMENT: Final = "//"
-# The weakest machine that carries anything for others.
+# The weakest machine that is assigned shared work.
 _LINK_MBPS: Final = 5.0
 _PROCESSORS: Final = 0.25
 _PORT_MAX: Final = 65_535
 
 
 class MachineSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What the machine can carry."""
+    """The capacity of the machine."""
 
     link_mbps: float = 0
-    # In cores of common speed.
+    # Number of cores.
     processors: float = 0
     processor_speed: float = 1
 
     @property
     def strength(self) -> int:
-        """Give its class: one more for each doubling of what it has least of, 0 the weakest."""
-        least = min(
+        """Return the capacity class: 0, plus one for each doubling of the scarcest resource."""
+        scarcest_ratio = min(
             self.link_mbps / _LINK_MBPS, self.processors * self.processor_speed / _PROCESSORS
         )
-        return max(0, int(log2(least))) if least > 0.0 else 0
+        return max(0, int(log2(scarcest_ratio))) if scarcest_ratio > 0.0 else 0
 
 
 class StoreSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """How the platform's store is reached."""
+    """The address of the platform's store."""
 
     # ip:port
     address: str
 
 
 class DutiesSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Calls to the platform that are the duty of one instance at a time."""
+    """Calls to the platform that only one instance at a time makes."""
 
-    # Where the platform takes them, ip:port
+    # Where the platform accepts the calls, ip:port
     address: str
-    # Which there are; those that are not known here are left alone.
+    # Kinds of duties; unknown ones are ignored.
     kinds: list[str] = []
-    # Calls a second that the platform takes from all instances together.
+    # Calls per second that the platform accepts from all instances together.
     calls_per_s: float = 50
-    # The platform refuses calls with a fencing number below one that it has seen.
+    # Whether the platform rejects calls whose fencing number is below an earlier one.
     checks_fence: bool = True
-    # Time in which a holder that lost its lease may not act again, milliseconds.
+    # Milliseconds in which an instance that lost its lease must not act again.
     lease_ms: float = 3_000
-    # Length of a window of usage, and how long after its end its report is due, seconds.
+    # Length of a usage window, and the delay after its end until its report, in seconds.
     window_s: float = 60
     late_s: float = 60
 
 
 class BoundsSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """What the platform holds every process to. Times are milliseconds unless named otherwise."""
+    """Limits that the platform sets for every process. Times end in their unit."""
 
-    # A server that leaves gets no new requests after so long.
+    # Time after which a leaving server receives no new requests.
     drain_ms: float = 2_000
-    # Settings are in force everywhere after so long.
+    # Time after which settings are in force everywhere.
     settings_ms: float = 2_000
-    # A process that was told to stop is killed after so long, seconds.
+    # Time after which a stopping process is killed, in seconds.
     grace_s: float = 8
-    # Whether a key that is taken away stops everywhere, and after how long at the latest.
+    # Whether a revoked key must be rejected everywhere, and the maximum delay.
     strict_revoke: bool = False
     revoke_ms: float = 5_000
-    # Retries over all instances: share of first requests, window and what may come on top.
+    # Retry budget of all instances: share of first requests, window and additional burst.
     retry_ratio: float = 0.1
     retry_window_s: float = 10
     retry_burst: float = 10
 
 
 class EntrySettings(msgspec.Struct, frozen=True, kw_only=True):
-    """The whole file."""
+    """The complete settings file."""
 
     name: str
     data_centre: str
     region: str
-    # Region of each data centre.
+    # Regions by data centre.
     regions: dict[str, str] = {}
-    # Where callers, the balancer and operators reach this process, ip:port each.
+    # Addresses for callers, the balancer and operators, ip:port each.
     caller_address: str
     readiness_address: str
     admin_address: str = ""
-    # Where other instances reach this one, over TCP and UDP.
+    # Address for other instances, over TCP and UDP.
     peer_address: str
-    # Addresses of other instances on any of their ports; their peer port is this process's own.
+    # Addresses of other instances with any port; their peer port is the same as this process's.
     seeds: list[str] = []
-    # Where the collector finds the counters; 0 for nowhere.
+    # Port on which the collector fetches metrics; 0 for none.
     metrics_port: int = 0
-    # SHA-256 of the token that operators show at the admin address; empty asks for none.
+    # SHA-256 of the operators' token for the admin address; if empty, no token is required.
     admin_token_sha256: str = ""
     machine: MachineSettings = MachineSettings()
     store: StoreSettings
-    # None where the platform has no duties.
+    # None if the platform has no duties.
     duties: DutiesSettings | None = None
     bounds: BoundsSettings = BoundsSettings()
 
     @property
     def peer_seeds(self) -> tuple[str, ...]:
-        """Where to find other instances at first."""
+        """Return the addresses of the first instances to contact."""
         port = self.peer_address.rpartition(":")[2]
-        return tuple(f"{each.rpartition(':')[0]}:{port}" for each in self.seeds if each)
+        return tuple(f"{seed.rpartition(':')[0]}:{port}" for seed in self.seeds if seed)
 
     @property
     def host(self) -> str:
-        """The address of the machine."""
+        """Return the IP address of the machine."""
         return self.peer_address.rpartition(":")[0]
 
 
@@ -132,7 +132,7 @@
 
 
 def parse_entry_settings(text: str, origin: str) -> Result[EntrySettings, SettingsFileError]:
-    """Validate the text of a settings file; `origin` names it in errors."""
+    """Validate the text of a settings file; `origin` names the file in errors."""
     lines = [line for line in text.splitlines() if not line.lstrip().startswith(_COMMENT)]
     try:
         cfg = msgspec.json.decode("\n".join(lines), type=EntrySettings, strict=False)
--- a/packages/turmericweir/turmericweir/process/errors.py
+++ b/packages/turmericweir/turmericweir/process/errors.py
@@ -1,49 +1,48 @@
-"""Errors of the daemon; each carries the step and the peer at which it arose.
+"""Errors of the daemon, each with the step that failed and the peer.
 
-A peer here is whatever stands at the other end: a file, a backend server, the platform, another
-instance. Adapters turn the errors of their libraries into these, so that a log line can always say
-what was being done with whom.
+The peer is a file, a backend server, the platform or another instance. Adapters convert the errors
+of their libraries to these types for logging.
 """
 
 from __future__ import annotations
 
 
 class DaemonError(Exception):
-    """A failure at one step of an exchange with one peer."""
+    """A failed step of an exchange with a peer."""
 
     def __init__(self, step: str, peer: str, detail: str) -> None:
         super().__init__(f"{step} with {peer}: {detail}")
-        # What was being done, as one word or two: "connect", "read settings".
+        # The step in one or two words, such as "connect" or "read settings".
         self.step = step
-        # With whom: an address, a name or a file.
+        # An address, a name or a file.
         self.peer = peer
-        # What went wrong, for a reader of the log.
+        # The cause, for the log.
         self.detail = detail
 
 
 class SettingsFileError(DaemonError):
-    """The process's own settings file cannot be used."""
+    """The settings file of the process is missing or invalid."""
 
 
 class ListenError(DaemonError):
-    """An address of this process cannot be listened on."""
+    """The process cannot listen on an address."""
 
 
 class CallError(DaemonError):
-    """A call to a backend server or the platform brought no usable answer."""
+    """A call to a backend server or the platform returned no usable answer."""
 
     def __init__(self, step: str, peer: str, detail: str, *, sent: bool) -> None:
         super().__init__(step, peer, detail)
-        # The first byte went out, so the other end may have done what was asked.
+        # Whether the first byte was written, after which the peer may have run the call.
         self.sent = sent
 
 
 class PeerError(DaemonError):
-    """A frame of another instance cannot be understood, or a stream to it broke."""
+    """A frame from another instance is invalid, or a stream to it broke."""
 
 
 def describe(exc: BaseException) -> str:
-    """Describe any error in one line, also those whose text is empty."""
+    """Return a one-line description of an error, even if its text is empty."""
     text = str(exc)
     name = type(exc).__name__
     return f"{name}: {text}" if text else name
--- a/packages/turmericweir/turmericweir/process/listening_socket.py
+++ b/packages/turmericweir/turmericweir/process/listening_socket.py
@@ -1,7 +1,8 @@
-"""The socket of a port: how it is bound, and how it is closed without a reset for who connects.
+"""Listening sockets: bind them, and close them without resetting new connections.
 
-`http_server` serves callers and operators on it. What a closing port would reset is taken care of
-here: connections that the system has made and nobody has accepted, and those that begin just then.
+`http_server` serves callers and operators on these sockets. Closing a listening socket resets the
+connections in its queue. To prevent that, this module ignores new connections and accepts the
+queued ones first.
 """
 
 from __future__ import annotations
@@ -15,8 +16,8 @@
 from turmericweir.process.errors import ListenError
 
 _SO_ATTACH_FILTER: Final = 26
-# A socket filter of Linux, which sees segments from their TCP header on: load the flags, mask SYN
-# and ACK, and where SYN stands alone drop the segment, else pass all of it.
+# A Linux socket filter on the TCP header: load the flags, mask SYN and ACK, drop the segment if
+# only SYN is set, otherwise pass all of it.
 _IGNORE_SYN: Final = (
     (0x30, 0, 0, 13),
     (0x54, 0, 0, 0x12),
@@ -30,9 +31,8 @@
     """Bind a TCP socket to an address; uvicorn listens on it later."""
     host, _, port = address.rpartition(":")
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    # The protocol is named, as accepted sockets inherit it and asyncio sets TCP_NODELAY only on
-    # those that name TCP. Without it, the body of a small answer waits 40 ms for the
-    # acknowledgement of its head.
+    # Accepted sockets inherit the protocol, and asyncio sets TCP_NODELAY only if it is TCP.
+    # Prevents the body of a small answer from waiting for the acknowledgement of its head.
     sock = socket.socket(family, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
@@ -45,32 +45,32 @@
 
 
 def address_of(sock: socket.socket) -> str:
-    """Give the address that a socket is bound to, with the port that the system chose."""
+    """Return the address that a socket is bound to, with the port that the system chose."""
     host, port = sock.getsockname()[:2]
     return f"{host}:{port}"
 
 
 def take_no_more(sock: socket.socket) -> None:
-    """Have the system ignore those who begin to connect, until the socket is closed.
+    """Make the system ignore new connections until the socket is closed.
 
-    Between the last look at what waits and the close another connection may be made, and is reset.
-    Whoever is ignored begins again within about a second and is then refused, which tells it that
-    nothing was sent. Where the system knows no such filters that moment remains.
+    Prevents connections from being reset between the last `accept` and the close. An ignored client
+    retries within about a second and is then refused, so it knows that nothing was sent. Does
+    nothing on systems without such filters.
     """
-    code = b"".join(struct.pack("HBBI", *step) for step in _IGNORE_SYN)
-    held = ctypes.create_string_buffer(code)
-    program = struct.pack("HP", len(_IGNORE_SYN), ctypes.addressof(held))
+    code = b"".join(struct.pack("HBBI", *instruction) for instruction in _IGNORE_SYN)
+    code_buffer = ctypes.create_string_buffer(code)
+    program = struct.pack("HP", len(_IGNORE_SYN), ctypes.addressof(code_buffer))
     with contextlib.suppress(OSError):
         sock.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_FILTER, program)
 
 
 def accept_waiting(sock: socket.socket) -> list[socket.socket]:
-    """Accept the connections that the system has taken and nobody has accepted."""
-    found: list[socket.socket] = []
+    """Accept and return the connections that are queued in the system."""
+    accepted: list[socket.socket] = []
     while True:
         try:
             conn, _ = sock.accept()
         except OSError:
-            return found
+            return accepted
         conn.setblocking(False)
-        found.append(conn)
+        accepted.append(conn)
--- a/packages/turmericweir/turmericweir/process/logs.py
+++ b/packages/turmericweir/turmericweir/process/logs.py
@@ -1,8 +1,7 @@
 """Log lines: one event each, as key=value pairs.
 
-The rest of the daemon logs through `write`; eliot carries the message to the one destination here,
-which formats it. Messages of the standard `logging` module, which the libraries use, come the same
-way.
+The daemon logs through `write`. Eliot passes each message to the destination, which formats it.
+Messages of the standard `logging` module, from libraries, take the same path.
 """
 
 from __future__ import annotations
@@ -18,40 +17,44 @@
 
 import eliot
 
-# Eliot's own bookkeeping, which says nothing to a reader of lines.
-_HIDDEN: Final = frozenset({"timestamp", "task_uuid", "task_level", "message_type"})
+# Internal fields of eliot, which are not written.
+_ELIOT_FIELDS: Final = frozenset({"timestamp", "task_uuid", "task_level", "message_type"})
 
 
 def write(event: str, **fields: Any) -> None:
-    """Write one log line. Any: a field may hold whatever can be shown as text."""
+    """Write one log line. Any: a field may have any value that converts to text."""
     eliot.log_message(message_type=event, **fields)
 
 
 def write_fault(step: str, subject: str, exc: BaseException) -> None:
-    """Write a fault of the program itself, with where it arose."""
+    """Write a log line about an unexpected exception, with its traceback."""
     trace = "".join(traceback_module.format_exception(exc))
     write("fault", step=step, subject=subject, error=repr(exc), traceback=trace)
 
 
 def format_line(message: dict[str, Any]) -> str:
-    """Format one message as a line of key=value pairs."""
-    at = datetime.fromtimestamp(message["timestamp"], UTC).isoformat(timespec="milliseconds")
-    pairs = [f"time={at}", f"event={_value(message.get('message_type', 'eliot'))}"]
-    pairs += [f"{key}={_value(value)}" for key, value in message.items() if key not in _HIDDEN]
+    """Return a message as a line of key=value pairs."""
+    logged_at = datetime.fromtimestamp(message["timestamp"], UTC).isoformat(timespec="milliseconds")
+    pairs = [f"time={logged_at}", f"event={_format_value(message.get('message_type', 'eliot'))}"]
+    pairs += [
+        f"{key}={_format_value(value)}"
+        for key, value in message.items()
+        if key not in _ELIOT_FIELDS
+    ]
     return " ".join(pairs)
 
 
-def _value(value: object) -> str:
+def _format_value(value: object) -> str:
     text = value if isinstance(value, str) else str(value)
-    plain = text.isprintable() and not any(char in text for char in ' "=')
-    # JSON's quoting keeps a line one line, whatever a peer sent.
-    return text if plain and text else json.dumps(text, ensure_ascii=False)
+    is_plain = text.isprintable() and not any(char in text for char in ' "=')
+    # JSON quoting prevents line breaks in text from peers from splitting the log line.
+    return text if is_plain and text else json.dumps(text, ensure_ascii=False)
 
 
 class LogFile:
-    """The destination of all log lines: a file, or standard error."""
+    """The log destination of a process that logs to a file or standard error."""
 
-    # None is standard error, which is not closed.
+    # None for standard error, which is not closed.
     _path: Path | None
     _out: TextIO
     _handler: LibraryHandler
@@ -64,7 +67,7 @@
     def __enter__(self) -> Self:
         if self._path is not None:
             self._out = self._path.open("a", encoding="utf-8", buffering=1)
-        eliot.add_destinations(self._take)
+        eliot.add_destinations(self._write_message)
         logging.getLogger().addHandler(self._handler)
         return self
 
@@ -75,16 +78,16 @@
         traceback: TracebackType | None,
     ) -> None:
         logging.getLogger().removeHandler(self._handler)
-        eliot.remove_destination(self._take)
+        eliot.remove_destination(self._write_message)
         if self._path is not None:
             self._out.close()
 
-    def _take(self, message: dict[str, Any]) -> None:
+    def _write_message(self, message: dict[str, Any]) -> None:
         self._out.write(format_line(message) + "\n")
 
 
 class LibraryHandler(logging.Handler):
-    """Passes on what libraries log through the standard module."""
+    """Passes log records of libraries to `write`."""
 
     def emit(self, record: logging.LogRecord) -> None:
         fields = {"logger": record.name, "level": record.levelname, "text": record.getMessage()}
--- a/packages/turmericweir/turmericweir/process/metrics.py
+++ b/packages/turmericweir/turmericweir/process/metrics.py
@@ -1,7 +1,6 @@
-"""Counters and timers to statsd, over UDP.
+"""Counters and timers for a statsd server, over UDP.
 
-Metrics are gathered for a second and sent a few to a datagram: a datagram for each counter would
-cost a system call for each, several to a request.
+Metrics are collected for a second and sent several to a datagram, which saves system calls.
 """
 
 from __future__ import annotations
@@ -12,15 +11,15 @@
 
 import statsd
 
-# Characters that separate things in statsd's line protocol.
+# Characters that are not allowed in names of statsd's line protocol.
 _RESERVED: Final = re.compile(r"[^A-Za-z0-9_.-]")
-# Metrics that are gathered at the most before they are sent.
-FLUSH_COUNT: Final = 200
+# Number of collected metrics at which they are sent.
+MAX_PENDING_METRICS: Final = 200
 PREFIX: Final = "turmericweir"
 
 
 class Metrics(Protocol):
-    """Where counters and timers go."""
+    """The destination of counters and timers."""
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
@@ -29,37 +28,37 @@
         """Record a duration."""
 
     def flush(self) -> None:
-        """Send what was gathered."""
+        """Send the collected metrics."""
 
 
 class NullMetrics:
-    """Drops everything: the process has no statsd."""
+    """Discards all metrics, for a process without a statsd server."""
 
     def count(self, name: str, by: int = 1) -> None:
-        """Drop it."""
+        """Discard the count."""
 
     def timing(self, name: str, seconds: float) -> None:
-        """Drop it."""
+        """Discard the duration."""
 
     def flush(self) -> None:
-        """Have nothing to send."""
+        """Do nothing, since nothing is collected."""
 
 
 class StatsdMetrics:
-    """Sends to a statsd server; what is lost on the way is lost."""
+    """Sends metrics to a statsd server, without retries."""
 
     _client: statsd.StatsClient
-    # Gathers lines until `flush`.
+    # Collects lines until `flush`.
     _pipeline: statsd.client.udp.Pipeline
-    # How many lines it holds.
-    _held: int
+    # Number of collected lines.
+    _pending_count: int
 
     def __init__(self, address: str, instance: str) -> None:
         host, _, port = address.rpartition(":")
-        prefix = f"{PREFIX}.{_clean(instance).replace('.', '_')}"
+        prefix = f"{PREFIX}.{_replace_reserved(instance).replace('.', '_')}"
         self._client = statsd.StatsClient(host, int(port), prefix=prefix)
         self._pipeline = self._client.pipeline()
-        self._held = 0
+        self._pending_count = 0
 
     def __enter__(self) -> Self:
         return self
@@ -75,25 +74,25 @@
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter."""
-        self._pipeline.incr(_clean(name), by)
-        self._note()
+        self._pipeline.incr(_replace_reserved(name), by)
+        self._count_pending()
 
     def timing(self, name: str, seconds: float) -> None:
         """Record a duration."""
-        self._pipeline.timing(_clean(name), seconds * 1000.0)
-        self._note()
+        self._pipeline.timing(_replace_reserved(name), seconds * 1000.0)
+        self._count_pending()
 
     def flush(self) -> None:
-        """Send what was gathered."""
-        if self._held:
-            self._held = 0
+        """Send the collected metrics."""
+        if self._pending_count:
+            self._pending_count = 0
             self._pipeline.send()
 
-    def _note(self) -> None:
-        self._held += 1
-        if self._held >= FLUSH_COUNT:
+    def _count_pending(self) -> None:
+        self._pending_count += 1
+        if self._pending_count >= MAX_PENDING_METRICS:
             self.flush()
 
 
-def _clean(name: str) -> str:
+def _replace_reserved(name: str) -> str:
     return _RESERVED.sub("_", name)
--- a/packages/turmericweir/turmericweir/process/metrics_page.py
+++ b/packages/turmericweir/turmericweir/process/metrics_page.py
@@ -1,4 +1,4 @@
-"""Counters and latency histograms as a page of text, for whoever collects them."""
+"""Counters and latency histograms in the Prometheus text format, for a collector."""
 
 from __future__ import annotations
 
@@ -10,14 +10,13 @@
 if TYPE_CHECKING:
     from uvicorn._types import ASGIReceiveCallable, ASGISendCallable, Scope
 
-# Bounds of the histograms, seconds: around the targets of plain calls (100 ms) and of first tokens
-# (0.4 to 2 s), up to the longest time limits.
-_BUCKETS: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0)
+# Fine around the targets of plain calls (100 ms) and of first tokens (0.4 to 2 s).
+_BUCKETS_S: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0)
 _CONTENT_TYPE: Final = b"text/plain; version=0.0.4; charset=utf-8"
 
 
 class PageMetrics:
-    """Keeps the counts of this process; a collector fetches them."""
+    """Stores the metrics of this process until a collector fetches them."""
 
     _registry: CollectorRegistry
     _events: Counter
@@ -35,12 +34,12 @@
             "turmericweir_seconds",
             "How long steps took, by name.",
             ["step"],
-            buckets=_BUCKETS,
+            buckets=_BUCKETS_S,
             registry=self._registry,
         )
 
     def watch(self, name: str, help_text: str, value: Callable[[], float]) -> None:
-        """Show a value as it is whenever the page is asked for."""
+        """Add a gauge whose value is computed for each page."""
         Gauge(name, help_text, registry=self._registry).set_function(value)
 
     def count(self, name: str, by: int = 1) -> None:
@@ -52,15 +51,15 @@
         self._seconds.labels(name).observe(seconds)
 
     def flush(self) -> None:
-        """Have nothing to send: the collector fetches."""
+        """Do nothing, since the collector fetches the metrics."""
 
     def page(self) -> bytes:
-        """Give the page."""
+        """Return the page."""
         return generate_latest(self._registry)
 
 
 class MetricsApp:
-    """Answers the collector, at any path."""
+    """Answers requests of the collector at any path."""
 
     def __init__(self, metrics: PageMetrics) -> None:
         self._metrics = metrics
--- a/packages/turmericweir/turmericweir/process/node.py
+++ b/packages/turmericweir/turmericweir/process/node.py
@@ -1,8 +1,8 @@
-"""The loop around the core: one event at a time in, its effects out.
+"""The loop around the core: reduce one event at a time and perform its effects.
 
-`handle` is called from any task of the one thread. An effect may bring the next event at once; that
-one waits in a queue until the effects of the first are all performed, so one reduce runs at a time
-and effects keep their order.
+Any task of the thread may call `handle`. If performing an effect causes another event, that event
+waits in a queue until all effects of the current one are performed. Therefore one reduce runs at a
+time, and effects keep their order.
 """
 
 from __future__ import annotations
@@ -60,129 +60,127 @@
 
 PosArgs = TypeVarTuple("PosArgs")
 Port = TypeVar("Port")
-# Between two sendings of the gathered metrics.
-_FLUSH_S: Final = 1.0
+_FLUSH_INTERVAL_S: Final = 1.0
 
 
-class RequestInHand(Protocol):
-    """What effects need of a request that runs in its caller's task."""
+class ActiveRequest(Protocol):
+    """The interface for effects on a request that runs in its caller's task."""
 
     def decide(self, decision: StartAttempt | FinishRequest) -> None:
-        """Take a decision of the reducer."""
+        """Apply a decision of the reducer."""
 
     def replay(self, effect: ReplayAnswer) -> None:
-        """Take the kept answer of an earlier call."""
+        """Send the stored answer of an earlier call."""
 
     def cancel(self, effect: CancelAttempt) -> None:
         """Stop an attempt."""
 
     def fail(self, fault: BaseException) -> None:
-        """Give up after a fault of the program."""
+        """End the request after an unexpected exception."""
 
     def check_caller(self, now: float, unread_s: float) -> None:
-        """Give up on a caller that has stopped reading."""
+        """End the request if the caller has stopped reading."""
 
 
 class PlatformPort(Protocol):
-    """What effects need of the platform's adapter."""
+    """The interface for effects on the platform."""
 
     def append(self, effect: AppendRecords) -> None:
-        """Append records to a stream."""
+        """Append records to a stream of the platform."""
 
     def read(self, effect: ReadLog) -> None:
-        """Read a stream now."""
+        """Read a stream immediately."""
 
     def ask_weights(self, effect: AskWeights) -> None:
-        """Ask for a weight load."""
+        """Request the loading of model weights."""
 
 
 class PeerPort(Protocol):
-    """What effects need of the streams to peers."""
+    """The interface for messages over streams to peers."""
 
     def send(self, effect: SendPeer) -> None:
-        """Send a message."""
+        """Send a message over a stream."""
 
 
 class DatagramPort(Protocol):
-    """What effects need of the datagram socket."""
+    """The interface for messages in datagrams to peers."""
 
     def send(self, effect: SendDatagram) -> None:
-        """Send a datagram."""
+        """Send a message as a datagram."""
 
 
 class ServerPort(Protocol):
-    """What effects need of the adapter for servers' own calls."""
+    """The interface for calls to servers outside callers' requests."""
 
     def probe(self, effect: ProbeServer) -> None:
-        """Ask a server for its load."""
+        """Probe a server in the background."""
 
     def distrust(self, effect: DistrustConnections) -> None:
-        """Use no connection again that is open to a server now."""
+        """Stop reusing the connections that are open to a server now."""
 
     def order(self, effect: SendOrder) -> None:
-        """Give a server an order."""
+        """Send an order to a server."""
 
 
 class DocumentPort(Protocol):
-    """What effects need of who decodes settings documents."""
+    """The interface for decoding settings documents."""
 
     def decode(self, effect: DecodeDocument) -> None:
-        """Decode a document and report it as read."""
+        """Decode a document and report the result as an event."""
 
 
 class DutyPort(Protocol):
-    """What effects need of the platform's calls for one holder at a time."""
+    """The interface for platform calls that only one instance at a time makes."""
 
     def report(self, effect: ReportUsage) -> None:
-        """Report the usage of a window."""
+        """Report the usage in a time window."""
 
     def order(self, effect: OrderServers) -> None:
-        """Order servers."""
+        """Order servers from the platform."""
 
 
-class OperatorPort(Protocol):
-    """What effects need of the operators' side."""
+class VerdictPort(Protocol):
+    """The interface for answers to operators."""
 
     def settle(self, effect: SettleChange) -> None:
-        """Tell an operator what became of a change."""
+        """Pass the verdict on a change to the operator."""
 
 
 @dataclass(frozen=True, slots=True)
 class Adapters:
-    """Where effects go that leave the process."""
+    """The adapters that perform effects outside the core."""
 
     peers: PeerPort
     datagrams: DatagramPort
     servers: ServerPort
     metrics: Metrics
-    # Each is there where its effects can arise: the log and operators' changes on the own
-    # interface, documents on a platform that keeps the settings as one.
+    # None if the process's platform does not use the effects of the adapter.
     platform: PlatformPort | None = None
-    operators: OperatorPort | None = None
+    operators: VerdictPort | None = None
     documents: DocumentPort | None = None
     duties: DutyPort | None = None
 
 
 class Node:
-    """The state of the instance and the one way to change it."""
+    """Owns the state of the instance and changes it by events."""
 
     state: State
-    # Requests in hand, each run in its caller's task.
-    exchanges: dict[RequestId, RequestInHand]
-    # Set when everything in flight is finished after a stop.
+    # Active requests, each of which runs in its caller's task.
+    exchanges: dict[RequestId, ActiveRequest]
+    # Set when all requests have ended after a stop.
     exit_wanted: anyio.Event
-    # Set once there are settings.
+    # Set when the instance has settings.
     settings_known: anyio.Event
     _reduce: Reducer
     _adapters: Adapters
-    # Runs what no caller waits for.
-    _group: TaskGroup
-    # Events that came while one was being handled.
-    _queue: deque[Event]
-    _busy: bool
-    # How long a caller may leave its answer unread.
+    # Runs background tasks.
+    _background_tasks: TaskGroup
+    # Events that arrived while another one was being handled.
+    _pending_events: deque[Event]
+    _is_handling: bool
+    # Time after which a caller that does not read its answer counts as disconnected.
     _unread_s: float
-    # The control traffic of this process, counted by the adapters.
+    # Control traffic of this process, which the adapters count.
     traffic: Traffic
 
     def __init__(
@@ -200,31 +198,31 @@
         self.exit_wanted = anyio.Event()
         self.settings_known = anyio.Event()
         self._adapters = adapters
-        self._group = group
-        self._queue = deque()
-        self._busy = False
+        self._background_tasks = group
+        self._pending_events = deque()
+        self._is_handling = False
         self._unread_s = unread_s
         self.traffic = Traffic()
 
     def handle(self, event: Event) -> None:
-        """Reduce an event and perform its effects, after those that came before it."""
-        self._queue.append(event)
-        if self._busy:
+        """Reduce an event and perform its effects, after all earlier events."""
+        self._pending_events.append(event)
+        if self._is_handling:
             return
-        self._busy = True
+        self._is_handling = True
         try:
-            while self._queue:
-                self._handle_one(self._queue.popleft())
+            while self._pending_events:
+                self._handle_one(self._pending_events.popleft())
         finally:
-            self._busy = False
+            self._is_handling = False
 
     def _handle_one(self, event: Event) -> None:
         try:
             for effect in self._reduce(self.state, anyio.current_time(), event):
                 self._perform(effect)
         except Exception as exc:
-            # A fault in one event must not end every other request of the process. The request
-            # that it was about is given up, since its caller might wait for ever.
+            # Prevents a fault in one event from ending all requests, and the caller of the affected
+            # request from waiting forever.
             logs.write_fault("reduce", type(event).__name__, exc)
             self._adapters.metrics.count("fault.reduce")
             self._fail_request(event, exc)
@@ -246,9 +244,9 @@
     def _perform(self, effect: Effect) -> None:
         match effect:
             case StartAttempt():
-                self._to_exchange(effect.request_id, effect)
+                self._pass_decision(effect.request_id, effect)
             case FinishRequest():
-                self._to_exchange(RequestId(effect.account.request_id), effect)
+                self._pass_decision(RequestId(effect.account.request_id), effect)
             case ReplayAnswer():
                 exchange = self.exchanges.get(effect.request_id)
                 if exchange is not None:
@@ -274,71 +272,71 @@
             case SendOrder():
                 self._adapters.servers.order(effect)
             case AppendRecords():
-                _present(self._adapters.platform).append(effect)
+                _require_adapter(self._adapters.platform).append(effect)
             case ReadLog():
-                _present(self._adapters.platform).read(effect)
+                _require_adapter(self._adapters.platform).read(effect)
             case AskWeights():
-                _present(self._adapters.platform).ask_weights(effect)
+                _require_adapter(self._adapters.platform).ask_weights(effect)
             case SettleChange():
-                _present(self._adapters.operators).settle(effect)
+                _require_adapter(self._adapters.operators).settle(effect)
             case DecodeDocument():
-                _present(self._adapters.documents).decode(effect)
+                _require_adapter(self._adapters.documents).decode(effect)
             case ReportUsage():
-                _present(self._adapters.duties).report(effect)
+                _require_adapter(self._adapters.duties).report(effect)
             case OrderServers():
-                _present(self._adapters.duties).order(effect)
+                _require_adapter(self._adapters.duties).order(effect)
             case Exit():
                 self.exit_wanted.set()
             case unreachable:
                 assert_never(unreachable)
 
-    def _to_exchange(self, request_id: RequestId, decision: StartAttempt | FinishRequest) -> None:
+    def _pass_decision(self, request_id: RequestId, decision: StartAttempt | FinishRequest) -> None:
         exchange = self.exchanges.get(request_id)
         if exchange is not None:
             exchange.decide(decision)
 
     def count(self, name: str, by: int = 1) -> None:
-        """Count something that an adapter observed."""
+        """Add to a counter, for an adapter."""
         self._adapters.metrics.count(name, by)
 
     def in_background(
         self, work: Callable[[Unpack[PosArgs]], Awaitable[Any]], *args: *PosArgs
     ) -> None:
-        """Run something that no caller waits for; its failure is logged and ends nothing else."""
-        self._group.start_soon(_run_logged, work, args)
+        """Run a background task; log its failure."""
+        self._background_tasks.start_soon(_run_logged, work, args)
 
     @property
     def ready(self) -> bool:
-        """Whether callers should be sent here."""
+        """Return whether the balancer should send callers to this instance."""
         return self.state.has_settings and self.state.stopping_since is None
 
     @property
     def stopping(self) -> bool:
-        """Whether a graceful stop was asked for."""
+        """Return whether a graceful stop was requested."""
         return self.state.stopping_since is not None
 
     def stop(self) -> None:
-        """Begin the graceful stop."""
+        """Start the graceful stop."""
         self.handle(StopRequested())
 
     async def tick_forever(self) -> None:
-        """Tell the reducer that time passes."""
-        flush_due = anyio.current_time()
+        """Send ticks to the reducer at intervals."""
+        next_flush_at = anyio.current_time()
         while True:
             await anyio.sleep(self.state.options.tick_s)
             now = anyio.current_time()
             self.handle(Tick())
             for exchange in list(self.exchanges.values()):
                 exchange.check_caller(now, self._unread_s)
-            if now >= flush_due:
-                flush_due = now + _FLUSH_S
+            if now >= next_flush_at:
+                next_flush_at = now + _FLUSH_INTERVAL_S
                 self._adapters.metrics.flush()
 
 
-def _present(port: Port | None) -> Port:
-    """Give an adapter whose effect has arisen, so it must be there."""
+def _require_adapter(port: Port | None) -> Port:
+    """Return an adapter that an effect requires; raise RuntimeError if it is missing."""
     if port is None:
-        raise RuntimeError("an effect arose that this process has no adapter for")
+        raise RuntimeError("an effect requires an adapter that this process does not have")
     return port
 
 
--- a/packages/turmericweir/turmericweir/process/operators.py
+++ b/packages/turmericweir/turmericweir/process/operators.py
@@ -1,7 +1,7 @@
-"""Operators who wait for what became of a change of settings.
+"""Waiting for the verdicts on changes of settings.
 
-The settings interface submits a change to the reducer and awaits its verdict here; the reducer's
-`SettleChange` effect brings it.
+The settings interface submits a change to the reducer and waits here for the verdict, which arrives
+with the reducer's `SettleChange` effect.
 """
 
 from __future__ import annotations
@@ -14,38 +14,38 @@
 
 
 class Operators:
-    """Changes that somebody waits for."""
+    """The requests that wait for a verdict on a change."""
 
-    # By change id, who waits for it.
-    _waiting: dict[str, list[_Waiter]]
+    # By change id.
+    _waiters: dict[str, list[_Waiter]]
 
     def __init__(self) -> None:
-        self._waiting = {}
+        self._waiters = {}
 
     # Any: verdicts are typed in core's settings reducer, which the effect does not import.
     async def wait(self, change_id: str, timeout_s: float) -> Any | None:
-        """Wait for the verdict on a change; None where it is not known in time."""
+        """Wait for the verdict on a change and return it; None after the time limit."""
         waiter = _Waiter()
-        self._waiting.setdefault(change_id, []).append(waiter)
+        self._waiters.setdefault(change_id, []).append(waiter)
         try:
             with anyio.move_on_after(timeout_s):
                 await waiter.settled.wait()
         finally:
-            waiters = self._waiting[change_id]
+            waiters = self._waiters[change_id]
             waiters.remove(waiter)
             if not waiters:
-                del self._waiting[change_id]
+                del self._waiters[change_id]
         return waiter.verdict
 
     def settle(self, effect: SettleChange) -> None:
-        """Tell whoever waits what became of a change."""
-        for waiter in self._waiting.get(effect.change_id, ()):
+        """Pass a verdict to the requests that wait for it."""
+        for waiter in self._waiters.get(effect.change_id, ()):
             waiter.verdict = effect.verdict
             waiter.settled.set()
 
 
 class _Waiter:
-    """One who waits for a verdict."""
+    """One request that waits for a verdict."""
 
     __slots__ = ("settled", "verdict")
 
--- a/packages/turmericweir/turmericweir/process/process_settings.py
+++ b/packages/turmericweir/turmericweir/process/process_settings.py
@@ -1,7 +1,7 @@
-"""The process's own settings file: who it is and where it listens.
+"""The settings file of the process: its identity, addresses and limits.
 
-It is JSON with comments, read once at the start. Everything that operators change while the router
-runs is in the platform's settings log instead, and reaches the core by another way.
+The file is JSON with comments and is read once at the start. Settings that operators change at
+runtime are in the platform's settings log instead.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from turmericweir.process.errors import SettingsFileError
 from turmericweir_core.base.options import Options
 
-# Cross-checked against `Options`, so that a new option can be set without a change here.
-OPTION_NAMES: Final = frozenset(each.name for each in fields(Options))
+# Taken from `Options`, so that new options need no change here.
+OPTION_NAMES: Final = frozenset(field.name for field in fields(Options))
 
 
 def _check_address(text: str) -> str:
@@ -38,16 +38,16 @@
 
 
 class Section(BaseModel):
-    """A part of the file; unknown fields are errors, since they are mostly misspelt ones."""
+    """A section of the file; unknown fields are errors, to detect misspelt names."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
 class PlatformSettings(Section):
-    """How the platform is reached."""
+    """The address of the platform."""
 
     address: Address
-    # Sent as X-Instance with each call; the process's own name where it is not set.
+    # Sent as X-Instance with each call; defaults to the name of the process.
     source: str | None = None
 
 
@@ -57,12 +57,12 @@
     name: str = Field(min_length=1)
     # SHA-256 of the token, 64 hex digits.
     token_sha256: str = Field(pattern=r"^[0-9a-f]{64}$")
-    # Settings paths that it may change.
+    # Settings paths that the operator may change.
     paths: tuple[str, ...] = ("/",)
 
 
 class Limits(Section):
-    """What a caller may send; whatever exceeds it gets a 4xx and costs nothing else."""
+    """Limits for callers; a request that exceeds one is answered with a 4xx status."""
 
     # Request line and headers together, bytes.
     header_bytes: int = Field(default=32_768, gt=0)
@@ -72,62 +72,62 @@
     body_bytes: int = Field(default=4_194_304, gt=0)
     # From the end of the headers to the end of the body.
     body_s: Seconds = 20.0
-    # How long a caller may leave its answer unread before it counts as gone.
+    # Time after which a caller that does not read its answer counts as disconnected.
     unread_s: Seconds = 30.0
-    # How long an idle connection of a caller is kept.
+    # Time after which an idle connection of a caller is closed.
     keep_alive_s: int = Field(default=75, gt=0)
 
 
 class ProcessSettings(Section):
-    """The whole file."""
+    """The complete settings file."""
 
     name: str = Field(pattern=r"^[A-Za-z0-9._-]+$")
     data_centre: str = Field(min_length=1)
     region: str = Field(min_length=1)
-    # Instances of another cluster are not listened to, nor those of regions that are not named.
+    # Messages from instances of other clusters, and of regions not named here, are ignored.
     cluster: str = "turmericweir"
     other_regions: tuple[str, ...] = ()
-    # Where callers, operators and other instances reach this process.
+    # Addresses for callers, operators and other instances.
     caller_address: Address
     admin_address: Address
     peer_address: Address
-    # Where it listens for other instances, if something in between passes their traffic on.
+    # Where the process listens for other instances, if a proxy forwards their traffic.
     peer_listen_address: Address | None = None
     platform: PlatformSettings
-    # Peer addresses to try before the platform's list was read.
+    # Peer addresses to contact before the platform's list is read.
     seeds: tuple[Address, ...] = ()
     admin_tokens: tuple[AdminToken, ...] = ()
-    # Where statsd listens for UDP; None sends no metrics.
+    # UDP address of statsd; None for no metrics.
     statsd: Address | None = None
-    # A file to append log lines to; None is standard error.
+    # A file to which log lines are appended; None for standard error.
     log: str | None = None
     limits: Limits = Limits()
-    # How long a graceful stop goes on accepting while the balancer's list lags behind.
+    # Time for which a stopping process still accepts callers, until the balancer has noticed.
     stop_grace_s: float = Field(default=3.0, ge=0)
-    # Seed of the core's generator; None takes one from the system.
+    # Seed of the core's random generator; None for a random one.
     seed: int | None = None
     # Overrides of core options, by name.
     options: dict[str, float] = Field(default_factory=dict)
 
     @field_validator("options")
     @classmethod
-    def _known_options(cls, options: dict[str, float]) -> dict[str, float]:
+    def _check_options(cls, options: dict[str, float]) -> dict[str, float]:
         for name in options:
             if name not in OPTION_NAMES:
                 raise ValueError(f"no option is called {name!r}")
         return options
 
     def core_options(self) -> Options:
-        """Build the core's options from the defaults and the overrides."""
+        """Return the core's options: the defaults with the overrides."""
         defaults = Options()
         changed: dict[str, float] = {"stop_grace_s": self.stop_grace_s, **self.options}
-        # An option that counts things stays a whole number.
+        # Options with an integer default stay integers.
         typed = {
             name: int(value) if isinstance(getattr(defaults, name), int) else value
             for name, value in changed.items()
             if name in OPTION_NAMES
         }
-        # Any: each name has been checked to be a field, whose type is then that of its default.
+        # Any: each name is a checked field with a value of the type of its default.
         overrides: dict[str, Any] = typed
         return Options(**overrides)
 
@@ -142,7 +142,7 @@
 
 
 def parse_settings(text: str, origin: str) -> Result[ProcessSettings, SettingsFileError]:
-    """Validate the text of a settings file; `origin` names it in errors."""
+    """Validate the text of a settings file; `origin` names the file in errors."""
     try:
         value = json5.loads(text)
     except ValueError as exc:
--- a/tests/daemon/test_log_pipe.py
+++ b/tests/daemon/test_log_pipe.py
@@ -1,4 +1,4 @@
-"""Log lines are bounded, and nobody waits for their reader."""
+"""Tests of the log output: its format, its limits and a reader that stops."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Reader:
-    """The reader of a process's output."""
+    """Reads the output of a process."""
 
     def __init__(self, fd: int) -> None:
         os.set_blocking(fd, False)
@@ -25,23 +25,23 @@
         self._data = b""
 
     def lines(self) -> list[dict[str, Any]]:
-        """Give the lines that came whole since the last call."""
+        """Return the complete lines that arrived since the last call."""
         try:
             while chunk := os.read(self._fd, 1 << 16):
                 self._data += chunk
         except BlockingIOError:
             pass
-        whole, _, self._data = self._data.rpartition(b"\n")
-        return [json.loads(line) for line in whole.splitlines()]
+        complete, _, self._data = self._data.rpartition(b"\n")
+        return [json.loads(line) for line in complete.splitlines()]
 
 
 def _ignore(message: dict[str, Any]) -> None:
-    """Take a line that belongs to no test here."""
+    """Discard a line of another test."""
 
 
 @pytest.fixture
 def pipe() -> Iterator[tuple[Reader, LogPipe]]:
-    # The first destination of a process gets what was logged before, by other tests.
+    # The first destination of a process receives the lines that earlier tests logged.
     eliot.add_destinations(_ignore)
     eliot.remove_destination(_ignore)
     out, fd = os.pipe()
@@ -50,7 +50,8 @@
     os.close(fd)
 
 
-def test_a_line_says_when_where_and_what(pipe: tuple[Reader, LogPipe]) -> None:
+def test_line_has_time_instance_and_event(pipe: tuple[Reader, LogPipe]) -> None:
+    # Guards against lines without these fields, also for messages of libraries.
     reader, log = pipe
     with log:
         eliot.log_message(message_type="placed", request_id="a1", age_ms=3)
@@ -61,37 +62,37 @@
     assert (second["event"], second["text"]) == ("library", "odd: 7")
 
 
-def test_a_reader_that_stops_holds_nobody_up_and_what_it_missed_is_counted(
+def test_stopped_reader_does_not_block_and_dropped_lines_are_counted(
     pipe: tuple[Reader, LogPipe],
 ) -> None:
-    # Whoever reads the output has stopped. Lines are dropped, the process goes on; once the reader
-    # is back, a line says how many are missing.
+    # Guards against a process that waits for its log reader, and against uncounted lost lines.
     reader, log = pipe
     with log:
         for number in range(3_000):
             eliot.log_message(message_type="state", number=number, text="x" * 300)
         assert log.dropped
-        told = 0
+        reported = 0
         lines = reader.lines()
-        while not told:
+        while not reported:
             log.flush()
-            fresh = reader.lines()
-            lines += fresh
-            told = sum(line["lines"] for line in fresh if line["event"] == "log_dropped")
-        assert told + sum(line["event"] == "state" for line in lines) <= 3_000
+            new_lines = reader.lines()
+            lines += new_lines
+            reported = sum(line["lines"] for line in new_lines if line["event"] == "log_dropped")
+        assert reported + sum(line["event"] == "state" for line in lines) <= 3_000
 
 
-def test_lines_about_requests_are_bounded_and_those_about_the_process_are_not(
+def test_only_lines_about_requests_are_limited_per_second(
     pipe: tuple[Reader, LogPipe], monkeypatch: pytest.MonkeyPatch
 ) -> None:
+    # Guards against logging that uses up the processor, and against losing lines on the process.
     reader, log = pipe
-    monkeypatch.setattr("turmericweir.process.log_pipe._REQUEST_LINES_S", 5)
+    monkeypatch.setattr("turmericweir.process.log_pipe._REQUEST_LINES_PER_S", 5)
     with log:
-        # All within one second of the lines' own time.
+        # All timestamps are within one second.
         for _ in range(9):
-            log._take({"timestamp": 50.0, "message_type": "placed", "request_id": "a1"})
-        log._take({"timestamp": 50.5, "message_type": "ready"})
-        log._take({"timestamp": 51.5, "message_type": "placed", "request_id": "a2"})
+            log._write_message({"timestamp": 50.0, "message_type": "placed", "request_id": "a1"})
+        log._write_message({"timestamp": 50.5, "message_type": "ready"})
+        log._write_message({"timestamp": 51.5, "message_type": "placed", "request_id": "a2"})
     events = [line["event"] for line in reader.lines()]
     assert events.count("placed") == 6
     assert "ready" in events
@@ -99,7 +100,8 @@
     assert len(dropped) == 1
 
 
-def test_a_reader_that_is_gone_ends_nothing() -> None:
+def test_closed_reader_does_not_stop_the_process() -> None:
+    # Guards against an exception from writing to a closed pipe.
     out, fd = os.pipe()
     os.close(out)
     with LogPipe(fd, NAME) as log:
--- a/tests/daemon/test_metrics.py
+++ b/tests/daemon/test_metrics.py
@@ -1,4 +1,4 @@
-"""What operators are told to look for at their statsd server is what the daemon sends."""
+"""Tests that the daemon sends the metrics that the operators' page lists."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 
 class StatsdServer:
-    """Gathers the names and kinds of what is sent to it."""
+    """Records the names and kinds of the metrics that it receives."""
 
     def __init__(self) -> None:
         self._sock = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self._sock.bind(("127.0.0.1", 0))
         self.address = f"127.0.0.1:{self._sock.getsockname()[1]}"
-        self.seen: set[tuple[str, str]] = set()
+        self.received: set[tuple[str, str]] = set()
         threading.Thread(target=self._serve, daemon=True).start()
 
     def _serve(self) -> None:
@@ -33,11 +33,11 @@
             lines = data.decode().split("\n")
             matches = [LINE.fullmatch(line) for line in lines]
             assert all(matches), lines
-            self.seen.update((each[1], each[2]) for each in matches if each)
+            self.received.update((match[1], match[2]) for match in matches if match)
 
 
 def listed_by_server() -> set[tuple[str, str]]:
-    """Read from the operators' page what is sent by server: names and kinds."""
+    """Return the names and kinds of the metrics by server on the operators' page."""
     section = PAGE.read_text().partition("### By server")[2].partition("###")[0]
     rows = [line.split("|") for line in section.splitlines() if line.startswith("| `")]
     return {
@@ -48,14 +48,14 @@
 
 
 def leave_stream(single: Single, prompt: str) -> None:
-    """Begin a stream and leave it after its first line."""
+    """Start a stream and close it after its first line."""
     with stream(single, prompt):
         pass
 
 
 @contextmanager
 def stream(single: Single, prompt: str) -> Iterator[None]:
-    """Begin a stream, and leave it at the end."""
+    """Start a stream, and close it at the end."""
     conn, response = single.open(
         "POST", "/v1/chat/completions", completion(prompt, 5000, stream=True)
     )
@@ -64,25 +64,25 @@
         yield
 
 
-def go_silent(single: Single, statsd: StatsdServer) -> None:
-    """Let an engine pause in a stream until its connection is doubted."""
+def pause_engine(single: Single, statsd: StatsdServer) -> None:
+    """Make an engine pause in a stream until its connection is suspected."""
     engine = f"{MODEL}-1"
     with stream(single, "be slow"):
         set_behaviour(single.cluster.servers[engine].address, slow_factor=1000.0)
-        doubted = (f"silence.doubted.{engine}", "c")
-        wait_until(lambda: doubted in statsd.seen, "the connection is doubted")
+        suspected = (f"silence.doubted.{engine}", "c")
+        wait_until(lambda: suspected in statsd.received, "the connection is suspected")
         set_behaviour(single.cluster.servers[engine].address, slow_factor=1.0)
 
 
-def test_all_that_is_listed_by_server_is_sent(tmp_path: Path) -> None:
-    # Servers answer, pause, refuse, fail, cut the connection and die, and a caller leaves. Each of
-    # these is counted or timed under the name on the operators' page, with the name of the server.
+def test_listed_metrics_by_server_are_sent(tmp_path: Path) -> None:
+    # Guards against metrics that are listed on the operators' page but not sent. Servers answer,
+    # pause, refuse, fail, break the connection and stop, and a caller disconnects.
     answered: set[str] = set()
 
     def answer(request: RawRequest) -> bytes:
         if request.line in answered:
-            # The caller's wait ends with the second attempt, so it takes no short deadline, which
-            # on a busy machine could pass before the first.
+            # Ends the call with the second attempt. A short deadline could expire before the first
+            # attempt on a busy machine.
             return b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n"
         answered.add(request.line)
         if "/refuse" in request.line:
@@ -105,18 +105,18 @@
         single.wait_server(f"{MODEL}-1")
         single.complete("hello", 2, stream=True)
         leave_stream(single, "go on")
-        go_silent(single, statsd)
+        pause_engine(single, statsd)
         with RawServer(answer, RAW_MODEL) as raw:
             single.list_raw("raw-1", "plain", "raw", raw.address)
             single.list_raw("raw-2", "engine", "raw-model", raw.address)
-            # From its report on, an engine gets only requests for what it says that it has loaded.
+            # After its first report, an engine receives only requests for models it has loaded.
             single.wait_report("raw-2")
             single.call("POST", "/services/raw/refuse")
             single.call("POST", "/services/raw/cut", b"x")
             request = completion("hi", 2, stream=True).replace(MODEL, RAW_MODEL, 1)
             single.call("POST", "/v1/chat/completions", request)
 
-        # Waits for a server and is bound to the first that the list names, before a probe of it.
+        # Waits for a server and is assigned to the first listed one before a probe of it.
         waiting = threading.Thread(
             target=single.call,
             args=("GET", "/services/gone/any"),
@@ -130,12 +130,12 @@
         def missing() -> set[tuple[str, str]]:
             sent = {
                 (name.removesuffix(server), kind)
-                for name, kind in statsd.seen
+                for name, kind in statsd.received
                 for server in servers
                 if name.endswith(f".{server}")
             }
             return listed_by_server() - sent
 
         assert len(listed_by_server()) == 10
-        wait_until(lambda: not missing(), f"all metrics by server; seen {statsd.seen}")
+        wait_until(lambda: not missing(), f"all metrics by server; received {statsd.received}")
         waiting.join()
