--- a/packages/turmericweir/turmericweir/peers/__init__.py
+++ b/packages/turmericweir/turmericweir/peers/__init__.py
@@ -1,1 +1,1 @@
-"""Speak to other instances: streams, datagrams and their codec."""
+"""Communication with other instances: streams, datagrams and their codec."""
--- a/packages/turmericweir/turmericweir/peers/peer_datagrams.py
+++ b/packages/turmericweir/turmericweir/peers/peer_datagrams.py
@@ -1,8 +1,7 @@
-"""Datagrams between instances: heartbeats and whatever else may be lost.
+"""Datagrams between instances: heartbeats and other messages that may be lost.
 
-One socket sends and receives, on the same address as the peers' streams. Datagrams go straight from
-the reducer's effect to the system and from the system to the reducer, with no task in between:
-there may be hundreds a second.
+One socket sends and receives, on the same address as the streams. Neither direction uses a task,
+since there may be hundreds of datagrams per second.
 """
 
 from __future__ import annotations
@@ -19,37 +18,37 @@
 from turmericweir_core.messages.effects import SendDatagram
 from turmericweir_core.messages.peer_messages import PeerMessage
 
-# Larger ones are split by the network and lost as a whole when any part is.
-DATAGRAM_MAX: Final = 60_000
+# The network fragments larger datagrams, and loses the whole if a fragment is lost.
+DATAGRAM_MAX_BYTES: Final = 60_000
 
 
 class PeerDatagrams(asyncio.DatagramProtocol):
     """The datagram socket of this instance."""
 
     _node: Node
-    # None before the node is there: what comes then is lost.
-    _reader: FrameReader | None
-    _me: InstanceName
+    # None before the node is attached; datagrams that arrive until then are lost.
+    _frame_reader: FrameReader | None
+    _local_name: InstanceName
     _address: str
     _transport: asyncio.DatagramTransport
-    # The system takes no more for now; what is to be sent meanwhile is lost and counted.
-    _is_full: bool
-    # The newest message that was encoded: most go to several peers.
-    _message: PeerMessage | None
-    _frame: bytes
-
-    def __init__(self, me: InstanceName, address: str) -> None:
-        self._me = me
+    # The send buffer is full; datagrams sent meanwhile are dropped and counted.
+    _is_write_paused: bool
+    # The last encoded message and its frame, since most messages go to several peers.
+    _encoded_message: PeerMessage | None
+    _encoded_frame: bytes
+
+    def __init__(self, local_name: InstanceName, address: str) -> None:
+        self._local_name = local_name
         self._address = address
-        self._reader = None
-        self._is_full = False
-        self._message = None
-        self._frame = b""
+        self._frame_reader = None
+        self._is_write_paused = False
+        self._encoded_message = None
+        self._encoded_frame = b""
 
     def attach(self, node: Node) -> None:
-        """Take the node whose effects these are; it is made after its adapters."""
+        """Set the node, which is created after its adapters."""
         self._node = node
-        self._reader = FrameReader(node)
+        self._frame_reader = FrameReader(node)
 
     async def __aenter__(self) -> Self:
         host, _, port = self._address.rpartition(":")
@@ -72,51 +71,51 @@
         self._transport.close()
 
     def send(self, effect: SendDatagram) -> None:
-        """Send a message as one datagram; what does not fit is lost and counted."""
+        """Send a message as one datagram; count and drop it if it cannot be sent."""
         frame = self._encode(effect.message)
-        if len(frame) > DATAGRAM_MAX:
+        if len(frame) > DATAGRAM_MAX_BYTES:
             self._node.count("peer.datagram_too_large")
             logs.write("datagram_too_large", peer=effect.peer, bytes=len(frame))
             return
-        if self._is_full:
+        if self._is_write_paused:
             self._node.count("peer.datagram_overflow")
             return
         host, _, port = effect.address.rpartition(":")
         try:
             self._transport.sendto(frame, (host, int(port)))
         except (OSError, ValueError) as exc:
-            self._unsent(effect.address, exc)
+            self._log_unsent(effect.address, exc)
             return
         self._node.traffic.counter_for(effect.message).sent.add(len(frame))
         self._node.traffic.datagrams.sent.add(len(frame))
 
     def _encode(self, message: PeerMessage) -> bytes:
-        if message is not self._message:
-            self._frame = encode(self._me, message)
-            self._message = message
-        return self._frame
+        if message is not self._encoded_message:
+            self._encoded_frame = encode(self._local_name, message)
+            self._encoded_message = message
+        return self._encoded_frame
 
-    def _unsent(self, address: str, exc: Exception) -> None:
-        # A peer that is gone, or a route that is: its heartbeats tell the reducer more.
+    def _log_unsent(self, address: str, exc: Exception) -> None:
+        # Only logged, since the reducer detects unreachable peers by their heartbeats.
         logs.write("datagram_unsent", peer=address, error=describe(exc))
 
     # Called by the event loop.
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand what comes in to the reducer."""
-        if self._reader is None:
+        """Decode a datagram and pass it to the node."""
+        if self._frame_reader is None:
             return
         self._node.traffic.datagrams.received.add(len(data))
-        self._reader.take(decode(data, f"{addr[0]}:{addr[1]}"), len(data))
+        self._frame_reader.process_result(decode(data, f"{addr[0]}:{addr[1]}"), len(data))
 
     def pause_writing(self) -> None:
-        """Note that too much waits for the system."""
-        self._is_full = True
+        """Drop datagrams until the send buffer has space."""
+        self._is_write_paused = True
 
     def resume_writing(self) -> None:
-        """Note that the system takes more again."""
-        self._is_full = False
+        """Resume sending datagrams."""
+        self._is_write_paused = False
 
     def error_received(self, exc: Exception) -> None:
-        """Note that the system could not deliver a datagram."""
-        self._unsent(self._address, exc)
+        """Log that the system could not deliver a datagram."""
+        self._log_unsent(self._address, exc)
--- a/tests/daemon/test_peer_codec.py
+++ b/tests/daemon/test_peer_codec.py
@@ -1,4 +1,4 @@
-"""The frames between instances: what is sent comes back, and what is noise is refused."""
+"""Tests of the codec for frames between instances."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 )
 
 SENDER = InstanceName("entry-1")
-BEAT = Heartbeat(
+HEARTBEAT = Heartbeat(
     data_centre="north",
     address="10.0.0.1:7000",
     incarnation="a",
@@ -37,7 +37,7 @@
     marks=[Mark("engine", "1", True, 4)],
 )
 MESSAGES: list[PeerMessage] = [
-    BEAT,
+    HEARTBEAT,
     MembersSend("north", 0, [MemberRecord("b", "north", "east", "10.0.0.2:1", "x", False, ["w"])]),
     ServersSend(1.5, [ServerEntry(ServerName("engine"), "lm", "north", "10.0.0.3:1", "1", True)]),
     SettingsSend(4, [{"type": "change"}], {"offset": 4}),
@@ -46,26 +46,28 @@
 
 
 @pytest.mark.parametrize("message", MESSAGES, ids=lambda it: type(it).__name__)
-def test_message_comes_back_as_it_was(message: PeerMessage) -> None:
+def test_decoded_message_equals_the_encoded_one(message: PeerMessage) -> None:
+    # Guards against fields that are lost or changed between encoder and decoder.
     event = decode(encode(SENDER, message), "10.0.0.1:7000").unwrap()
 
     assert event.sender == SENDER
     assert event.message == message
 
 
-def test_later_release_may_say_more_and_an_earlier_one_less() -> None:
-    sender, name, values = msgpack.unpackb(encode(SENDER, BEAT))
+def test_messages_of_earlier_and_later_releases_are_decoded() -> None:
+    # Guards against rejecting messages during a rolling upgrade.
+    sender, name, values = msgpack.unpackb(encode(SENDER, HEARTBEAT))
     longer = msgpack.packb([sender, name, [*values, "from a later release"]])
     shorter = msgpack.packb([sender, name, values[:8]])
 
-    assert decode(longer, "peer").unwrap().message == BEAT
+    assert decode(longer, "peer").unwrap().message == HEARTBEAT
     message = decode(shorter, "peer").unwrap().message
     assert isinstance(message, Heartbeat)
-    assert message.members_hash == BEAT.members_hash
+    assert message.members_hash == HEARTBEAT.members_hash
     assert message.words == []
 
 
-NOISE: dict[str, bytes] = {
+INVALID_FRAMES: dict[str, bytes] = {
     "nothing": b"",
     "text": b"GET / HTTP/1.1\r\n\r\n",
     "no array": msgpack.packb({"a": 1}),
@@ -77,12 +79,13 @@
     "a number instead of words": msgpack.packb(
         ["entry-1", "Heartbeat", ["n", "a", "i", 1, False, 0, "", *[0] * 8, "", "", [], 7]]
     ),
-    "cut off": encode(SENDER, BEAT)[:-5],
+    "cut off": encode(SENDER, HEARTBEAT)[:-5],
 }
 
 
-@pytest.mark.parametrize("data", NOISE.values(), ids=NOISE.keys())
-def test_noise_is_refused_with_its_origin(data: bytes) -> None:
+@pytest.mark.parametrize("data", INVALID_FRAMES.values(), ids=INVALID_FRAMES.keys())
+def test_invalid_frame_is_rejected_with_its_origin(data: bytes) -> None:
+    # Guards against exceptions and invalid messages from data of the network.
     result = decode(data, "10.0.0.9:1")
 
     assert not is_successful(result)
--- a/tests/daemon/test_peer_streams.py
+++ b/tests/daemon/test_peer_streams.py
@@ -1,4 +1,4 @@
-"""Streams between instances, against a peer that behaves badly."""
+"""Tests of the streams between instances, with unresponsive and missing peers."""
 
 from __future__ import annotations
 
@@ -20,42 +20,42 @@
 
 pytestmark = pytest.mark.anyio
 
-ME = InstanceName("entry-1")
+LOCAL_NAME = InstanceName("entry-1")
 PEER = InstanceName("entry-2")
 SAFETY_S = 20.0
-# The IP by which peers and what lies in between know this instance.
-SOURCE = "127.0.0.3"
+# The IP that the peers' firewalls allow for this instance.
+SOURCE_IP = "127.0.0.3"
 
 
-class Listening:
-    """Takes what a link tells its node."""
+class RecordingNode:
+    """Records the events that a link sends to its node."""
 
     def __init__(self) -> None:
         self.events: list[Event] = []
-        self.happened = anyio.Event()
+        self.event_received = anyio.Event()
         self.traffic = Traffic()
 
     def handle(self, event: Event) -> None:
-        """Note an event."""
+        """Record an event."""
         self.events.append(event)
-        self.happened.set()
+        self.event_received.set()
 
     def count(self, name: str, by: int = 1) -> None:
-        """Count nothing."""
+        """Ignore a count."""
 
 
-class BadPeer:
-    """Accepts connections and lets the test say what is done on each."""
+class FaultyPeer:
+    """Accepts connections and acknowledges frames only on those that the test selects."""
 
     def __init__(self) -> None:
-        # Frames by connection, as the senders wrote them.
+        # Received frames by connection.
         self.connections: list[list[object]] = []
-        # The IPs from which they came.
+        # Remote IPs of the connections.
         self.sources: set[str] = set()
-        self.changed = anyio.Event()
+        self.frame_received = anyio.Event()
 
     async def serve(self, stream: SocketStream, answers: Callable[[int], bool]) -> None:
-        """Read frames, and acknowledge them on the connections that answer."""
+        """Read frames, and acknowledge them if `answers` is true for the connection."""
         number = len(self.connections)
         frames: list[object] = []
         self.connections.append(frames)
@@ -65,21 +65,20 @@
             async for data in stream:
                 unpacker.feed(data)
                 frames.extend(unpacker)
-                self.changed.set()
-                self.changed = anyio.Event()
+                self.frame_received.set()
+                self.frame_received = anyio.Event()
                 if answers(number):
                     await stream.send(msgpack.packb(len(frames)))
 
 
-async def test_silent_connection_is_found_out_and_replaced() -> None:
-    # The peer's first connection has gone silent: bytes are taken, nothing comes back, as when
-    # something between the two ends has lost track of it. The reducer is told that messages may be
-    # lost, and the next message goes out on a new connection, which works.
-    listening = Listening()
-    peer = BadPeer()
+async def test_unresponsive_connection_is_reported_and_replaced() -> None:
+    # Guards against losing messages unnoticed on a connection that accepts data and acknowledges
+    # nothing, and against sending later messages on it.
+    node = RecordingNode()
+    peer = FaultyPeer()
     listener = await anyio.create_tcp_listener(local_host="127.0.0.1")
     port = listener.extra(SocketAttribute.local_port)
-    link = PeerLink(cast(Node, listening), PEER, f"127.0.0.1:{port}", SOURCE)
+    link = PeerLink(cast(Node, node), PEER, f"127.0.0.1:{port}", SOURCE_IP)
 
     async def accept(stream: SocketStream) -> None:
         await peer.serve(stream, lambda number: number > 0)
@@ -88,34 +87,33 @@
         async with listener, anyio.create_task_group() as group:
             group.start_soon(listener.serve, accept)
             group.start_soon(link.run)
-            link.send(encode(ME, SettingsAsk(1)))
-            await listening.happened.wait()
-            (event,) = listening.events
+            link.send(encode(LOCAL_NAME, SettingsAsk(1)))
+            await node.event_received.wait()
+            (event,) = node.events
             assert isinstance(event, PeerUnreachable)
             assert event.peer == PEER
-            assert "silent" in event.error
+            assert "unresponsive" in event.error
 
-            link.send(encode(ME, SettingsAsk(2)))
+            link.send(encode(LOCAL_NAME, SettingsAsk(2)))
             while len(peer.connections) < 2 or not peer.connections[1]:
-                await peer.changed.wait()
-            assert peer.connections[1] == [[ME, "SettingsAsk", [2]]]
-            assert peer.sources == {SOURCE}
+                await peer.frame_received.wait()
+            assert peer.connections[1] == [[LOCAL_NAME, "SettingsAsk", [2]]]
+            assert peer.sources == {SOURCE_IP}
             group.cancel_scope.cancel()
 
 
-async def test_peer_that_is_gone_is_reported_and_its_queue_dropped() -> None:
-    # Nothing listens at the address. What waited is lost, and the reducer is told; were it kept,
-    # the peer would get old news first when it comes back.
-    listening = Listening()
+async def test_unreachable_peer_is_reported() -> None:
+    # Guards against messages to a stopped peer that are lost without an event for the reducer.
+    node = RecordingNode()
     async with await anyio.create_tcp_listener(local_host="127.0.0.1") as listener:
         port = listener.extra(SocketAttribute.local_port)
-    link = PeerLink(cast(Node, listening), PEER, f"127.0.0.1:{port}", SOURCE)
+    link = PeerLink(cast(Node, node), PEER, f"127.0.0.1:{port}", SOURCE_IP)
 
     with anyio.fail_after(SAFETY_S):
         async with anyio.create_task_group() as group:
             group.start_soon(link.run)
-            link.send(encode(ME, SettingsAsk(1)))
-            await listening.happened.wait()
+            link.send(encode(LOCAL_NAME, SettingsAsk(1)))
+            await node.event_received.wait()
             group.cancel_scope.cancel()
-    (event,) = listening.events
+    (event,) = node.events
     assert isinstance(event, PeerUnreachable)
