--- a/packages/turmericweir/turmericweir/operations/__init__.py
+++ b/packages/turmericweir/turmericweir/operations/__init__.py
@@ -1,1 +1,1 @@
-"""Speak to operators: state, settings, drains."""
+"""The HTTP interfaces for operators: state, settings and draining."""
--- a/packages/turmericweir/turmericweir/operations/admin_app.py
+++ b/packages/turmericweir/turmericweir/operations/admin_app.py
@@ -1,7 +1,7 @@
-"""The operators' HTTP interface, on its own port: health, readiness, the state dump, settings.
+"""The operators' HTTP interface: health, readiness, the state dump and settings.
 
-The balancer asks `/readyz`: readiness falls at once when a graceful stop begins, while callers are
-still served.
+The balancer requests `/readyz`, which becomes unready as soon as a graceful stop begins, while
+callers are still served.
 """
 
 from __future__ import annotations
@@ -32,13 +32,13 @@
 
 
 class AdminApp:
-    """Answers operators and the balancer."""
+    """Answers requests of operators and the balancer."""
 
     _node: Node
     _auth: OperatorAuth
-    # What else the dump shows: what adapters hold, by name.
+    # State of the adapters for the dump, by name.
     _views: Mapping[str, Callable[[], object]]
-    # Answers everything below `/settings`, or None where nothing is mounted.
+    # Answers everything below `/settings`; None without such an interface.
     _settings_app: ASGI3Application | None
 
     def __init__(
@@ -62,7 +62,7 @@
         if self._settings_app is not None and _is_below(path, SETTINGS_PREFIX):
             await self._settings_app(scope, receive, send)
         elif scope["method"] not in ("GET", "HEAD"):
-            await send_json(send, 405, {"error": "use GET here"})
+            await send_json(send, 405, {"error": "only GET is allowed at this path"})
         elif path == "/healthz":
             await send_json(send, 200, {"healthy": True})
         elif path == "/readyz":
@@ -72,17 +72,17 @@
         elif path == "/instances":
             await serve_operator(scope, receive, send, self._answer_instances)
         else:
-            await send_json(send, 404, {"error": "there is nothing at this path"})
+            await send_json(send, 404, {"error": "unknown path"})
 
     async def _answer_state(self, request: OperatorRequest) -> None:
-        """Show the dump to operators only: it names customers and the requests in hand."""
-        self._auth.require(self._node.state.config, request.headers)
+        """Answer with the state dump; for operators only, since it names customers."""
+        self._auth.require_principal(self._node.state.config, request.headers)
         await send_json(request.send, HTTPStatus.OK, self._state())
 
     async def _answer_instances(self, request: OperatorRequest) -> None:
-        self._auth.require(self._node.state.config, request.headers)
-        found = instance_versions(self._node.state, anyio.current_time())
-        await send_json(request.send, HTTPStatus.OK, {"instances": dump(found)})
+        self._auth.require_principal(self._node.state.config, request.headers)
+        versions = instance_versions(self._node.state, anyio.current_time())
+        await send_json(request.send, HTTPStatus.OK, {"instances": dump(versions)})
 
     def _readiness(self) -> dict[str, bool]:
         return {
@@ -102,7 +102,7 @@
 
 
 async def send_json(send: ASGISendCallable, status: int, value: object) -> None:
-    """Answer with JSON."""
+    """Send a JSON answer."""
     body = orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS)
     headers = [(b"content-type", _JSON), (b"content-length", b"%d" % len(body))]
     await send({"type": "http.response.start", "status": status, "headers": headers})
--- a/packages/turmericweir/turmericweir/operations/drain_app.py
+++ b/packages/turmericweir/turmericweir/operations/drain_app.py
@@ -1,7 +1,7 @@
-"""Let operators drain a backend server: `POST /drain/SERVER`.
+"""The operators' interface for draining a backend server: `POST /drain/SERVER`.
 
-A drained server gets no new work from any instance; what runs there goes on to its end. Whoever
-holds `/servers/SERVER` in the settings may do it.
+A drained server receives no new requests from any instance and finishes the running ones. Operators
+who may write `/servers/SERVER` in the settings may drain it.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 class DrainApp:
-    """Answers operators who drain servers."""
+    """Answers drain requests of operators."""
 
     _node: Node
     _auth: OperatorAuth
@@ -38,11 +38,11 @@
         await serve_operator(scope, receive, send, self._answer)
 
     async def _answer(self, request: OperatorRequest) -> None:
-        principal = self._auth.require(self._node.state.config, request.headers)
+        principal = self._auth.require_principal(self._node.state.config, request.headers)
         if request.method != "POST":
             raise ProblemError(HTTPStatus.METHOD_NOT_ALLOWED, "expected POST")
         name = ServerName(request.path.removeprefix(PREFIX).strip("/"))
-        if not principal.holds(f"/servers/{name}"):
+        if not principal.can_write(f"/servers/{name}"):
             detail = f"{principal.name} does not hold /servers/{name}"
             raise ProblemError(HTTPStatus.FORBIDDEN, detail)
         server = self._node.state.servers.by_name.get(name)
--- a/packages/turmericweir/turmericweir/operations/dump.py
+++ b/packages/turmericweir/turmericweir/operations/dump.py
@@ -1,7 +1,7 @@
-"""Turn any part of the state into plain JSON, for the operators' state dump.
+"""Conversion of any part of the state to plain JSON, for the operators' state dump.
 
-It walks over data classes and collections without knowing them, so that new state shows up by
-itself. What would let a reader of the dump pose as somebody else is left out.
+The conversion handles data classes and collections generically, which includes new state without
+changes here. Secrets and customers' data are left out.
 """
 
 from __future__ import annotations
@@ -17,22 +17,21 @@
 
 import msgspec
 
-# Digests of tokens: a short or reused token could be found from them.
-_SECRET: Final = frozenset(
+# Digests of tokens, from which short or reused tokens could be found.
+_SECRET_FIELDS: Final = frozenset(
     {"token_digests", "token_digest", "customers_by_token", "token_sha256", "admin_tokens"}
-    # Kept answers are customers' data.
+    # Stored answers are customers' data.
     | {"answer"}
 )
-# Entries of one table that are shown. A hundred thousand claims, say, would hold the loop, and with
-# it every request of the instance, for seconds.
-_ENTRIES_MAX: Final = 2_000
-# Deeper than any state; a cycle ends there instead of the process.
-_DEPTH_MAX: Final = 24
+# Prevents the dump of a large table from blocking the event loop for seconds.
+_MAX_ENTRIES: Final = 2_000
+# Deeper than any state. Prevents an endless recursion on cycles.
+_MAX_DEPTH: Final = 24
 
 
 # Any: a plain JSON value is whatever the state holds.
 def dump(value: object, depth: int = 0) -> Any:
-    """Give a value as plain JSON."""
+    """Return a value as plain JSON."""
     if value is None or isinstance(value, bool | int):
         return value
     if isinstance(value, Enum):
@@ -41,29 +40,29 @@
         return value
     if isinstance(value, float):
         return value if isfinite(value) else str(value)
-    if depth > _DEPTH_MAX:
+    if depth > _MAX_DEPTH:
         return "..."
     return _dump_compound(value, depth + 1)
 
 
 def _dump_compound(value: object, depth: int) -> Any:
-    # A validated model: asked for by what it offers, as its library is not loaded everywhere.
-    validated = getattr(type(value), "model_fields", None)
-    if validated is not None:
-        return _dump_named({name: getattr(value, name) for name in validated}, depth)
+    # A pydantic model, recognised by its attribute, since pydantic is not loaded in every process.
+    model_fields = getattr(type(value), "model_fields", None)
+    if model_fields is not None:
+        return _dump_fields({name: getattr(value, name) for name in model_fields}, depth)
     if isinstance(value, msgspec.Struct):
-        return _dump_named({name: getattr(value, name) for name in value.__struct_fields__}, depth)
+        return _dump_fields({name: getattr(value, name) for name in value.__struct_fields__}, depth)
     if is_dataclass(value):
-        return _dump_named({each.name: getattr(value, each.name) for each in fields(value)}, depth)
+        return _dump_fields({item.name: getattr(value, item.name) for item in fields(value)}, depth)
     if isinstance(value, Mapping):
-        shown = {_key(key): each for key, each in islice(value.items(), _ENTRIES_MAX)}
-        if len(value) > _ENTRIES_MAX:
-            shown["..."] = f"{len(value)} entries in all"
-        return _dump_named(shown, depth)
+        entries = {_key_text(key): item for key, item in islice(value.items(), _MAX_ENTRIES)}
+        if len(value) > _MAX_ENTRIES:
+            entries["..."] = f"{len(value)} entries in total"
+        return _dump_fields(entries, depth)
     if isinstance(value, list | tuple | deque):
-        return [dump(each, depth) for each in value]
+        return [dump(item, depth) for item in value]
     if isinstance(value, Set):
-        return sorted((dump(each, depth) for each in value), key=str)
+        return sorted((dump(item, depth) for item in value), key=str)
     if isinstance(value, bytes):
         return value.hex()
     if isinstance(value, Random):
@@ -71,11 +70,13 @@
     return f"<{type(value).__name__}>"
 
 
-def _dump_named(named: Mapping[str, object], depth: int) -> dict[str, Any]:
-    return {name: dump(each, depth) for name, each in named.items() if name not in _SECRET}
+def _dump_fields(values: Mapping[str, object], depth: int) -> dict[str, Any]:
+    return {
+        name: dump(value, depth) for name, value in values.items() if name not in _SECRET_FIELDS
+    }
 
 
-def _key(key: object) -> str:
+def _key_text(key: object) -> str:
     if isinstance(key, str):
         return key.value if isinstance(key, Enum) else key
     return str(key)
--- a/packages/turmericweir/turmericweir/operations/entry_admin.py
+++ b/packages/turmericweir/turmericweir/operations/entry_admin.py
@@ -1,8 +1,8 @@
-"""The operators' port where the platform keeps the settings: it shows, and changes nothing.
+"""The operators' HTTP interface where the platform stores the settings; it is read-only.
 
-`turmericctl status`, `instances`, `duties`, `state`, `classes` and `servers` ask here. Settings are
-changed where the platform keeps them. The port is one that nobody outside the platform reaches;
-where the settings file names the digest of a token, that is asked for as well.
+`turmericctl status`, `instances`, `duties`, `state`, `classes` and `servers` use it. The port is
+reachable only within the platform; if the settings file contains the digest of a token, the token
+is required as well.
 """
 
 from __future__ import annotations
@@ -31,13 +31,13 @@
 
 
 class EntryAdmin:
-    """Answers operators."""
+    """Answers requests of operators."""
 
     _node: Node
-    # What else the dump shows: what adapters hold, by name.
+    # State of the adapters for the dump, by name.
     _views: Mapping[str, Callable[[], object]]
     _is_ready: Callable[[], bool]
-    # SHA-256 of the operators' token; empty asks for none.
+    # SHA-256 of the operators' token; if empty, no token is required.
     _token_sha256: str
 
     def __init__(
@@ -61,21 +61,21 @@
     async def _answer(self, request: OperatorRequest) -> None:
         self._check_token(request.headers)
         if request.method not in ("GET", "HEAD"):
-            raise ProblemError(HTTPStatus.METHOD_NOT_ALLOWED, "this port only shows; use GET")
+            raise ProblemError(HTTPStatus.METHOD_NOT_ALLOWED, "this port is read-only; use GET")
         match request.path:
             case "/readyz":
                 await request.answer(HTTPStatus.OK, self._readiness())
             case "/state":
                 await request.answer(HTTPStatus.OK, self._state())
             case "/instances":
-                found = instance_versions(self._node.state, anyio.current_time())
-                await request.answer(HTTPStatus.OK, {"instances": dump(found)})
+                versions = instance_versions(self._node.state, anyio.current_time())
+                await request.answer(HTTPStatus.OK, {"instances": dump(versions)})
             case "/duties":
                 await request.answer(HTTPStatus.OK, self._duties())
             case "/settings/inforce":
                 await request.answer(HTTPStatus.OK, self._in_force(request))
             case _:
-                raise ProblemError(HTTPStatus.NOT_FOUND, "there is nothing at this path")
+                raise ProblemError(HTTPStatus.NOT_FOUND, "unknown path")
 
     def _check_token(self, headers: Mapping[bytes, bytes]) -> None:
         if not self._token_sha256:
@@ -96,7 +96,7 @@
         state = self._node.state
         if state.duties is None:
             raise ProblemError(HTTPStatus.NOT_FOUND, "this platform has no duties")
-        # Loaded only where there are duties.
+        # Imported only if there are duties, to save memory.
         from turmericweir_core.duties.duty_view import duty_view
 
         return {"duties": dump(duty_view(state, anyio.current_time()))}
@@ -106,17 +106,17 @@
         now = anyio.current_time()
         dumped = dump(state)
         assert isinstance(dumped, dict)
-        beliefs = {
+        derived = {
             "settings_version": state.settings_offset(),
             "key_proof_age_s": document.proof_age(state, now),
             "servers_read_age_s": now - state.registry.read_at,
             "reads_the_store": store_duty.is_reader(state, now),
-            "store_readers": [each.name for each in store_duty.readers(state, now)],
-            "live_instances": [each.name for each in membership.live_instances(state, now)],
+            "store_readers": [instance.name for instance in store_duty.readers(state, now)],
+            "live_instances": [instance.name for instance in membership.live_instances(state, now)],
             "retries_left": {name: retry.left(state, now, name) for name in state.queues.targets},
         }
         views = {name: dump(view()) for name, view in self._views.items()}
-        return {**dumped, "beliefs": dump(beliefs), "process": views}
+        return {**dumped, "beliefs": dump(derived), "process": views}
 
     def _in_force(self, request: OperatorRequest) -> dict[str, Any]:
         state = self._node.state
@@ -127,10 +127,10 @@
             int(offset),
             centres=membership.data_centres(state, now),
             not_live=[
-                each
-                for each in state.members.by_name.values()
-                if not membership.is_live(state, now, each)
+                item
+                for item in state.members.by_name.values()
+                if not membership.is_live(state, now, item)
             ],
             named={server.entry.data_centre for server in state.servers.by_name.values()},
         )
-        return {"data_centres": [asdict(each) for each in centres]}
+        return {"data_centres": [asdict(item) for item in centres]}
--- a/packages/turmericweir/turmericweir/operations/operator_auth.py
+++ b/packages/turmericweir/turmericweir/operations/operator_auth.py
@@ -1,7 +1,7 @@
-"""Who asks on the operators' port, by bearer token.
+"""Authentication on the operators' port, by bearer token.
 
-Operators of the process file hold tokens that work before any settings do, since without them
-nobody could write the first operator. All others stand below `/operators` in the settings.
+Operators in the process's settings file can log in before there are settings, which allows them to
+create the first operator. All other operators are below `/operators` in the settings.
 """
 
 from __future__ import annotations
@@ -26,21 +26,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Principal:
-    """An operator who has shown a token."""
+    """An authenticated operator."""
 
-    # As records of changes name it.
+    # The name in the records of changes.
     name: str
     paths: tuple[str, ...]
 
-    def holds(self, path: str) -> bool:
-        """Tell whether a path lies in one of the operator's subtrees."""
+    def can_write(self, path: str) -> bool:
+        """Return whether a path is in one of the operator's subtrees."""
         return any(covers(subtree, path) for subtree in self.paths)
 
 
 class OperatorAuth:
-    """Finds operators by their tokens."""
+    """Identifies operators by their tokens."""
 
-    # Operators of the process file by token digest.
+    # Operators of the process's settings file by token digest.
     _bootstrap: dict[str, Principal]
 
     def __init__(self, tokens: Iterable[AdminToken]) -> None:
@@ -49,22 +49,22 @@
             for token in tokens
         }
 
-    def require(self, config: Config, headers: Mapping[bytes, bytes]) -> Principal:
-        """Find the operator whose token a request carries, or raise `ProblemError`."""
-        principal = self.find(config, headers)
+    def require_principal(self, config: Config, headers: Mapping[bytes, bytes]) -> Principal:
+        """Return the operator whose token a request contains; raise ProblemError without one."""
+        principal = self.find_principal(config, headers)
         if principal is None:
             raise ProblemError(HTTPStatus.UNAUTHORIZED, TOKEN_EXPECTED)
         return principal
 
-    def find(self, config: Config, headers: Mapping[bytes, bytes]) -> Principal | None:
-        """Find the operator whose token a request carries."""
+    def find_principal(self, config: Config, headers: Mapping[bytes, bytes]) -> Principal | None:
+        """Return the operator whose token a request contains; None without one."""
         value = headers.get(b"authorization", b"")
         if value[: len(_BEARER)].lower() != _BEARER:
             return None
         digest = hashlib.sha256(value[len(_BEARER) :].strip()).hexdigest()
-        known = self._bootstrap.get(digest)
-        if known is not None:
-            return known
+        bootstrap_operator = self._bootstrap.get(digest)
+        if bootstrap_operator is not None:
+            return bootstrap_operator
         for operator in config.operators.values():
             if operator.token_digest == digest:
                 return Principal(operator.name, operator.paths)
--- a/packages/turmericweir/turmericweir/operations/operator_http.py
+++ b/packages/turmericweir/turmericweir/operations/operator_http.py
@@ -1,7 +1,7 @@
-"""One request on the operators' port: its parts, its body within limits, its answer.
+"""Requests on the operators' port: arguments, bodies of limited size, and answers.
 
-Errors are problem details, as callers get them: a status, a title, and a sentence that says what
-was wrong and what was expected.
+Errors are sent as problem details, as for callers: a status, a title and a sentence that states
+what was wrong and what was expected.
 """
 
 from __future__ import annotations
@@ -21,14 +21,14 @@
 if TYPE_CHECKING:
     from uvicorn._types import ASGIReceiveCallable, ASGISendCallable, HTTPScope, Scope
 
-BODY_MAX: Final = 1_048_576
+BODY_MAX_BYTES: Final = 1_048_576
 BODY_TIMEOUT_S: Final = 10.0
 _JSON: Final = b"application/json"
 _PROBLEM: Final = b"application/problem+json"
 
 
 class ProblemError(Exception):
-    """The request is refused."""
+    """A request is refused with a problem answer."""
 
     def __init__(
         self, status: HTTPStatus, detail: str, extra: Mapping[str, object] | None = None
@@ -36,13 +36,13 @@
         super().__init__(detail)
         self.status = status
         self.detail = detail
-        # Further members of the answer, for programs.
+        # Additional fields of the answer, for programs.
         self.extra = extra or {}
 
 
 @dataclass(frozen=True, slots=True)
 class OperatorRequest:
-    """A request whose headers are read."""
+    """A request whose headers have been received."""
 
     method: str
     # Decoded, without the query.
@@ -53,29 +53,29 @@
     send: ASGISendCallable
 
     def argument(self, name: str, default: str = "") -> str:
-        """Give the last query argument of a name."""
+        """Return the last query argument with a name."""
         return self.query.get(name, [default])[-1]
 
-    def number(self, name: str, default: float, most: float) -> float:
-        """Give a query argument as a number from 0 to `most`."""
+    def number(self, name: str, default: float, maximum: float) -> float:
+        """Return a query argument as a number from 0 to `maximum`."""
         text = self.argument(name)
         try:
             value = float(text) if text else default
         except ValueError:
             value = -1.0
-        if not 0 <= value <= most:
-            detail = f"{name}: expected a number from 0 to {most:g}"
+        if not 0 <= value <= maximum:
+            detail = f"{name}: expected a number from 0 to {maximum:g}"
             raise ProblemError(HTTPStatus.BAD_REQUEST, detail)
         return value
 
-    # Any: validated by who asked for it.
+    # Any: the caller validates it.
     async def json(self) -> Any:
-        """Read the body as JSON; None where there is none."""
+        """Return the body, decoded from JSON; None if it is empty."""
         try:
             with anyio.fail_after(BODY_TIMEOUT_S):
-                body = await self._body()
+                body = await self._read_bytes()
         except TimeoutError:
-            detail = "the body did not arrive in time"
+            detail = "the body was not received in time"
             raise ProblemError(HTTPStatus.REQUEST_TIMEOUT, detail) from None
         try:
             return orjson.loads(body) if body else None
@@ -83,27 +83,27 @@
             detail = f"the body: expected JSON; {exc}"
             raise ProblemError(HTTPStatus.BAD_REQUEST, detail) from None
 
-    async def _body(self) -> bytes:
-        parts: list[bytes] = []
+    async def _read_bytes(self) -> bytes:
+        chunks: list[bytes] = []
         size = 0
         while True:
             message = await self.receive()
             if message["type"] != "http.request":
                 raise ProblemError(HTTPStatus.BAD_REQUEST, "the connection was closed")
-            parts.append(message["body"])
+            chunks.append(message["body"])
             size += len(message["body"])
-            if size > BODY_MAX:
-                detail = f"the body: expected at most {BODY_MAX} bytes"
+            if size > BODY_MAX_BYTES:
+                detail = f"the body: expected at most {BODY_MAX_BYTES} bytes"
                 raise ProblemError(HTTPStatus.REQUEST_ENTITY_TOO_LARGE, detail)
             if not message["more_body"]:
-                return b"".join(parts)
+                return b"".join(chunks)
 
     async def answer(self, status: HTTPStatus, value: object) -> None:
-        """Answer with JSON."""
+        """Send a JSON answer."""
         await self._send(status, _JSON, value)
 
     async def problem(self, error: ProblemError) -> None:
-        """Answer with a problem."""
+        """Send a problem as the answer."""
         status = error.status
         value = {
             "title": status.phrase,
@@ -125,7 +125,7 @@
 def operator_request(
     scope: HTTPScope, receive: ASGIReceiveCallable, send: ASGISendCallable
 ) -> OperatorRequest:
-    """Take what is needed of an ASGI request."""
+    """Build an OperatorRequest from an ASGI request."""
     return OperatorRequest(
         method=scope["method"],
         path=scope["path"],
@@ -140,16 +140,16 @@
     scope: Scope,
     receive: ASGIReceiveCallable,
     send: ASGISendCallable,
-    answer: Callable[[OperatorRequest], Awaitable[None]],
+    handler: Callable[[OperatorRequest], Awaitable[None]],
 ) -> None:
-    """Have one request answered, and answer it with a problem where that was refused or failed."""
+    """Run the handler of one request; send a problem if it raises an error."""
     assert scope["type"] == "http"
     request = operator_request(scope, receive, send)
     try:
-        await answer(request)
+        await handler(request)
     except ProblemError as exc:
         await request.problem(exc)
     except Exception as exc:
         logs.write_fault("answer operator", request.path, exc)
-        fault = ProblemError(HTTPStatus.INTERNAL_SERVER_ERROR, describe(exc))
-        await request.problem(fault)
+        problem = ProblemError(HTTPStatus.INTERNAL_SERVER_ERROR, describe(exc))
+        await request.problem(problem)
--- a/packages/turmericweir/turmericweir/operations/operator_port.py
+++ b/packages/turmericweir/turmericweir/operations/operator_port.py
@@ -1,4 +1,4 @@
-"""Everything that is answered on the operators' port, put together."""
+"""The complete application on the operators' port."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class OperatorPort:
-    """Hands each request to the application of its path."""
+    """Passes each request to the application for its path."""
 
     _admin: AdminApp
     _drain: DrainApp
@@ -40,6 +40,6 @@
     ) -> None:
         """Answer one request."""
         assert scope["type"] == "http"
-        drains = scope["path"].startswith(drain_app.PREFIX + "/")
-        app = self._drain if drains else self._admin
+        is_drain = scope["path"].startswith(drain_app.PREFIX + "/")
+        app = self._drain if is_drain else self._admin
         await app(scope, receive, send)
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -1,17 +1,17 @@
 """The operators' HTTP interface to the settings, below `/settings`.
 
-    GET    /settings?prefix=PATH         what is set, with versions
-    GET    /settings/PATH                one value
-    PUT    /settings/PATH                set it
-    DELETE /settings/PATH                delete it
-    POST   /settings/validate            what would become of changes, without making them
-    GET    /settings/history?prefix=PATH what became of the last changes
-    GET    /settings/changes/ID          what became of one change
-    GET    /settings/inforce?offset=N    in which data centres the settings before N are in force
-
-A change is checked here by token and by itself; whether it is accepted is for the log to say. The
-answer waits for that for a while and then says `pending`: the change goes on, and can be asked for
-by its id. Who sends a change again under the same id, through any instance, gets the one verdict.
+    GET    /settings?prefix=PATH         list values with versions
+    GET    /settings/PATH                return one value
+    PUT    /settings/PATH                set a value
+    DELETE /settings/PATH                delete a value
+    POST   /settings/validate            return the verdicts on changes without making them
+    GET    /settings/history?prefix=PATH list the verdicts on the last changes
+    GET    /settings/changes/ID          return the verdict on one change
+    GET    /settings/inforce?offset=N    list where the settings before N are in force
+
+This module checks the token and the value of a change; the settings log determines the verdict. An
+answer waits for the verdict until a time limit and is `pending` after that. A change that is sent
+again with the same id, to any instance, gets the verdict on the first one.
 """
 
 from __future__ import annotations
@@ -61,10 +61,10 @@
 WAIT_MAX_S: Final = 30.0
 OFFSET_MAX: Final = float(1 << 53)
 PENDING: Final = "pending"
-_HIDDEN: Final = "hidden"
-_SECRET: Final = "token_sha256"
+_HIDDEN_VALUE: Final = "hidden"
+_SECRET_FIELD: Final = "token_sha256"
 
-_STATUS: Final[dict[VerdictKind, HTTPStatus]] = {
+_STATUS_BY_VERDICT: Final[dict[VerdictKind, HTTPStatus]] = {
     VerdictKind.ACCEPTED: HTTPStatus.OK,
     VerdictKind.CONFLICT: HTTPStatus.CONFLICT,
     VerdictKind.INVALID: HTTPStatus.UNPROCESSABLE_ENTITY,
@@ -77,20 +77,20 @@
 
 
 class ChangeBody(BaseModel):
-    """The body of a change."""
+    """The body of a request for a change."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
-    # Any: validated by the model of the path.
+    # Any: the model of the path validates it.
     value: Any = None
-    # None goes by the version that this instance knows.
+    # None for the current version of this instance.
     expected_version: int | None = Field(default=None, ge=0)
-    # Chosen by who sends it, so that it can be sent again without being made twice.
+    # Chosen by the client. Prevents a change that is sent twice from being made twice.
     change_id: str | None = Field(default=None, pattern=r"^[A-Za-z0-9._-]{8,64}$")
 
 
-class TrialBody(BaseModel):
-    """The body of a validation: values by path, null for a deletion."""
+class DryRunBody(BaseModel):
+    """The body of a validation request: values by path, null for a deletion."""
 
     model_config = ConfigDict(extra="forbid", strict=True, frozen=True)
 
@@ -98,7 +98,7 @@
 
 
 class SettingsApp:
-    """Answers operators who read or change settings."""
+    """Answers requests to read or change settings."""
 
     _node: Node
     _operators: Operators
@@ -116,7 +116,7 @@
         await serve_operator(scope, receive, send, self._answer)
 
     async def _answer(self, request: OperatorRequest) -> None:
-        principal = self._auth.find(self._node.state.config, request.headers)
+        principal = self._auth.find_principal(self._node.state.config, request.headers)
         if principal is None:
             raise self._unauthorised()
         path = request.path.removeprefix(PREFIX)
@@ -141,7 +141,9 @@
 
     def _unauthorised(self) -> ProblemError:
         if not self._node.state.has_settings:
-            detail = "this instance has no settings yet, so it knows only the process file's tokens"
+            detail = (
+                "this instance has no settings yet; only tokens of its settings file are accepted"
+            )
             return ProblemError(HTTPStatus.SERVICE_UNAVAILABLE, detail)
         return ProblemError(HTTPStatus.UNAUTHORIZED, TOKEN_EXPECTED)
 
@@ -154,8 +156,8 @@
     async def _list(self, request: OperatorRequest, principal: Principal) -> None:
         prefix = request.argument("prefix", "/")
         state = self._sync.settings
-        shown = [
-            _show_entry(principal, path, entry)
+        entries = [
+            _entry_value(principal, path, entry)
             for path, entry in sorted(state.entries.items())
             if covers(prefix, path)
         ]
@@ -163,7 +165,7 @@
             "offset": state.offset,
             "hash": state_digest(state),
             "ready": self._sync.ready,
-            "entries": shown,
+            "entries": entries,
         }
         await request.answer(HTTPStatus.OK, value)
 
@@ -172,8 +174,8 @@
         entry = self._sync.settings.entries.get(path)
         if entry is None:
             raise ProblemError(HTTPStatus.NOT_FOUND, f"nothing is set at {path}")
-        shown = _show_entry(principal, path, entry)
-        await request.answer(HTTPStatus.OK, {**shown, "offset": self._sync.settings.offset})
+        value = _entry_value(principal, path, entry)
+        await request.answer(HTTPStatus.OK, {**value, "offset": self._sync.settings.offset})
 
     async def _history(self, request: OperatorRequest) -> None:
         prefix = request.argument("prefix", "/")
@@ -196,31 +198,35 @@
             await _answer_pending(request, change_id)
             return
         for verdict in self._sync.settings.history:
-            if not isinstance(verdict, Repeated) and _change_of(verdict) == change_id:
+            if not isinstance(verdict, Repeated) and _change_id_of(verdict) == change_id:
                 await request.answer(HTTPStatus.OK, describe(verdict))
                 return
-        seen = self._sync.settings.seen.get(change_id)
-        if seen is None:
-            raise ProblemError(HTTPStatus.NOT_FOUND, "this instance knows no change of that id")
-        value = {"verdict": seen.kind.value, "change_id": change_id, "offset": seen.offset}
+        outcome = self._sync.settings.seen.get(change_id)
+        if outcome is None:
+            raise ProblemError(HTTPStatus.NOT_FOUND, "this instance has no change with that id")
+        value = {"verdict": outcome.kind.value, "change_id": change_id, "offset": outcome.offset}
         await request.answer(HTTPStatus.OK, value)
 
     async def _validate(self, request: OperatorRequest) -> None:
-        body = _read_body(TrialBody, await request.json())
-        verdicts = [describe(it) for it in try_changes(self._sync.settings, body.settings)]
-        good = all(it["verdict"] == VerdictKind.ACCEPTED.value for it in verdicts)
-        kept = ("verdict", "path", "problems")
-        results = [{key: it[key] for key in kept if key in it} for it in verdicts]
-        await request.answer(HTTPStatus.OK, {"valid": good, "results": results})
+        body = _read_body(DryRunBody, await request.json())
+        verdicts = [
+            describe(verdict) for verdict in try_changes(self._sync.settings, body.settings)
+        ]
+        is_valid = all(verdict["verdict"] == VerdictKind.ACCEPTED.value for verdict in verdicts)
+        result_keys = ("verdict", "path", "problems")
+        results = [
+            {key: verdict[key] for key in result_keys if key in verdict} for verdict in verdicts
+        ]
+        await request.answer(HTTPStatus.OK, {"valid": is_valid, "results": results})
 
     # Changing.
 
     async def _change(self, request: OperatorRequest, principal: Principal, path: str) -> None:
         body = _read_body(ChangeBody, await request.json() or {})
         _check_path(path)
-        if not principal.holds(path):
-            held = ", ".join(principal.paths)
-            detail = f"{principal.name} may write below {held}; not at {path}"
+        if not principal.can_write(path):
+            writable_paths = ", ".join(principal.paths)
+            detail = f"{principal.name} may write only below {writable_paths}, not at {path}"
             extra = {
                 "verdict": VerdictKind.FORBIDDEN.value,
                 "path": path,
@@ -242,26 +248,27 @@
             await _answer_verdict(request, verdict)
 
     async def _submit(self, event: ChangeSubmitted, wait_s: float) -> Settlement | None:
-        """Hand a change to the reducer and wait for the verdict.
+        """Send a change to the reducer and wait for the verdict; None after the time limit.
 
-        The waiting starts first: a change of a known id is settled while the reducer handles it.
+        Waiting starts first, since the verdict on a repeated change arrives while the reducer
+        handles it.
         """
-        found: list[Settlement | None] = []
+        verdicts: list[Settlement | None] = []
         async with anyio.create_task_group() as group:
-            await group.start(self._wait, event.change_id, wait_s, found)
+            await group.start(self._wait_for_verdict, event.change_id, wait_s, verdicts)
             self._node.handle(event)
-        return found[0]
+        return verdicts[0]
 
-    async def _wait(
+    async def _wait_for_verdict(
         self,
         change_id: str,
         wait_s: float,
-        found: list[Settlement | None],
+        verdicts: list[Settlement | None],
         *,
         task_status: TaskStatus[None],
     ) -> None:
         task_status.started()
-        found.append(await self._operators.wait(change_id, wait_s))
+        verdicts.append(await self._operators.wait(change_id, wait_s))
 
 
 def _read_change_value(request: OperatorRequest, path: str, body: ChangeBody) -> Any:
@@ -299,17 +306,17 @@
     try:
         return model.model_validate(raw)
     except ValidationError as exc:
-        first = exc.errors(include_url=False, include_context=False, include_input=False)[0]
-        field = ".".join(str(part) for part in first["loc"])
-        detail = f"the body: {field}: {explain(first['type'], first['msg'])}"
+        error = exc.errors(include_url=False, include_context=False, include_input=False)[0]
+        field = ".".join(str(part) for part in error["loc"])
+        detail = f"the body: {field}: {explain(error['type'], error['msg'])}"
         raise ProblemError(HTTPStatus.BAD_REQUEST, detail) from None
 
 
-def _show_entry(principal: Principal, path: str, entry: Entry) -> dict[str, Any]:
+def _entry_value(principal: Principal, path: str, entry: Entry) -> dict[str, Any]:
     value = dict(entry.written)
-    # A short token could be found from its digest, so only those who may replace it see it.
-    if _SECRET in value and not principal.holds(path):
-        value[_SECRET] = _HIDDEN
+    # Only operators who may replace a token see its digest, from which a short one could be found.
+    if _SECRET_FIELD in value and not principal.can_write(path):
+        value[_SECRET_FIELD] = _HIDDEN_VALUE
     return {
         "path": path,
         "version": entry.version,
@@ -327,7 +334,7 @@
             return ""
 
 
-def _change_of(verdict: Verdict) -> str | None:
+def _change_id_of(verdict: Verdict) -> str | None:
     match verdict:
         case Accepted() | Conflict() | Invalid() | Forbidden() | Repeated():
             return verdict.subject.change_id
@@ -342,6 +349,6 @@
 async def _answer_verdict(request: OperatorRequest, verdict: Settlement) -> None:
     value = describe(verdict)
     if isinstance(verdict, Repeated):
-        # To who asks twice, what counts is how it was judged the first time.
+        # A repeated change is answered with the first verdict.
         value |= {"verdict": verdict.first.value, "offset": verdict.first_offset}
-    await request.answer(_STATUS[VerdictKind(value["verdict"])], value)
+    await request.answer(_STATUS_BY_VERDICT[VerdictKind(value["verdict"])], value)
