--- a/packages/turmericweir/turmericweir/operations/entry_admin.py
+++ b/packages/turmericweir/turmericweir/operations/entry_admin.py
@@ -96,7 +96,7 @@
         state = self._node.state
         if state.duties is None:
             raise ProblemError(HTTPStatus.NOT_FOUND, "this platform has no duties")
-        # Imported only if there are duties, to save memory.
+        # Imported only if there are duties.
         from turmericweir_core.duties.duty_view import duty_view
 
         return {"duties": dump(duty_view(state, anyio.current_time()))}
--- a/packages/turmericweir/turmericweir/operations/operator_auth.py
+++ b/packages/turmericweir/turmericweir/operations/operator_auth.py
@@ -1,7 +1,7 @@
 """Authentication on the operators' port, by bearer token.
 
-Operators in the process's settings file can log in before there are settings, which allows them to
-create the first operator. All other operators are below `/operators` in the settings.
+Tokens from the process's settings file are valid before there are settings, which allows creating
+the first operator. All other operators are below `/operators` in the settings.
 """
 
 from __future__ import annotations
--- a/packages/turmericweir/turmericweir/operations/operator_http.py
+++ b/packages/turmericweir/turmericweir/operations/operator_http.py
@@ -16,7 +16,7 @@
 import orjson
 
 from turmericweir.process import logs
-from turmericweir.process.errors import describe
+from turmericweir.process.errors import describe_error
 
 if TYPE_CHECKING:
     from uvicorn._types import ASGIReceiveCallable, ASGISendCallable, HTTPScope, Scope
@@ -151,5 +151,5 @@
         await request.problem(exc)
     except Exception as exc:
         logs.write_fault("answer operator", request.path, exc)
-        problem = ProblemError(HTTPStatus.INTERNAL_SERVER_ERROR, describe(exc))
+        problem = ProblemError(HTTPStatus.INTERNAL_SERVER_ERROR, describe_error(exc))
         await request.problem(problem)
--- a/packages/turmericweir/turmericweir/peers/peer_datagrams.py
+++ b/packages/turmericweir/turmericweir/peers/peer_datagrams.py
@@ -12,7 +12,7 @@
 
 from turmericweir.peers.peer_codec import FrameReader, decode, encode
 from turmericweir.process import logs
-from turmericweir.process.errors import ListenError, describe
+from turmericweir.process.errors import ListenError, describe_error
 from turmericweir.process.node import Node
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.messages.effects import SendDatagram
@@ -97,7 +97,7 @@
 
     def _log_unsent(self, address: str, exc: Exception) -> None:
         # Only logged, since the reducer detects unreachable peers by their heartbeats.
-        logs.write("datagram_unsent", peer=address, error=describe(exc))
+        logs.write("datagram_unsent", peer=address, error=describe_error(exc))
 
     # Called by the event loop.
 
--- a/packages/turmericweir/turmericweir/peers/peer_streams.py
+++ b/packages/turmericweir/turmericweir/peers/peer_streams.py
@@ -19,7 +19,7 @@
 
 from turmericweir.peers.peer_codec import FRAME_MAX_BYTES, FrameReader, encode, read_frame
 from turmericweir.process import logs
-from turmericweir.process.errors import ListenError, PeerError, describe
+from turmericweir.process.errors import ListenError, PeerError, describe_error
 from turmericweir.process.node import Node
 from turmericweir.process.traffic import TrafficCounter
 from turmericweir.servers.backend_stream import set_options
@@ -56,13 +56,13 @@
     _queue: deque[bytes]
     # Set when a frame is queued.
     _frame_queued: anyio.Event
-    # Numbers of frames written and acknowledged on the open connection.
+    # Counts of frames written and acknowledged on the open connection.
     _written: int
     _acked: int
-    # Since when an acknowledgement is overdue; None if all written frames are acknowledged.
+    # Since when an acknowledgement is awaited; None if all written frames are acknowledged.
     _unacked_since: float | None
     _last_sent_at: float
-    # Cancelling it closes the stream.
+    # Cancelled to end `run`, which closes the stream.
     scope: anyio.CancelScope
 
     def __init__(self, node: Node, peer: InstanceName, address: str, source_ip: str) -> None:
@@ -105,7 +105,7 @@
             await self._frame_queued.wait()
 
     def _report_broken(self, group: BaseExceptionGroup[BaseException]) -> None:
-        error = describe(_first_exception(group))
+        error = describe_error(_first_exception(group))
         # Prevents the peer from receiving stale messages. The reducer resends the relevant ones.
         self._queue.clear()
         self._node.count("peer.stream_broken")
@@ -255,10 +255,10 @@
                 traffic.sent.add(len(ack))
     except _CONNECTION_ERRORS as exc:
         if not isinstance(exc, anyio.EndOfStream):
-            logs.write("peer_stream_lost", step="receive", peer=origin, error=describe(exc))
+            logs.write("peer_stream_lost", step="receive", peer=origin, error=describe_error(exc))
     # The stream cannot be split into frames any more.
     except (ValueError, msgpack.UnpackException, msgpack.exceptions.BufferFull) as exc:
-        frame_reader.drop_frame(PeerError("split stream", origin, describe(exc)))
+        frame_reader.drop_frame(PeerError("split stream", origin, describe_error(exc)))
 
 
 def _first_exception(group: BaseExceptionGroup[BaseException]) -> BaseException:
--- a/packages/turmericweir/turmericweir/process/entry_settings.py
+++ b/packages/turmericweir/turmericweir/process/entry_settings.py
@@ -18,7 +18,7 @@
 from turmericweir.process.errors import SettingsFileError
 
 _COMMENT: Final = "//"
-# The weakest machine that is assigned shared work.
+# Resources of a machine of class 0.
 _LINK_MBPS: Final = 5.0
 _PROCESSORS: Final = 0.25
 _PORT_MAX: Final = 65_535
@@ -28,7 +28,7 @@
     """The capacity of the machine."""
 
     link_mbps: float = 0
-    # Number of cores.
+    # Number of cores, and their speed relative to a standard core.
     processors: float = 0
     processor_speed: float = 1
 
@@ -67,7 +67,7 @@
 
 
 class BoundsSettings(msgspec.Struct, frozen=True, kw_only=True):
-    """Limits that the platform sets for every process. Times end in their unit."""
+    """Limits that the platform sets for every process."""
 
     # Time after which a leaving server receives no new requests.
     drain_ms: float = 2_000
--- a/packages/turmericweir/turmericweir/process/errors.py
+++ b/packages/turmericweir/turmericweir/process/errors.py
@@ -41,7 +41,7 @@
     """A frame from another instance is invalid, or a stream to it broke."""
 
 
-def describe(exc: BaseException) -> str:
+def describe_error(exc: BaseException) -> str:
     """Return a one-line description of an error, even if its text is empty."""
     text = str(exc)
     name = type(exc).__name__
--- a/packages/turmericweir/turmericweir/process/listening_socket.py
+++ b/packages/turmericweir/turmericweir/process/listening_socket.py
@@ -54,8 +54,8 @@
     """Make the system ignore new connections until the socket is closed.
 
     Prevents connections from being reset between the last `accept` and the close. An ignored client
-    retries within about a second and is then refused, so it knows that nothing was sent. Does
-    nothing on systems without such filters.
+    retries within about a second and is then refused, which shows that nothing was sent. Has no
+    effect on systems without such filters.
     """
     code = b"".join(struct.pack("HBBI", *instruction) for instruction in _IGNORE_SYN)
     code_buffer = ctypes.create_string_buffer(code)
--- a/packages/turmericweir/turmericweir/process/node.py
+++ b/packages/turmericweir/turmericweir/process/node.py
@@ -16,7 +16,7 @@
 from anyio.abc import TaskGroup
 
 from turmericweir.process import logs
-from turmericweir.process.errors import describe
+from turmericweir.process.errors import describe_error
 from turmericweir.process.traffic import Traffic
 from turmericweir_core.base.ids import RequestId
 from turmericweir_core.messages.effects import (
@@ -345,4 +345,4 @@
         await work(*args)
     except Exception as exc:
         name = getattr(work, "__qualname__", type(work).__name__)
-        logs.write("background_failed", step=name, error=describe(exc))
+        logs.write("background_failed", step=name, error=describe_error(exc))
--- a/packages/turmericweir/turmericweir/servers/backend_attempt.py
+++ b/packages/turmericweir/turmericweir/servers/backend_attempt.py
@@ -1,6 +1,6 @@
 """The common part of attempts on engines and on plain services.
 
-An attempt is one request on one connection. It ends in one of the core's `AttemptEnd` types, which
+An attempt is one request on one connection. Its end is one of the core's `AttemptEnd` types and
 determines whether the request may be retried. This module distinguishes three cases: nothing was
 written, the server reported that it had not started, or the outcome is unknown.
 """
@@ -13,7 +13,7 @@
 import anyio
 import httpcore
 
-from turmericweir.process.errors import CallError, describe
+from turmericweir.process.errors import CallError, describe_error
 from turmericweir.servers.backend_call import TRANSPORT_ERRORS, FirstByteCallback, call, read_body
 from turmericweir.servers.backend_pool import IDLE_MAX_S, VERIFIED_IDLE_MAX_S
 from turmericweir_core.messages.effects import StartAttempt
@@ -107,7 +107,7 @@
             finally:
                 await self.pool.release(address, conn)
         except TRANSPORT_ERRORS as exc:
-            return await self.classify_loss(describe(exc))
+            return await self.classify_loss(describe_error(exc))
 
     async def classify_loss(self, error: str) -> AttemptEnd:
         """Classify a connection error by whether anything had been written."""
--- a/packages/turmericweir/turmericweir/servers/backend_call.py
+++ b/packages/turmericweir/turmericweir/servers/backend_call.py
@@ -13,7 +13,7 @@
 import httpcore
 import orjson
 
-from turmericweir.process.errors import CallError, describe
+from turmericweir.process.errors import CallError, describe_error
 from turmericweir.process.traffic import TrafficCounter
 from turmericweir.servers.backend_pool import (
     IDLE_MAX_S,
@@ -50,7 +50,7 @@
         self._callback = callback
 
     def __call__(self) -> None:
-        """Record it and run the callback."""
+        """Record that the first byte is about to be written, and run the callback."""
         self.sent = True
         if self._callback is not None:
             self._callback()
@@ -102,7 +102,7 @@
         detail = f"no complete answer within {timeout_s} s"
         raise CallError(target, address, detail, sent=first_byte.sent) from None
     except TRANSPORT_ERRORS as exc:
-        raise CallError(target, address, describe(exc), sent=first_byte.sent) from exc
+        raise CallError(target, address, describe_error(exc), sent=first_byte.sent) from exc
 
 
 def _wire_size(first_line: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> int:
--- a/packages/turmericweir/turmericweir/servers/forward.py
+++ b/packages/turmericweir/turmericweir/servers/forward.py
@@ -116,7 +116,7 @@
             scheme=b"http", host=host.encode("ascii"), port=int(port), target=call.target
         )
         request = httpcore.Request(call.method, url, content=call.body)
-        # Set here to skip the conversion of each name and value by the constructor.
+        # Set here, since the constructor would convert each name and value, and add headers.
         request.headers = headers
         return request
 
