--- a/packages/turmericweir/turmericweir/operations/admin_app.py
+++ b/packages/turmericweir/turmericweir/operations/admin_app.py
@@ -62,7 +62,7 @@
         if self._settings_app is not None and _is_below(path, SETTINGS_PREFIX):
             await self._settings_app(scope, receive, send)
         elif scope["method"] not in ("GET", "HEAD"):
-            await send_json(send, 405, {"error": "only GET is allowed at this path"})
+            await send_json(send, 405, {"error": "use GET here"})
         elif path == "/healthz":
             await send_json(send, 200, {"healthy": True})
         elif path == "/readyz":
@@ -72,7 +72,7 @@
         elif path == "/instances":
             await serve_operator(scope, receive, send, self._answer_instances)
         else:
-            await send_json(send, 404, {"error": "unknown path"})
+            await send_json(send, 404, {"error": "there is nothing at this path"})
 
     async def _answer_state(self, request: OperatorRequest) -> None:
         """Answer with the state dump; for operators only, since it names customers."""
--- a/packages/turmericweir/turmericweir/operations/dump.py
+++ b/packages/turmericweir/turmericweir/operations/dump.py
@@ -57,7 +57,7 @@
     if isinstance(value, Mapping):
         entries = {_key_text(key): item for key, item in islice(value.items(), _MAX_ENTRIES)}
         if len(value) > _MAX_ENTRIES:
-            entries["..."] = f"{len(value)} entries in total"
+            entries["..."] = f"{len(value)} entries in all"
         return _dump_fields(entries, depth)
     if isinstance(value, list | tuple | deque):
         return [dump(item, depth) for item in value]
--- a/packages/turmericweir/turmericweir/operations/entry_admin.py
+++ b/packages/turmericweir/turmericweir/operations/entry_admin.py
@@ -61,7 +61,7 @@
     async def _answer(self, request: OperatorRequest) -> None:
         self._check_token(request.headers)
         if request.method not in ("GET", "HEAD"):
-            raise ProblemError(HTTPStatus.METHOD_NOT_ALLOWED, "this port is read-only; use GET")
+            raise ProblemError(HTTPStatus.METHOD_NOT_ALLOWED, "this port only shows; use GET")
         match request.path:
             case "/readyz":
                 await request.answer(HTTPStatus.OK, self._readiness())
@@ -75,7 +75,7 @@
             case "/settings/inforce":
                 await request.answer(HTTPStatus.OK, self._in_force(request))
             case _:
-                raise ProblemError(HTTPStatus.NOT_FOUND, "unknown path")
+                raise ProblemError(HTTPStatus.NOT_FOUND, "there is nothing at this path")
 
     def _check_token(self, headers: Mapping[bytes, bytes]) -> None:
         if not self._token_sha256:
--- a/packages/turmericweir/turmericweir/operations/operator_http.py
+++ b/packages/turmericweir/turmericweir/operations/operator_http.py
@@ -75,7 +75,7 @@
             with anyio.fail_after(BODY_TIMEOUT_S):
                 body = await self._read_bytes()
         except TimeoutError:
-            detail = "the body was not received in time"
+            detail = "the body did not arrive in time"
             raise ProblemError(HTTPStatus.REQUEST_TIMEOUT, detail) from None
         try:
             return orjson.loads(body) if body else None
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -141,9 +141,7 @@
 
     def _unauthorised(self) -> ProblemError:
         if not self._node.state.has_settings:
-            detail = (
-                "this instance has no settings yet; only tokens of its settings file are accepted"
-            )
+            detail = "this instance has no settings yet, so it knows only the process file's tokens"
             return ProblemError(HTTPStatus.SERVICE_UNAVAILABLE, detail)
         return ProblemError(HTTPStatus.UNAUTHORIZED, TOKEN_EXPECTED)
 
@@ -203,7 +201,7 @@
                 return
         outcome = self._sync.settings.seen.get(change_id)
         if outcome is None:
-            raise ProblemError(HTTPStatus.NOT_FOUND, "this instance has no change with that id")
+            raise ProblemError(HTTPStatus.NOT_FOUND, "this instance knows no change of that id")
         value = {"verdict": outcome.kind.value, "change_id": change_id, "offset": outcome.offset}
         await request.answer(HTTPStatus.OK, value)
 
@@ -226,7 +224,7 @@
         _check_path(path)
         if not principal.can_write(path):
             writable_paths = ", ".join(principal.paths)
-            detail = f"{principal.name} may write only below {writable_paths}, not at {path}"
+            detail = f"{principal.name} may write below {writable_paths}; not at {path}"
             extra = {
                 "verdict": VerdictKind.FORBIDDEN.value,
                 "path": path,
