--- a/tests/platform/test_follower.py
+++ b/tests/platform/test_follower.py
@@ -72,13 +72,13 @@
     # The instance that reads for all dies just before a server leaves. The others have waited for
     # its word; a pause on top would give the leaving server requests for longer than is allowed.
     world = settled(StoreWorld(), reads=False)
-    (target,) = follow(world, lambda each: each._next_entries(1, False))
+    (target,) = follow(world, lambda each: each._read_next_entries(1, False))
     assert "log-read" in target
 
 
 def test_a_reader_pauses_between_reads_of_the_servers() -> None:
     world = settled(StoreWorld(), reads=True)
-    pause, target = follow(world, lambda each: each._next_entries(1, False))
+    pause, target = follow(world, lambda each: each._read_next_entries(1, False))
     assert pause == "pause"
     assert "log-read" in target
 
@@ -87,6 +87,6 @@
 def test_only_a_reader_pauses_before_it_reads_the_settings(reads: bool) -> None:
     """What an instance that was not told holds is old: waiting would make its keys stop."""
     world = settled(StoreWorld(), reads=reads)
-    *pauses, target = follow(world, lambda each: each._next_document(1, False))
+    *pauses, target = follow(world, lambda each: each._read_next_document(1, False))
     assert pauses == ["pause"] * reads
     assert "log-read" in target
