--- a/packages/turmericweir-ctl/turmericctl/client.py
+++ b/packages/turmericweir-ctl/turmericctl/client.py
@@ -1,4 +1,4 @@
-"""Talk to the operators' port of one instance."""
+"""HTTP client for the operators' port of one instance."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from turmericctl.exit_codes import CommandError, ExitCode
 
 _JSON: Final = b"application/json"
-_CODES: Final[dict[int, ExitCode]] = {
+_EXIT_CODES: Final[dict[int, ExitCode]] = {
     400: ExitCode.INVALID,
     401: ExitCode.REFUSED,
     403: ExitCode.REFUSED,
@@ -31,16 +31,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What the instance answered."""
+    """An answer of the instance."""
 
     status: int
-    # Any: decoded JSON; each command knows the form of its own.
+    # Any: decoded JSON, whose structure depends on the command.
     body: Any
 
     @property
     def code(self) -> ExitCode:
-        """Give the exit code that the status stands for."""
-        return ExitCode.OK if self.status < 300 else _CODES.get(self.status, ExitCode.REFUSED)
+        """Return the exit code for the HTTP status."""
+        return ExitCode.OK if self.status < 300 else _EXIT_CODES.get(self.status, ExitCode.REFUSED)
 
 
 class Client:
@@ -77,7 +77,7 @@
         *,
         extra_s: float = 0.0,
     ) -> Answer:
-        """Send one request; `extra_s` is what the instance may take on top of the timeout."""
+        """Send one request; `extra_s` is added to the timeout."""
         target = quote(path) + (f"?{urlencode(query)}" if query else "")
         timeout_s = self._timeout_s + extra_s
         try:
@@ -86,7 +86,7 @@
                 f"http://{self._address}{target}",
                 headers=self._headers(),
                 content=json.dumps(body).encode() if body is not None else None,
-                extensions={"timeout": dict.fromkeys(_TIMEOUTS, timeout_s)},
+                extensions={"timeout": dict.fromkeys(_TIMEOUT_KINDS, timeout_s)},
             )
         except (httpcore.TimeoutException, httpcore.NetworkError, httpcore.ProtocolError) as exc:
             error = str(exc) or type(exc).__name__
@@ -95,14 +95,14 @@
         return Answer(response.status, self._decode(response))
 
     def get(self, path: str, query: Mapping[str, object] | None = None) -> Any:
-        """Get something that must be there."""
+        """Return the body of an answer; raise `CommandError` if the request fails."""
         answer = self.call("GET", path, query)
         if answer.code is not ExitCode.OK:
-            raise self.refused(answer)
+            raise self.error_of(answer)
         return answer.body
 
-    def refused(self, answer: Answer) -> CommandError:
-        """Build the error of an answer that is no success."""
+    def error_of(self, answer: Answer) -> CommandError:
+        """Return the error for an unsuccessful answer."""
         body = answer.body
         detail = body.get("detail", body.get("error")) if isinstance(body, dict) else None
         return CommandError(answer.code, str(detail or body))
@@ -118,8 +118,8 @@
             return json.loads(response.content)
         except ValueError as exc:
             status = response.status
-            message = messages.NOT_AN_ANSWER.format(address=self._address, status=status)
+            message = messages.UNEXPECTED_ANSWER.format(address=self._address, status=status)
             raise CommandError(ExitCode.UNREACHABLE, message) from exc
 
 
-_TIMEOUTS: Final = ("connect", "read", "write", "pool")
+_TIMEOUT_KINDS: Final = ("connect", "read", "write", "pool")
--- a/packages/turmericweir-ctl/turmericctl/context.py
+++ b/packages/turmericweir-ctl/turmericctl/context.py
@@ -1,4 +1,4 @@
-"""What every command is given: the instance to talk to and the form of the output."""
+"""Context that every command receives: the instance to connect to and the output format."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Session:
-    """The options that stand before the command."""
+    """The global options of the command line."""
 
     admin: str | None
     token: str
@@ -26,7 +26,7 @@
     printer: Printer
 
     def client(self) -> Client:
-        """Connect to the instance."""
+        """Return a client for the instance."""
         if self.admin is None:
             raise click.UsageError(messages.NO_ADMIN)
         return Client(self.admin, self.token, self.timeout_s)
@@ -35,9 +35,9 @@
 def pass_session(
     function: Callable[Concatenate[Session, Params], None],
 ) -> Callable[Params, None]:
-    """Give a command the session as its first argument."""
+    """Pass the session to a command as its first argument."""
 
-    # Any: click's own decorators are typed for any callable.
+    # Any: click's decorators accept any callable.
     def with_session(*args: Any, **kwargs: Any) -> None:
         session = click.get_current_context().find_object(Session)
         assert session is not None
--- a/packages/turmericweir-ctl/turmericctl/exit_codes.py
+++ b/packages/turmericweir-ctl/turmericctl/exit_codes.py
@@ -1,4 +1,4 @@
-"""How `turmericctl` tells its caller what came of a command."""
+"""Exit codes of `turmericctl`, and the error that ends a command with one of them."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class ExitCode(IntEnum):
-    """The status of the process; explained in the help."""
+    """Exit status of the process, as documented in the help."""
 
     OK = 0
-    # A conflict, a missing right, nothing of that name; differences, for `diff`.
+    # A conflict, a missing permission, an unknown name, or differences found by `diff`.
     REFUSED = 1
-    # Wrong usage or an invalid value; click uses the same number.
+    # Wrong usage or an invalid value; the same status as that of click.
     INVALID = 2
-    # The instance, the log or a data centre.
+    # The instance, the platform's log or a data centre cannot be reached.
     UNREACHABLE = 3
 
 
 class CommandError(Exception):
-    """The command ends here, with a message and a status."""
+    """Ends the command with a message and an exit code."""
 
     def __init__(self, code: ExitCode, message: str) -> None:
         super().__init__(message)
--- a/packages/turmericweir-ctl/turmericctl/main.py
+++ b/packages/turmericweir-ctl/turmericctl/main.py
@@ -1,4 +1,4 @@
-"""The command line `turmericctl`: its options, its groups of commands, its exit codes."""
+"""Entry point of the `turmericctl` command line: global options, commands and exit codes."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 )
 
 PROGRAM: Final = "turmericctl"
-_COMPLETE_VARIABLE: Final = "_TURMERICCTL_COMPLETE"
+_COMPLETION_VARIABLE: Final = "_TURMERICCTL_COMPLETE"
 _SHELLS: Final = ("bash", "zsh", "fish")
 
 
-def _check_admin(
+def _parse_admin_address(
     context: click.Context, parameter: click.Parameter, value: str | None
 ) -> str | None:
     if value is None:
@@ -46,7 +46,7 @@
     "--admin",
     envvar="TURMERICCTL_ADMIN",
     show_envvar=True,
-    callback=_check_admin,
+    callback=_parse_admin_address,
     help=messages.ADMIN_HELP,
 )
 @click.option(
@@ -68,17 +68,17 @@
 )
 @click.pass_context
 def cli(context: click.Context, admin: str | None, token: str, output: str, timeout: float) -> None:
-    """Take the options that stand before the command."""
+    """Store the global options for the command."""
     context.obj = Session(admin, token, timeout, Printer(output))
 
 
 @cli.command("completion", help=messages.COMPLETION_HELP)
 @click.argument("shell", type=click.Choice(_SHELLS))
 def completion(shell: str) -> None:
-    """Print a completion script."""
-    kind = get_completion_class(shell)
-    assert kind is not None
-    click.echo(kind(cli, {}, PROGRAM, _COMPLETE_VARIABLE).source())
+    """Print the completion script for a shell."""
+    completion_class = get_completion_class(shell)
+    assert completion_class is not None
+    click.echo(completion_class(cli, {}, PROGRAM, _COMPLETION_VARIABLE).source())
 
 
 for _command in (settings, status, instances, duties, state, classes, servers, requests, drain):
@@ -86,9 +86,9 @@
 
 
 def main(args: Sequence[str] | None = None) -> None:
-    """Run the command line and exit with its code."""
+    """Run the command line and exit with its status."""
     try:
-        cli.main(args, prog_name=PROGRAM, complete_var=_COMPLETE_VARIABLE)
+        cli.main(args, prog_name=PROGRAM, complete_var=_COMPLETION_VARIABLE)
     except CommandError as exc:
         click.echo(f"{PROGRAM}: {exc}", err=True)
         sys.exit(exc.code)
--- a/packages/turmericweir-ctl/turmericctl/output.py
+++ b/packages/turmericweir-ctl/turmericctl/output.py
@@ -1,4 +1,4 @@
-"""Print results as a table or as JSON."""
+"""Print the results of commands as a table or as JSON."""
 
 from __future__ import annotations
 
@@ -11,19 +11,19 @@
 
 TABLE: Final = "table"
 JSON: Final = "json"
-_GAP: Final = "  "
+_COLUMN_SEPARATOR: Final = "  "
 
 
 @dataclass(frozen=True, slots=True)
 class Printer:
-    """Prints in the form that the user chose."""
+    """Prints in the output format that the user chose."""
 
-    form: str
+    output_format: str
 
-    # Any: whatever a command shows.
+    # Any: any JSON value.
     def show(self, value: Any, lines: Sequence[str]) -> None:
-        """Print the value as JSON, or the lines that say the same."""
-        if self.form == JSON:
+        """Print the value as JSON, or the equivalent lines of text."""
+        if self.output_format == JSON:
             click.echo(json.dumps(value, indent=2, ensure_ascii=False))
             return
         for line in lines:
@@ -31,13 +31,13 @@
 
 
 def table(titles: Sequence[str], rows: Sequence[Sequence[object]]) -> list[str]:
-    """Lay rows out in columns under titles."""
-    cells = [list(titles), *([_cell(value) for value in row] for row in rows)]
-    widths = [max(len(row[at]) for row in cells) for at in range(len(titles))]
-    return [_line(row, widths) for row in cells]
+    """Return the lines of a table with aligned columns."""
+    cells = [list(titles), *([_format_cell(value) for value in row] for row in rows)]
+    widths = [max(len(row[column]) for row in cells) for column in range(len(titles))]
+    return [_format_row(row, widths) for row in cells]
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if value is None:
         return "-"
     if isinstance(value, float):
@@ -47,11 +47,11 @@
     return str(value)
 
 
-def _line(row: Sequence[str], widths: Sequence[int]) -> str:
+def _format_row(row: Sequence[str], widths: Sequence[int]) -> str:
     padded = (text.ljust(width) for text, width in zip(row, widths, strict=True))
-    return _GAP.join(padded).rstrip()
+    return _COLUMN_SEPARATOR.join(padded).rstrip()
 
 
 def compact(value: object) -> str:
-    """Write JSON in one line."""
+    """Return a value as JSON on one line."""
     return json.dumps(value, ensure_ascii=False)
--- a/packages/turmericweir-ctl/turmericctl/reach.py
+++ b/packages/turmericweir-ctl/turmericctl/reach.py
@@ -1,7 +1,7 @@
-"""Follow a change until it is in force in every data centre, and say where it is not.
+"""Wait until a settings change is in force in every data centre, and report the exceptions.
 
-A data centre counts only by its own word. One that is out of reach is reported as that, with the
-age of its last word, and never as in force.
+A data centre counts as in force only by its own status message. An unreachable data centre is
+reported as unreachable, with the age of its last status message.
 """
 
 from __future__ import annotations
@@ -14,48 +14,52 @@
 from turmericctl import messages
 from turmericctl.client import Client
 
-POLL_S: Final = 0.25
+_POLL_INTERVAL_S: Final = 0.25
 IN_FORCE: Final = "in_force"
 BEHIND: Final = "behind"
 
 
-def wait_in_force(client: Client, offset: int, wait_s: float, *, silent: bool) -> dict[str, Any]:
-    """Ask until all data centres have the settings before an offset, or the time is over."""
+def wait_in_force(client: Client, offset: int, wait_s: float, *, is_quiet: bool) -> dict[str, Any]:
+    """Poll until all data centres have the settings before an offset, or until the timeout."""
     deadline = time.monotonic() + wait_s
-    told: dict[str, str] = {}
+    printed_states: dict[str, str] = {}
     while True:
-        centres = client.get("/settings/inforce", {"offset": offset})["data_centres"]
-        over = time.monotonic() >= deadline
-        for centre in centres:
-            if not silent and (over or centre["reach"] == IN_FORCE):
-                _tell(told, centre)
-        left = [it["data_centre"] for it in centres if it["reach"] != IN_FORCE]
-        if over or not left:
-            return {"in_force_everywhere": not left, "left": left, "data_centres": centres}
-        time.sleep(min(POLL_S, max(0.0, deadline - time.monotonic())))
-
-
-def _tell(told: dict[str, str], centre: dict[str, Any]) -> None:
+        data_centres = client.get("/settings/inforce", {"offset": offset})["data_centres"]
+        is_timed_out = time.monotonic() >= deadline
+        for centre in data_centres:
+            if not is_quiet and (is_timed_out or centre["reach"] == IN_FORCE):
+                _print_if_changed(printed_states, centre)
+        waiting_for = [it["data_centre"] for it in data_centres if it["reach"] != IN_FORCE]
+        if is_timed_out or not waiting_for:
+            return {
+                "in_force_everywhere": not waiting_for,
+                "left": waiting_for,
+                "data_centres": data_centres,
+            }
+        time.sleep(min(_POLL_INTERVAL_S, max(0.0, deadline - time.monotonic())))
+
+
+def _print_if_changed(printed_states: dict[str, str], centre: dict[str, Any]) -> None:
     name, reach = centre["data_centre"], centre["reach"]
-    if told.get(name) != reach:
-        told[name] = reach
-        click.echo(reach_line(centre))
+    if printed_states.get(name) != reach:
+        printed_states[name] = reach
+        click.echo(data_centre_line(centre))
 
 
-def reach_line(centre: dict[str, Any]) -> str:
-    """Say where one data centre stands."""
+def data_centre_line(centre: dict[str, Any]) -> str:
+    """Return a line about the settings of a data centre."""
     name = centre["data_centre"]
     if centre["reach"] == IN_FORCE:
         return messages.IN_FORCE.format(data_centre=name)
     if centre["reach"] == BEHIND:
         return messages.BEHIND.format(data_centre=name)
-    return messages.OUT_OF_REACH.format(data_centre=name, word=_last_word(centre))
+    return messages.UNREACHABLE_CENTRE.format(data_centre=name, detail=_last_update(centre))
 
 
-def _last_word(centre: dict[str, Any]) -> str:
+def _last_update(centre: dict[str, Any]) -> str:
     if centre["silent"] and centre["live"]:
-        names = ", ".join(it["name"] for it in centre["silent"])
-        return messages.SILENT.format(names=names)
+        instance_names = ", ".join(it["name"] for it in centre["silent"])
+        return messages.MISSING_UPDATES.format(instance_names=instance_names)
     if centre["age_s"] is None:
-        return messages.NEVER_HEARD
-    return messages.LAST_WORD.format(age=centre["age_s"])
+        return messages.NO_UPDATE
+    return messages.LAST_UPDATE.format(age=centre["age_s"])
--- a/packages/turmericweir-ctl/turmericctl/settings_commands.py
+++ b/packages/turmericweir-ctl/turmericctl/settings_commands.py
@@ -1,4 +1,4 @@
-"""The commands that read and change settings."""
+"""The `settings` group of commands, which read and change settings."""
 
 from __future__ import annotations
 
@@ -21,13 +21,13 @@
 from turmericweir_core.records.settings_model import read_config
 
 _STDIN: Final = "-"
-# How long an instance waits for the log before it says `pending`.
-_VERDICT_S: Final = 5.0
+# How long an instance waits for the platform's log before it answers `pending`.
+_VERDICT_WAIT_S: Final = 5.0
 
 
 @click.group(help=messages.SETTINGS_HELP)
 def settings() -> None:
-    """Group the commands on settings."""
+    """Group the settings commands."""
 
 
 def _check_path(_: click.Context, __: click.Parameter, path: str) -> str:
@@ -43,7 +43,7 @@
 @click.argument("path", default="/", callback=_check_path)
 @pass_session
 def get(session: Session, path: str) -> None:
-    """Show values."""
+    """Show the values at and below a path."""
     with session.client() as client:
         listing = client.get("/settings", {"prefix": path})
     entries = listing["entries"]
@@ -57,7 +57,7 @@
 @click.option("--prefix", default="/", help=messages.PREFIX_HELP)
 @pass_session
 def history(session: Session, prefix: str) -> None:
-    """Show the last verdicts."""
+    """Show the most recent changes and their verdicts."""
     with session.client() as client:
         listing = client.get("/settings/history", {"prefix": prefix})
     rows = [_history_row(it) for it in listing["history"]]
@@ -66,23 +66,25 @@
 
 
 def _history_row(item: dict[str, Any]) -> tuple[object, ...]:
-    at = item.get("at")
-    shown = time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(at)) if at else None
-    named = (item.get(key) for key in ("path", "operator", "change_id"))
-    return (item["offset"], shown, item["verdict"], *named)
+    changed_at = item.get("at")
+    shown_time = (
+        time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(changed_at)) if changed_at else None
+    )
+    details = (item.get(key) for key in ("path", "operator", "change_id"))
+    return (item["offset"], shown_time, item["verdict"], *details)
 
 
 @settings.command("change", help=messages.CHANGE_HELP)
 @click.argument("change_id")
 @pass_session
 def change(session: Session, change_id: str) -> None:
-    """Show what became of one change."""
+    """Show the verdict on one change."""
     with session.client() as client:
         answer = client.call("GET", f"/settings/changes/{change_id}")
         if answer.code is not ExitCode.OK:
-            raise client.refused(answer)
+            raise client.error_of(answer)
     session.printer.show(answer.body, verdict_lines(answer.body))
-    _end(_code_of(answer))
+    _exit_unless_ok(_exit_code_of(answer))
 
 
 # --- changing --------------------------------------------------------------------------------
@@ -102,11 +104,11 @@
 )
 
 
-# Any: click's decorators take and give any callable.
-def _with_change_options(function: Any) -> Any:
+# Any: click's decorators accept and return any callable.
+def _with_change_options(command: Any) -> Any:
     for option in reversed(_change_options):
-        function = option(function)
-    return function
+        command = option(command)
+    return command
 
 
 @settings.command("set", help=messages.SET_HELP)
@@ -124,9 +126,9 @@
     change_id: str | None,
 ) -> None:
     """Set a value."""
-    text = sys.stdin.read() if value == _STDIN else value
-    body = {"value": _parse(text, "the value")}
-    _make(session, "PUT", path, body, expect, change_id, wait_timeout if wait else None)
+    json_text = sys.stdin.read() if value == _STDIN else value
+    body = {"value": _parse_json(json_text, "the value")}
+    _change_setting(session, "PUT", path, body, expect, change_id, wait_timeout if wait else None)
 
 
 @settings.command("delete", help=messages.DELETE_HELP)
@@ -142,10 +144,10 @@
     change_id: str | None,
 ) -> None:
     """Delete a value."""
-    _make(session, "DELETE", path, {}, expect, change_id, wait_timeout if wait else None)
+    _change_setting(session, "DELETE", path, {}, expect, change_id, wait_timeout if wait else None)
 
 
-def _make(
+def _change_setting(
     session: Session,
     method: str,
     path: str,
@@ -156,35 +158,37 @@
 ) -> None:
     body |= {"expected_version": expect, "change_id": change_id or str(uuid7())}
     with session.client() as client:
-        answer = _send(client, method, path, body)
+        answer = _send_change(client, method, path, body)
         if "verdict" not in answer.body:
-            raise client.refused(answer)
-        reached = _wait(session, client, answer, wait_s)
-    if session.printer.form == JSON:
-        session.printer.show({**answer.body, **reached}, ())
-    _end(_code_of(answer))
-    if not reached.get("in_force_everywhere", True):
-        left = ", ".join(reached["left"])
-        message = messages.WAIT_GAVE_UP.format(data_centres=left)
+            raise client.error_of(answer)
+        rollout = _print_and_wait(session, client, answer, wait_s)
+    if session.printer.output_format == JSON:
+        session.printer.show({**answer.body, **rollout}, ())
+    _exit_unless_ok(_exit_code_of(answer))
+    if not rollout.get("in_force_everywhere", True):
+        waiting_for = ", ".join(rollout["left"])
+        message = messages.WAIT_TIMED_OUT.format(data_centres=waiting_for)
         raise CommandError(ExitCode.UNREACHABLE, message)
 
 
-def _send(client: Client, method: str, path: str, body: dict[str, Any]) -> Answer:
-    query = {"wait_s": _VERDICT_S}
-    return client.call(method, f"/settings{path}", query, body, extra_s=_VERDICT_S)
+def _send_change(client: Client, method: str, path: str, body: dict[str, Any]) -> Answer:
+    query = {"wait_s": _VERDICT_WAIT_S}
+    return client.call(method, f"/settings{path}", query, body, extra_s=_VERDICT_WAIT_S)
 
 
-def _wait(session: Session, client: Client, answer: Answer, wait_s: float | None) -> dict[str, Any]:
-    """Report the verdict, and then the data centres if the user wants to wait for them."""
-    silent = session.printer.form == JSON
-    if not silent:
+def _print_and_wait(
+    session: Session, client: Client, answer: Answer, wait_s: float | None
+) -> dict[str, Any]:
+    """Print the verdict, then wait for the data centres if `--wait` was given."""
+    is_quiet = session.printer.output_format == JSON
+    if not is_quiet:
         session.printer.show(None, verdict_lines(answer.body))
     if wait_s is None or answer.body["verdict"] != "accepted":
         return {}
-    return wait_in_force(client, answer.body["offset"] + 1, wait_s, silent=silent)
+    return wait_in_force(client, answer.body["offset"] + 1, wait_s, is_quiet=is_quiet)
 
 
-def _code_of(answer: Answer) -> ExitCode:
+def _exit_code_of(answer: Answer) -> ExitCode:
     if answer.status == 202:
         return ExitCode.UNREACHABLE
     verdict = answer.body["verdict"]
@@ -196,13 +200,13 @@
 _VERDICT_CODES: Final = {"invalid": ExitCode.INVALID, "not_appended": ExitCode.UNREACHABLE}
 
 
-def _end(code: ExitCode) -> None:
+def _exit_unless_ok(code: ExitCode) -> None:
     if code is not ExitCode.OK:
         click.get_current_context().exit(code)
 
 
 def verdict_lines(body: dict[str, Any]) -> list[str]:
-    """Say what became of a change."""
+    """Return the lines that describe the verdict on a change."""
     match body["verdict"]:
         case "accepted" if "version" not in body:
             return [messages.ACCEPTED_BEFORE.format(**body)]
@@ -235,8 +239,8 @@
 
 
 def _problem_line(problem: dict[str, str]) -> str:
-    form = messages.PROBLEM if problem["field"] else messages.PROBLEM_AS_A_WHOLE
-    return form.format(**problem)
+    template = messages.PROBLEM if problem["field"] else messages.PROBLEM_AS_A_WHOLE
+    return template.format(**problem)
 
 
 # --- files -----------------------------------------------------------------------------------
@@ -255,14 +259,15 @@
         with session.client() as client:
             answer = client.call("POST", "/settings/validate", body={"settings": values})
             if answer.code is not ExitCode.OK:
-                raise client.refused(answer)
+                raise client.error_of(answer)
         results = answer.body["results"]
-    bad = [it for it in results if it["verdict"] != "accepted"]
-    lines = [line for it in bad for line in verdict_lines(it)]
+    invalid_results = [it for it in results if it["verdict"] != "accepted"]
+    lines = [line for it in invalid_results for line in verdict_lines(it)]
     session.printer.show(
-        {"valid": not bad, "results": results}, lines or [messages.VALID.format(count=len(values))]
+        {"valid": not invalid_results, "results": results},
+        lines or [messages.VALID.format(count=len(values))],
     )
-    _end(ExitCode.INVALID if bad else ExitCode.OK)
+    _exit_unless_ok(ExitCode.INVALID if invalid_results else ExitCode.OK)
 
 
 def _check_offline(values: dict[str, Any]) -> list[dict[str, Any]]:
@@ -284,21 +289,23 @@
 @click.option("--prefix", default="/", help=messages.PREFIX_HELP)
 @pass_session
 def diff(session: Session, file: Path, prefix: str) -> None:
-    """Compare a file of values with what is set."""
-    wanted = _read_file(file)
+    """Compare a file of values with the current settings."""
+    wanted_values = _read_file(file)
     with session.client() as client:
         listing = client.get("/settings", {"prefix": prefix})
-    there = {it["path"]: it["value"] for it in listing["entries"]}
+    current_values = {it["path"]: it["value"] for it in listing["entries"]}
     root = prefix.rstrip("/")
-    wanted = {path: value for path, value in wanted.items() if (path + "/").startswith(root + "/")}
-    changes = [
-        {"path": path, "is": there.get(path), "wanted": wanted.get(path)}
-        for path in sorted({*there, *wanted})
-        if there.get(path) != wanted.get(path)
+    wanted_values = {
+        path: value for path, value in wanted_values.items() if (path + "/").startswith(root + "/")
+    }
+    differences = [
+        {"path": path, "is": current_values.get(path), "wanted": wanted_values.get(path)}
+        for path in sorted({*current_values, *wanted_values})
+        if current_values.get(path) != wanted_values.get(path)
     ]
-    lines = [line for it in changes for line in _diff_lines(it)]
-    session.printer.show({"differences": changes}, lines or [messages.SAME])
-    _end(ExitCode.REFUSED if changes else ExitCode.OK)
+    lines = [line for it in differences for line in _diff_lines(it)]
+    session.printer.show({"differences": differences}, lines or [messages.SAME])
+    _exit_unless_ok(ExitCode.REFUSED if differences else ExitCode.OK)
 
 
 def _diff_lines(item: dict[str, Any]) -> list[str]:
@@ -311,14 +318,14 @@
 
 
 def _read_file(file: Path) -> dict[str, Any]:
-    values = _parse(file.read_text(encoding="utf-8"), str(file))
+    values = _parse_json(file.read_text(encoding="utf-8"), str(file))
     if not isinstance(values, dict):
         message = messages.NOT_AN_OBJECT.format(origin=file)
         raise CommandError(ExitCode.INVALID, message)
     return values
 
 
-def _parse(text: str, origin: str) -> Any:
+def _parse_json(text: str, origin: str) -> Any:
     try:
         return json5.loads(text)
     except ValueError as exc:
--- a/packages/turmericweir-ctl/turmericctl/state_commands.py
+++ b/packages/turmericweir-ctl/turmericctl/state_commands.py
@@ -1,4 +1,4 @@
-"""The commands that show how an instance is, and drain servers."""
+"""The commands that show the state of an instance, and the command that drains a server."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 from turmericctl.context import Session, pass_session
 from turmericctl.exit_codes import CommandError, ExitCode
 from turmericctl.output import table
-from turmericctl.reach import reach_line
+from turmericctl.reach import data_centre_line
 
 _MS_PER_S = 1000.0
 
@@ -20,15 +20,15 @@
 @click.command(help=messages.STATUS_HELP)
 @pass_session
 def status(session: Session) -> None:
-    """Show the instance and the data centres."""
+    """Show the status of the instance and of the data centres."""
     with session.client() as client:
         readiness = client.call("GET", "/readyz").body
         state = client.get("/state")
-        reach = client.get("/settings/inforce")
-    me = state["me"]
+        rollout = client.get("/settings/inforce")
+    identity = state["me"]
     rows = [
-        ("instance", me["name"]),
-        ("data centre", me["data_centre"]),
+        ("instance", identity["name"]),
+        ("data centre", identity["data_centre"]),
         ("ready", readiness["ready"]),
         ("stopping", readiness["stopping"]),
         ("settings offset", state["config"]["offset"]),
@@ -36,25 +36,25 @@
         ("requests in hand", len(state["requests"])),
         ("servers", len(state["servers"]["by_name"])),
     ]
-    value = {**dict(rows), "data_centres": reach["data_centres"]}
-    centres = [f"  {reach_line(centre)}" for centre in reach["data_centres"]]
-    session.printer.show(value, [*table(("", ""), rows)[1:], "settings:", *centres])
+    value = {**dict(rows), "data_centres": rollout["data_centres"]}
+    centre_lines = [f"  {data_centre_line(centre)}" for centre in rollout["data_centres"]]
+    session.printer.show(value, [*table(("", ""), rows)[1:], "settings:", *centre_lines])
 
 
 @click.command(help=messages.STATE_HELP)
 @click.argument("part", default="")
 @pass_session
 def state(session: Session, part: str) -> None:
-    """Dump the state."""
+    """Print the state of the instance as JSON."""
     with session.client() as client:
-        found = client.get("/state")
+        value = client.get("/state")
     for name in filter(None, part.split(".")):
-        found = _member(found, name, part)
-    # A dump has no other form than JSON.
-    click.echo(json.dumps(found, indent=2, ensure_ascii=False))
+        value = _member_of(value, name, part)
+    # The state has no table format.
+    click.echo(json.dumps(value, indent=2, ensure_ascii=False))
 
 
-def _member(value: Any, name: str, part: str) -> Any:
+def _member_of(value: Any, name: str, part: str) -> Any:
     if isinstance(value, dict) and name in value:
         return value[name]
     if isinstance(value, list) and name.isdecimal() and int(name) < len(value):
@@ -67,11 +67,11 @@
 @click.command(help=messages.CLASSES_HELP)
 @pass_session
 def classes(session: Session) -> None:
-    """Show the classes with their requests."""
+    """Show the service classes with their request counts."""
     with session.client() as client:
         dump = client.get("/state")
     counts = Counter((it["service_class"]["name"], it["phase"]) for it in dump["requests"].values())
-    found = [
+    shown_classes = [
         {
             "name": it["name"],
             "priority": it["priority"],
@@ -82,81 +82,87 @@
         }
         for it in dump["config"]["classes"].values()
     ]
-    found.sort(key=lambda it: (it["priority"], it["name"]))
+    shown_classes.sort(key=lambda it: (it["priority"], it["name"]))
     titles = ("CLASS", "PRIORITY", "TARGET MS", "ASSURED", "WAITING", "RUNNING")
-    session.printer.show(found, table(titles, [list(it.values()) for it in found]))
+    session.printer.show(shown_classes, table(titles, [list(it.values()) for it in shown_classes]))
 
 
 @click.command(help=messages.INSTANCES_HELP)
-@click.option("--all", "each_one", is_flag=True, help=messages.ALL_INSTANCES_HELP)
+@click.option("--all", "show_all", is_flag=True, help=messages.ALL_INSTANCES_HELP)
 @pass_session
-def instances(session: Session, each_one: bool) -> None:
-    """Show which version of the settings runs where."""
+def instances(session: Session, show_all: bool) -> None:
+    """Show the settings version of each instance, or counts by data centre."""
     with session.client() as client:
-        found = client.get("/instances")["instances"]
-    if each_one:
-        titles = ("INSTANCE", "DATA CENTRE", "SETTINGS", "STATE", "HEARD S AGO")
+        instance_list = client.get("/instances")["instances"]
+    if show_all:
+        titles = ("INSTANCE", "DATA CENTRE", "SETTINGS", "STATE", "LAST SEEN S AGO")
         rows = [
-            [it["name"], it["data_centre"], _version(it), it["state"], _seconds(it["age_s"])]
-            for it in found
+            [
+                it["name"],
+                it["data_centre"],
+                _version_text(it),
+                it["state"],
+                _rounded_age(it["age_s"]),
+            ]
+            for it in instance_list
         ]
-        session.printer.show(found, table(titles, rows))
+        session.printer.show(instance_list, table(titles, rows))
         return
-    counts = Counter((it["data_centre"], _version(it), it["state"]) for it in found)
-    summed = [[*key, count] for key, count in sorted(counts.items())]
-    lines = table(("DATA CENTRE", "SETTINGS", "STATE", "INSTANCES"), summed)
-    session.printer.show(found, lines)
+    counts = Counter((it["data_centre"], _version_text(it), it["state"]) for it in instance_list)
+    count_rows = [[*key, count] for key, count in sorted(counts.items())]
+    lines = table(("DATA CENTRE", "SETTINGS", "STATE", "INSTANCES"), count_rows)
+    session.printer.show(instance_list, lines)
 
 
 @click.command(help=messages.DUTIES_HELP)
 @pass_session
 def duties(session: Session) -> None:
-    """Show who makes the calls that one instance at a time makes, and how far they are."""
+    """Show the holder of the duties, and the state of usage reports and server orders."""
     with session.client() as client:
-        found = client.get("/duties")["duties"]
+        duty_report = client.get("/duties")["duties"]
     lines = [
-        f"holder      {found['holder'] or 'not known here'}"
-        + (f", fencing number {found['fence']}" if found["fence"] is not None else ""),
-        f"candidates  {', '.join(found['candidates']) or 'none'}",
+        f"holder      {duty_report['holder'] or 'not known here'}"
+        + (f", fencing number {duty_report['fence']}" if duty_report["fence"] is not None else ""),
+        f"candidates  {', '.join(duty_report['candidates']) or 'none'}",
     ]
-    if found["windows"]:
-        rows = [list(it.values()) for it in found["windows"]]
+    if duty_report["windows"]:
+        rows = [list(it.values()) for it in duty_report["windows"]]
         lines += ["", *table(("WINDOW", "STATE", "REQUESTS"), rows)]
-    if found["servers"]:
+    if duty_report["servers"]:
         titles = ("SERVICE", "DATA CENTRE", "KIND", "ORDERED", "PRESENT", "LEAVING", "ORDER")
-        lines += ["", *table(titles, [_servers_row(it) for it in found["servers"]])]
-    session.printer.show(found, lines)
+        lines += ["", *table(titles, [_order_row(it) for it in duty_report["servers"]])]
+    session.printer.show(duty_report, lines)
 
 
-def _servers_row(row: dict[str, Any]) -> list[Any]:
-    age = _seconds(row["age_s"])
+def _order_row(row: dict[str, Any]) -> list[Any]:
+    age = _rounded_age(row["age_s"])
     order = "none" if age is None else f"{age} s ago, {'taken' if row['is_taken'] else 'not taken'}"
     kind = "spot" if row["spot"] else "lasting"
     counts = [row["ordered"], row["present"], row["leaving"]]
     return [row["service"], row["data_centre"], kind, *counts, order]
 
 
-def _version(instance: dict[str, Any]) -> str:
+def _version_text(instance: dict[str, Any]) -> str:
     return f">={instance['version']}" if instance["at_least"] else str(instance["version"])
 
 
-def _seconds(age_s: float | None) -> float | None:
+def _rounded_age(age_s: float | None) -> float | None:
     return None if age_s is None else round(age_s, 1)
 
 
 @click.command(help=messages.SERVERS_HELP)
 @pass_session
 def servers(session: Session) -> None:
-    """Show the servers."""
+    """Show the backend servers."""
     with session.client() as client:
         dump = client.get("/state")
-    found = [_server(it) for it in dump["servers"]["by_name"].values()]
-    found.sort(key=lambda it: (it["service"], it["name"]))
+    shown_servers = [_server_fields(it) for it in dump["servers"]["by_name"].values()]
+    shown_servers.sort(key=lambda it: (it["service"], it["name"]))
     titles = ("SERVER", "SERVICE", "DATA CENTRE", "ADDRESS", "STATE", "IN FLIGHT", "REPORTED")
-    session.printer.show(found, table(titles, [list(it.values()) for it in found]))
+    session.printer.show(shown_servers, table(titles, [list(it.values()) for it in shown_servers]))
 
 
-def _server(server: dict[str, Any]) -> dict[str, Any]:
+def _server_fields(server: dict[str, Any]) -> dict[str, Any]:
     entry, report = server["entry"], server["report"]
     return {
         "name": entry["name"],
@@ -182,31 +188,33 @@
 @click.option("--recent", type=click.IntRange(min=0), default=0, help=messages.RECENT_HELP)
 @pass_session
 def requests(session: Session, request_id: str | None, recent: int) -> None:
-    """Show requests in hand and recent accounts."""
+    """Show active requests and recently finished ones."""
     with session.client() as client:
         dump = client.get("/state")
     accounts = [account for _, account in dump["accounts"]["entries"].values()]
     if request_id is not None:
         _show_request(session, dump, accounts, request_id)
         return
-    found = [_request(it) for it in dump["requests"].values()]
-    found += [_account(it) for it in accounts[len(accounts) - recent :]]
+    shown_requests = [_request_fields(it) for it in dump["requests"].values()]
+    shown_requests += [_account_fields(it) for it in accounts[len(accounts) - recent :]]
     titles = ("REQUEST", "CUSTOMER", "CLASS", "PHASE", "SERVER", "ATTEMPTS", "TOKENS")
-    session.printer.show(found, table(titles, [list(it.values()) for it in found]))
+    session.printer.show(
+        shown_requests, table(titles, [list(it.values()) for it in shown_requests])
+    )
 
 
 def _show_request(
     session: Session, dump: dict[str, Any], accounts: list[dict[str, Any]], request_id: str
 ) -> None:
-    ended = [it for it in accounts if it["request_id"] == request_id]
-    found = dump["requests"].get(request_id) or (ended[0] if ended else None)
-    if found is None:
+    finished = [it for it in accounts if it["request_id"] == request_id]
+    request = dump["requests"].get(request_id) or (finished[0] if finished else None)
+    if request is None:
         message = messages.NO_SUCH_REQUEST.format(request_id=request_id)
         raise CommandError(ExitCode.REFUSED, message)
-    session.printer.show(found, table(("", ""), list(found.items()))[1:])
+    session.printer.show(request, table(("", ""), list(request.items()))[1:])
 
 
-def _request(request: dict[str, Any]) -> dict[str, Any]:
+def _request_fields(request: dict[str, Any]) -> dict[str, Any]:
     attempt = request["attempt"]
     return {
         "request_id": request["request_id"],
@@ -219,7 +227,7 @@
     }
 
 
-def _account(account: dict[str, Any]) -> dict[str, Any]:
+def _account_fields(account: dict[str, Any]) -> dict[str, Any]:
     return {
         "request_id": account["request_id"],
         "customer": account["customer"],
@@ -239,5 +247,5 @@
     with session.client() as client:
         answer = client.call("POST", f"/drain/{server}")
         if answer.code is not ExitCode.OK:
-            raise client.refused(answer)
+            raise client.error_of(answer)
     session.printer.show(answer.body, [messages.DRAINED.format(**answer.body)])
