--- a/packages/turmericweir-ctl/turmericctl/state_commands.py
+++ b/packages/turmericweir-ctl/turmericctl/state_commands.py
@@ -98,17 +98,20 @@
         titles = ("INSTANCE", "DATA CENTRE", "SETTINGS", "STATE", "LAST SEEN S AGO")
         rows = [
             [
-                it["name"],
-                it["data_centre"],
-                _version_text(it),
-                it["state"],
-                _rounded_age(it["age_s"]),
+                instance["name"],
+                instance["data_centre"],
+                _version_text(instance),
+                instance["state"],
+                _rounded_age(instance["age_s"]),
             ]
-            for it in instance_list
+            for instance in instance_list
         ]
         session.printer.show(instance_list, table(titles, rows))
         return
-    counts = Counter((it["data_centre"], _version_text(it), it["state"]) for it in instance_list)
+    counts = Counter(
+        (instance["data_centre"], _version_text(instance), instance["state"])
+        for instance in instance_list
+    )
     count_rows = [[*key, count] for key, count in sorted(counts.items())]
     lines = table(("DATA CENTRE", "SETTINGS", "STATE", "INSTANCES"), count_rows)
     session.printer.show(instance_list, lines)
--- a/tests/ctl/fake_daemon.py
+++ b/tests/ctl/fake_daemon.py
@@ -1,6 +1,6 @@
-"""A daemon in a thread, with the real reducer and operators' port and a log in memory.
+"""A daemon in a thread, with the real reducer and operators' port and an in-memory log.
 
-The log can be told to be down, or to lose its acknowledgements; data centres can be made known.
+Tests can make the log fail and inject the status of other data centres.
 """
 
 from __future__ import annotations
@@ -53,32 +53,32 @@
 
 
 class LogMode(StrEnum):
-    """How the log behaves."""
+    """Failure mode of the log."""
 
     UP = "up"
     # Appends are refused and reads fail.
     DOWN = "down"
-    # Appends take effect and look as if they had failed.
+    # Appends take effect but are reported as failed.
     LOSES_ACKS = "loses_acks"
-    # The same, and reads fail.
+    # As LOSES_ACKS, and reads fail too.
     HIDES = "hides"
 
 
 @dataclass(slots=True)
 class FakeLog:
-    """The settings stream; it answers the reducer at once."""
+    """The settings log; it answers the reducer immediately."""
 
     node: Node | None = None
     mode: LogMode = LogMode.UP
     values: list[Any] = field(default_factory=list)
 
     def handle(self, event: Event) -> None:
-        """Tell the node of something."""
+        """Pass an event to the node."""
         assert self.node is not None
         self.node.handle(event)
 
     def append(self, effect: AppendRecords) -> None:
-        """Append, or fail to."""
+        """Append records, or fail according to the mode."""
         if self.mode is LogMode.DOWN:
             self.handle(AppendFailed(effect.stream, effect.token, "refused", maybe=False))
             return
@@ -91,42 +91,44 @@
         self.deliver()
 
     def deliver(self) -> None:
-        """Give what is new to the reducer."""
+        """Deliver new records to the reducer."""
         assert self.node is not None
         if self.mode in (LogMode.DOWN, LogMode.HIDES):
             self.handle(LogFailed("settings", "refused"))
             return
         first = settings_read_offset(self.node.state.settings)
-        new = tuple(LogRecord(at, it) for at, it in enumerate(self.values) if at >= first)
-        self.handle(LogRead("settings", new, len(self.values)))
+        new_records = tuple(
+            LogRecord(n, value) for n, value in enumerate(self.values) if n >= first
+        )
+        self.handle(LogRead("settings", new_records, len(self.values)))
 
     def read(self, effect: ReadLog) -> None:
-        """Read when the reducer asks."""
+        """Deliver new records when the reducer requests a read."""
         self.deliver()
 
     def ask_weights(self, effect: AskWeights) -> None:
         """Ignore the weight store."""
 
 
-class Nowhere:
-    """Adapters whose effects lead nowhere."""
+class NullAdapter:
+    """Adapters that ignore their effects."""
 
     def send(self, effect: SendPeer | SendDatagram) -> None:
-        """Lose a message."""
+        """Drop a message."""
 
     def probe(self, effect: ProbeServer) -> None:
-        """Probe nothing."""
+        """Ignore a probe."""
 
     def distrust(self, effect: DistrustConnections) -> None:
-        """Keep no connections."""
+        """Ignore the effect; there are no connections."""
 
     def order(self, effect: SendOrder) -> None:
-        """Order nothing."""
+        """Ignore an order."""
 
 
 @dataclass(slots=True)
 class FakeDaemon:
-    """The daemon as tests see it; everything goes to its own thread."""
+    """Handle of the daemon for tests; its methods run in the daemon's thread."""
 
     address: str
     log: FakeLog
@@ -134,7 +136,7 @@
     portal: BlockingPortal
 
     def set_log(self, mode: LogMode) -> None:
-        """Change how the log behaves."""
+        """Set the failure mode of the log."""
         self.portal.call(self._set_log, mode)
 
     def _set_log(self, mode: LogMode) -> None:
@@ -142,35 +144,37 @@
         self.log.deliver()
 
     def append(self, value: dict[str, Any]) -> None:
-        """Let a record of another instance enter the log."""
+        """Append a record of another instance to the log."""
         self.portal.call(self._append, value)
 
     def _append(self, value: dict[str, Any]) -> None:
         self.log.values.append(value)
         self.log.deliver()
 
-    def hear(self, data_centre: str, offset: int, age_s: float = 0.0) -> None:
-        """Let relays of a data centre have told at which offset it is."""
-        self.portal.call(self._hear, data_centre, offset, age_s)
+    def report_centre(self, data_centre: str, offset: int, age_s: float = 0.0) -> None:
+        """Inject a status message of a data centre with its settings offset and age."""
+        self.portal.call(self._report_centre, data_centre, offset, age_s)
 
-    def _hear(self, data_centre: str, offset: int, age_s: float) -> None:
-        word = Word(data_centre, relay=1, seq=1, members_hash=1, live=2, settings_offset=offset)
+    def _report_centre(self, data_centre: str, offset: int, age_s: float) -> None:
+        status = Word(data_centre, relay=1, seq=1, members_hash=1, live=2, settings_offset=offset)
         heard_at = anyio.current_time() - age_s
-        centre = RemoteCentre(data_centre, heard_at=heard_at, word=word)
+        centre = RemoteCentre(data_centre, heard_at=heard_at, word=status)
         self.node.state.members.centres[data_centre] = centre
 
 
 async def _run(
     log: FakeLog,
     ready: threading.Event,
-    found: list[FakeDaemon],
+    daemons: list[FakeDaemon],
     stop: anyio.Event,
     portal: BlockingPortal,
 ) -> None:
-    operators, nowhere = Operators(), Nowhere()
-    adapters = Adapters(nowhere, nowhere, nowhere, NullMetrics(), platform=log, operators=operators)
-    me = Identity(InstanceName("a-1"), "a", "region", "127.0.0.1:1", "1")
-    state = new_state(me, Options(change_give_up_s=0.5, change_retry_s=0.2), seed=1)
+    operators, null_adapter = Operators(), NullAdapter()
+    adapters = Adapters(
+        null_adapter, null_adapter, null_adapter, NullMetrics(), platform=log, operators=operators
+    )
+    identity = Identity(InstanceName("a-1"), "a", "region", "127.0.0.1:1", "1")
+    state = new_state(identity, Options(change_give_up_s=0.5, change_retry_s=0.2), seed=1)
     async with anyio.create_task_group() as group:
         node = log.node = Node(state, reduce, adapters, group, unread_s=30.0)
         token = AdminToken(name="root", token_sha256=sha256(TOKEN.encode()).hexdigest())
@@ -181,7 +185,7 @@
         group.start_soon(node.tick_forever)
         group.start_soon(server.serve, [sock])
         await server.listening.wait()
-        found.append(FakeDaemon(address_of(sock), log, node, portal))
+        daemons.append(FakeDaemon(address_of(sock), log, node, portal))
         ready.set()
         await stop.wait()
         group.cancel_scope.cancel()
@@ -190,18 +194,18 @@
 
 @contextmanager
 def fake_daemon(mode: LogMode = LogMode.UP) -> Iterator[FakeDaemon]:
-    """Run a daemon while the context lasts."""
+    """Run a daemon for the duration of the context."""
     log = FakeLog(mode=mode)
     ready = threading.Event()
-    found: list[FakeDaemon] = []
+    daemons: list[FakeDaemon] = []
     with start_blocking_portal() as portal:
         stop = portal.call(anyio.Event)
-        running = portal.start_task_soon(_run, log, ready, found, stop, portal)
+        running = portal.start_task_soon(_run, log, ready, daemons, stop, portal)
         while not ready.wait(0.05):
             if running.done():
                 running.result()
         try:
-            yield found[0]
+            yield daemons[0]
         finally:
             portal.call(stop.set)
             running.result()
--- a/tests/ctl/test_ctl.py
+++ b/tests/ctl/test_ctl.py
@@ -1,10 +1,10 @@
-"""The command line against the operators' port: cases from `cases/ctl.test`, and a few others.
+"""Tests of the command line against the operators' port, mostly from `cases/ctl.test`.
 
-$ ARGUMENTS           a run of `turmericctl`; prints what it said and its exit code
-! log MODE            the platform's log is up, down or loses_acks from now on
-! other RECORD        a change through another instance; see tests/core/settings_script.py
-! hear DC OFFSET AGE  relays of a data centre have told at which offset it is
-! file NAME JSON      a file for the runs that follow
+$ ARGUMENTS             run `turmericctl`; prints its output and exit code
+! log MODE              set the state of the platform's log: up, down or loses_acks
+! other RECORD          a change through another instance; see tests/core/settings_script.py
+! report DC OFFSET AGE  a data centre has reported its settings offset AGE seconds ago
+! file NAME JSON        create a file for the following runs
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 CASES: Final = Path(__file__).parent / "cases"
 
 
-class Terminal:
-    """Runs the command line and notes what it says."""
+class CommandRunner:
+    """Runs the command line and captures its output."""
 
     def __init__(
         self, daemon: FakeDaemon, folder: Path, capture: pytest.CaptureFixture[str]
@@ -42,115 +42,112 @@
         self.capture = capture
 
     def run(self, *args: str) -> tuple[int, str]:
-        """Run a command; give its exit code and all that it said."""
+        """Run a command; return its exit code and output."""
         self.capture.readouterr()
         with pytest.raises(SystemExit) as raised:
             main(["--admin", self.daemon.address, "--token", TOKEN, *args])
-        said = self.capture.readouterr()
+        captured = self.capture.readouterr()
         code = raised.value.code
-        return int(code or 0), said.out + said.err
+        return int(code or 0), captured.out + captured.err
 
-    def line(self, line: str) -> list[str]:
-        """Do what a line of a case says."""
-        mark, _, rest = line.partition(" ")
-        if mark == "!":
-            self.change(rest)
+    def run_line(self, line: str) -> list[str]:
+        """Execute a line of a case; return the lines to compare."""
+        prefix, _, rest = line.partition(" ")
+        if prefix == "!":
+            self.apply_change(rest)
             return []
-        assert mark == "$", f"a line begins with $ or !: {line!r}"
-        code, said = self.run(*(self.argument(it) for it in shlex.split(rest)))
-        shown = said.replace(self.daemon.address, "ADDRESS").replace(str(self.folder), "FOLDER")
+        assert prefix == "$", f"a line begins with $ or !: {line!r}"
+        code, output = self.run(*(self.expand_argument(it) for it in shlex.split(rest)))
+        shown = output.replace(self.daemon.address, "ADDRESS").replace(str(self.folder), "FOLDER")
         lines = [f"    {it}".rstrip() for it in shown.splitlines()]
         return [line, *(it for it in lines if it), f"    exit {code}"]
 
-    def argument(self, text: str) -> str:
-        """Put a file of the case in place of its name."""
+    def expand_argument(self, text: str) -> str:
+        """Return an argument, with %NAME replaced by the path of the case's file."""
         return str(self.folder / text[1:]) if text.startswith("%") else text
 
-    def change(self, text: str) -> None:
-        """Change the world."""
-        word, _, rest = text.partition(" ")
-        match word:
+    def apply_change(self, text: str) -> None:
+        """Execute a line that begins with !."""
+        command, _, rest = text.partition(" ")
+        match command:
             case "log":
                 self.daemon.set_log(LogMode(rest))
             case "other":
                 self.daemon.append(record_of(rest))
-            case "hear":
+            case "report":
                 name, offset, age = rest.split()
-                self.daemon.hear(name, int(offset), float(age))
+                self.daemon.report_centre(name, int(offset), float(age))
             case "file":
                 name, _, content = rest.partition(" ")
                 (self.folder / name).write_text(content, encoding="utf-8")
             case _:
-                raise AssertionError(f"unknown word {word!r}")
+                raise AssertionError(f"unknown command {command!r}")
 
 
 @pytest.fixture
-def terminal(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> Iterator[Terminal]:
-    """Give a terminal before a daemon that holds no settings."""
+def runner(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> Iterator[CommandRunner]:
+    """Yield a command runner for a daemon without settings."""
     with fake_daemon() as daemon:
-        yield Terminal(daemon, tmp_path, capsys)
+        yield CommandRunner(daemon, tmp_path, capsys)
 
 
 @pytest.mark.parametrize("case", load_cases("ctl.test", CASES), ids=str)
-def test_command_line(case: Case, terminal: Terminal) -> None:
-    check_lines(case, [shown for line in case.lines("in") for shown in terminal.line(line)])
+def test_command_line(case: Case, runner: CommandRunner) -> None:
+    check_lines(case, [shown for line in case.lines("in") for shown in runner.run_line(line)])
 
 
-def test_change_in_an_outage_is_given_up_and_can_be_sent_again(terminal: Terminal) -> None:
-    """The log refuses every append, so the change is given up: nothing of it can be in the log.
+def test_change_refused_in_an_outage_can_be_sent_again(runner: CommandRunner) -> None:
+    """Guards against a change that cannot be retried after the log refused it.
 
-    The daemon of these tests does so after half a second. Sent again under the same id when the
-    log is back, the change is made.
+    The daemon of these tests gives up after half a second.
     """
-    terminal.change("log down")
+    runner.apply_change("log down")
     args = ("settings", "set", "/limits/default", '{"requests_s": 1}', "--change-id", "change-1")
-    code, said = terminal.run(*args)
-    assert (code, said) == (3, "not made: the platform's log did not take it\n")
-    terminal.change("log up")
-    code, said = terminal.run(*args)
-    assert (code, said) == (0, "accepted: /limits/default is at version 1\n")
-    code, said = terminal.run("settings", "change", "change-1")
-    assert (code, said) == (0, "accepted: /limits/default is at version 1\n")
+    code, output = runner.run(*args)
+    assert (code, output) == (3, "not made: the platform's log did not take it\n")
+    runner.apply_change("log up")
+    code, output = runner.run(*args)
+    assert (code, output) == (0, "accepted: /limits/default is at version 1\n")
+    code, output = runner.run("settings", "change", "change-1")
+    assert (code, output) == (0, "accepted: /limits/default is at version 1\n")
 
 
-def test_pending_change_is_told_about_later(terminal: Terminal) -> None:
-    """An append may have taken effect, and the log can then not be read.
+def test_pending_change_is_reported_later(runner: CommandRunner) -> None:
+    """Guards against reporting a failure when an append may have taken effect.
 
-    Nobody can say yet whether the change was made, so the operator is told `pending` and not that
-    it failed. The instance appends it again under the same id until the log tells, and the id then
-    leads to the verdict.
+    The instance answers `pending` until it can read the log again.
     """
-    terminal.change("log hides")
+    runner.apply_change("log hides")
     args = ("settings", "set", "/limits/default", "{}", "--change-id", "change-1")
-    code, said = terminal.run(*args)
+    code, output = runner.run(*args)
     assert code == 3
-    assert said.startswith("pending:")
-    assert "turmericctl settings change change-1" in said
-    code, said = terminal.run("settings", "change", "change-1")
-    assert (code, said.partition(":")[0]) == (3, "pending")
-    terminal.change("log up")
-    code, said = terminal.run("settings", "change", "change-1")
-    assert (code, said) == (0, "accepted: /limits/default is at version 1\n")
-
-
-def test_wait_reports_a_data_centre_when_it_follows(terminal: Terminal) -> None:
-    """The data centre `b` hears of the change a moment later than this instance."""
-    terminal.change("hear b 0 0")
-    follow = threading.Timer(0.5, terminal.daemon.hear, ("b", 1))
-    follow.start()
-    code, said = terminal.run("settings", "set", "/limits/default", "{}", "--wait")
-    follow.join()
+    assert output.startswith("pending:")
+    assert "turmericctl settings change change-1" in output
+    code, output = runner.run("settings", "change", "change-1")
+    assert (code, output.partition(":")[0]) == (3, "pending")
+    runner.apply_change("log up")
+    code, output = runner.run("settings", "change", "change-1")
+    assert (code, output) == (0, "accepted: /limits/default is at version 1\n")
+
+
+def test_wait_reports_a_slower_data_centre(runner: CommandRunner) -> None:
+    """Guards against ending the wait before a slower data centre has the change."""
+    runner.apply_change("report b 0 0")
+    delayed_report = threading.Timer(0.5, runner.daemon.report_centre, ("b", 1))
+    delayed_report.start()
+    code, output = runner.run("settings", "set", "/limits/default", "{}", "--wait")
+    delayed_report.join()
     assert code == 0
-    assert said.splitlines()[1:] == ["a: in force", "b: in force"]
+    assert output.splitlines()[1:] == ["a: in force", "b: in force"]
 
 
-def test_json_output_of_a_change_is_one_document(terminal: Terminal) -> None:
-    terminal.change("hear b 0 60")
-    code, said = terminal.run(
+def test_json_output_of_a_change_is_one_document(runner: CommandRunner) -> None:
+    runner.apply_change("report b 0 60")
+    code, output = runner.run(
         *("--output", "json", "settings", "set", "/limits/default", "{}"),
         *("--wait", "--wait-timeout", "0.1"),
     )
-    document, _, rest = said.rpartition("}\n")
+    document, _, rest = output.rpartition("}\n")
     value = json.loads(document + "}")
     assert value["verdict"] == "accepted"
     assert value["left"] == ["b"]
@@ -158,49 +155,51 @@
     assert "b" in rest
 
 
-def test_history_shows_time_and_operator(terminal: Terminal) -> None:
-    terminal.run("settings", "set", "/limits/default", "{}")
-    code, said = terminal.run("settings", "history")
+def test_history_shows_time_and_operator(runner: CommandRunner) -> None:
+    runner.run("settings", "set", "/limits/default", "{}")
+    code, output = runner.run("settings", "history")
     assert code == 0
-    title, row = said.splitlines()
+    title, row = output.splitlines()
     assert title.split()[:4] == ["OFFSET", "TIME", "VERDICT", "PATH"]
     assert re.match(
         r"0 +\d{4}-\d\d-\d\d \d\d:\d\d:\d\d +accepted +/limits/default +bootstrap/root ", row
     )
 
 
-def test_value_from_standard_input(terminal: Terminal, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_value_from_standard_input(runner: CommandRunner, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(sys, "stdin", io.StringIO("// a comment\n{requests_s: 3}"))
-    code, said = terminal.run("settings", "set", "/limits/default", "-")
-    assert (code, said) == (0, "accepted: /limits/default is at version 1\n")
+    code, output = runner.run("settings", "set", "/limits/default", "-")
+    assert (code, output) == (0, "accepted: /limits/default is at version 1\n")
 
 
-def test_instance_without_settings(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    """The instance started in an outage and heard of no peer: it serves nobody, and says so."""
+def test_instance_without_settings_is_not_ready(
+    tmp_path: Path, capsys: pytest.CaptureFixture[str]
+) -> None:
+    """Guards against an instance that reports itself ready without settings."""
     with fake_daemon(LogMode.DOWN) as daemon:
-        terminal = Terminal(daemon, tmp_path, capsys)
-        code, said = terminal.run("status")
+        runner = CommandRunner(daemon, tmp_path, capsys)
+        code, output = runner.run("status")
         assert code == 0
-        assert re.search(r"^ready +False$", said, re.MULTILINE)
-        code, said = terminal.run("--token", "wrong", "settings", "get")
+        assert re.search(r"^ready +False$", output, re.MULTILINE)
+        code, output = runner.run("--token", "wrong", "settings", "get")
     assert code == 3
-    assert "no settings yet" in said
+    assert "no settings yet" in output
 
 
-def test_path_without_a_slash_is_a_wrong_call(terminal: Terminal) -> None:
+def test_path_without_a_slash_is_rejected(runner: CommandRunner) -> None:
     for words in (("set", "policy", "{}"), ("delete", "policy"), ("get", "policy")):
-        code, said = terminal.run("settings", *words)
+        code, output = runner.run("settings", *words)
         assert code == 2
-        assert "expected a path that begins with /" in said
+        assert "expected a path that begins with /" in output
 
 
-def test_wrong_token_is_refused(terminal: Terminal) -> None:
-    code, said = terminal.run("--token", "wrong", "settings", "get")
+def test_wrong_token_is_refused(runner: CommandRunner) -> None:
+    code, output = runner.run("--token", "wrong", "settings", "get")
     assert code == 1
-    assert said == "turmericctl: expected the bearer token of an operator\n"
+    assert output == "turmericctl: expected the bearer token of an operator\n"
 
 
-def test_instance_that_is_down() -> None:
+def test_unreachable_instance_is_reported() -> None:
     argv = [sys.executable, "-m", "turmericctl.main", "--admin", "127.0.0.1:1", "status"]
     result = subprocess.run(argv, capture_output=True, text=True, check=False, timeout=30)
     assert result.returncode == 3
@@ -216,17 +215,17 @@
     assert "_TURMERICCTL_COMPLETE" in capsys.readouterr().out
 
 
-def _options(command: click.Command, name: str) -> Iterator[tuple[str, click.Option]]:
+def _all_options(command: click.Command, name: str) -> Iterator[tuple[str, click.Option]]:
     for parameter in command.params:
         if isinstance(parameter, click.Option):
             yield name, parameter
     if isinstance(command, click.Group):
-        for below in command.commands.values():
-            yield from _options(below, f"{name} {below.name}")
+        for subcommand in command.commands.values():
+            yield from _all_options(subcommand, f"{name} {subcommand.name}")
 
 
 def test_every_command_and_flag_has_help() -> None:
-    for name, option in _options(cli, "turmericctl"):
+    for name, option in _all_options(cli, "turmericctl"):
         assert option.help, f"{name} {option.name} has no help"
     commands = [cli, *cli.commands.values()]
     for command in commands:
--- a/tests/ctl/test_settings_http.py
+++ b/tests/ctl/test_settings_http.py
@@ -1,4 +1,4 @@
-"""The settings over HTTP: what programs other than the command line meet."""
+"""Tests of the settings API over HTTP, as used by programs other than the command line."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture(scope="module")
 def daemon() -> Iterator[FakeDaemon]:
-    """Give a daemon on which `/limits/default` is set, at version 1."""
+    """Yield a daemon on which `/limits/default` is set, at version 1."""
     with fake_daemon() as daemon:
         status, _ = call(daemon, "PUT", PATH, {"value": {"requests_s": 1}}, AUTH)
         assert status == 200
@@ -27,7 +27,7 @@
 def call(
     daemon: FakeDaemon, method: str, target: str, body: object, headers: dict[str, str]
 ) -> tuple[int, Any]:
-    """Send a request; give status and decoded answer."""
+    """Send a request; return the status and the decoded answer."""
     content = body if isinstance(body, bytes) else json.dumps(body).encode()
     url = f"http://{daemon.address}{target}"
     with httpcore.ConnectionPool() as pool:
@@ -35,8 +35,8 @@
     return response.status, json.loads(response.content)
 
 
-Refusal = tuple[str, str, str, object, dict[str, str], int, str]
-REFUSED: Final[list[Refusal]] = [
+RefusalCase = tuple[str, str, str, object, dict[str, str], int, str]
+REFUSAL_CASES: Final[list[RefusalCase]] = [
     ("no token", "GET", "/settings", None, {}, 401, "bearer token"),
     ("other scheme", "GET", "/settings", None, {"authorization": "Basic eA=="}, 401, "bearer"),
     ("method", "POST", PATH, {}, AUTH, 405, "POST is not possible"),
@@ -61,7 +61,7 @@
 
 @pytest.mark.parametrize(
     ("method", "target", "body", "headers", "status", "detail"),
-    [pytest.param(*each[1:], id=each[0]) for each in REFUSED],
+    [pytest.param(*each[1:], id=each[0]) for each in REFUSAL_CASES],
 )
 def test_refused(
     daemon: FakeDaemon,
@@ -72,12 +72,12 @@
     status: int,
     detail: str,
 ) -> None:
-    found, answer = call(daemon, method, target, body, headers)
-    assert (found, answer["status"]) == (status, status)
+    actual_status, answer = call(daemon, method, target, body, headers)
+    assert (actual_status, answer["status"]) == (status, status)
     assert detail in answer["detail"]
-    # Whatever was refused has changed nothing.
-    _, now = call(daemon, "GET", PATH, None, AUTH)
-    assert (now["version"], now["value"]) == (1, {"requests_s": 1.0})
+    # A refused request must not change the value.
+    _, current = call(daemon, "GET", PATH, None, AUTH)
+    assert (current["version"], current["value"]) == (1, {"requests_s": 1.0})
 
 
 def test_if_match_names_the_expected_version() -> None:
@@ -96,7 +96,7 @@
 
 
 def test_state_dump_holds_no_token_digest() -> None:
-    """Whoever reads a dump must not learn what a short token could be guessed from."""
+    """Guards against digests in the dump, from which short tokens could be guessed."""
     digest = "ab" * 32
     with fake_daemon() as daemon:
         operator = {"value": {"token_sha256": digest, "paths": ["/"]}}
@@ -110,10 +110,10 @@
 
 
 def test_state_dump_is_for_operators() -> None:
-    """The dump names customers and their requests, so whoever only reaches the port gets none."""
+    """Guards against showing customers and their requests to callers without a token."""
     with fake_daemon() as daemon:
         status, problem = call(daemon, "GET", "/state", None, {})
-        healthy, _ = call(daemon, "GET", "/healthz", None, {})
+        health_status, _ = call(daemon, "GET", "/healthz", None, {})
     assert status == 401
     assert problem["detail"] == "expected the bearer token of an operator"
-    assert healthy == 200
+    assert health_status == 200
