--- a/tests/platform/platform_world.py
+++ b/tests/platform/platform_world.py
@@ -1,4 +1,4 @@
-"""The real daemon on stand-ins of the platform's store and servers, and callers before it."""
+"""Runs the real daemon against stand-ins for the platform's store and servers, and calls it."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 from types import TracebackType
 from typing import Any, Self
 
-from tests.platform.standin_duties import DutyDesk
-from tests.platform.standin_http import Handler, Listener, Loop
-from tests.platform.standin_server import Seen, Server
+from tests.platform.standin_duties import DutyStandin
+from tests.platform.standin_http import Handler, Listener, LoopThread
+from tests.platform.standin_server import ReceivedRequest, Server
 from tests.platform.standin_store import OPERATOR, SERVERS, Store
 from turmericweir_standins.procs import LOOPBACK, Process, free_address, free_port, wait_until
 
@@ -27,73 +27,73 @@
 
 @dataclass(slots=True)
 class Answer:
-    """What a caller got."""
+    """An answer as received by a caller."""
 
     status: int
     headers: dict[str, str]
     body: bytes
-    # The connection broke before the answer was whole.
-    cut: bool = False
+    # The connection closed before the answer was complete.
+    is_cut: bool = False
 
     @property
-    def pieces(self) -> list[str]:
-        """The pieces of a stream."""
+    def event_data(self) -> list[str]:
+        """The data of the events of a stream."""
         lines = self.body.decode().split("\n")
         return [line.removeprefix("data: ") for line in lines if line.startswith("data: ")]
 
 
 @dataclass(slots=True)
 class Instance:
-    """One process of the daemon."""
+    """A process of the daemon."""
 
     name: str
     process: Process
-    callers: str
-    readiness: str
+    caller_address: str
+    readiness_address: str
 
-    def ready(self) -> bool:
-        """Tell whether the balancer would send callers here."""
+    def is_ready(self) -> bool:
+        """Return whether the load balancer would send callers to the instance."""
         return self.readiness_status() == 200
 
     def readiness_status(self) -> int:
-        """Ask as the balancer does; 0 where nothing listens."""
+        """Return the status of the readiness check, or 0 if nothing listens."""
         try:
-            return call(self.readiness, "GET", "/api/readyz").status
+            return call(self.readiness_address, "GET", "/api/readyz").status
         except OSError:
             return 0
 
     def logged(self, event: str) -> list[dict[str, Any]]:
-        """Give the lines of an event."""
+        """Return the log lines of an event."""
         lines = [json.loads(line) for line in list(self.process.lines) if line.startswith("{")]
         return [line for line in lines if line["event"] == event]
 
 
 @dataclass(slots=True)
 class PlatformWorld:
-    """One store, some servers, some instances."""
+    """A store, servers and instances of the daemon, and a caller."""
 
     directory: Path
     engines: int = 2
-    plain: int = 2
+    plain_servers: int = 2
     instances: int = 1
-    # Data centres of the one region; instances are shared out among them.
-    centres: int = 1
+    # Data centres of the region; instances are distributed over them.
+    data_centres: int = 1
     bounds: dict[str, Any] = field(default_factory=dict)
-    # What the settings say of duties; None where the platform has none.
+    # The `duties` part of the settings file; None for a platform without duties.
     duties: dict[str, Any] | None = None
-    desk: DutyDesk = field(default_factory=DutyDesk)
-    # The first instance serves its counters.
+    duty_standin: DutyStandin = field(default_factory=DutyStandin)
+    # Whether the first instance serves its metrics.
     metrics: bool = False
     metrics_address: str = ""
     store: Store = field(default_factory=Store)
     servers: dict[str, Server] = field(default_factory=dict)
     running: dict[str, Instance] = field(default_factory=dict)
     version: int = 0
-    _loop: Loop = field(default_factory=Loop)
+    _loop: LoopThread = field(default_factory=LoopThread)
     _stack: ExitStack = field(default_factory=ExitStack)
     _listeners: dict[str, Listener] = field(default_factory=dict)
     _store_address: str = ""
-    _numbers: int = 0
+    _attempt_count: int = 0
     _peer_port: int = 0
 
     def __enter__(self) -> Self:
@@ -103,11 +103,11 @@
         self._loop.run(listener.start())
         self._listeners["store"] = listener
         if self.duties is not None:
-            self.duties = {"address": self._open(self.desk.handle), **self.duties}
+            self.duties = {"address": self._open_listener(self.duty_standin.handle), **self.duties}
         self.publish()
         for number in range(1, self.engines + 1):
             self.add_server(f"lm-{number}", "lm")
-        for number in range(1, self.plain + 1):
+        for number in range(1, self.plain_servers + 1):
             self.add_server(f"shop-{number}", "shop")
         for number in range(1, self.instances + 1):
             self.add_instance(f"entry-{number}")
@@ -129,19 +129,19 @@
     # --- the store ---
 
     def publish(self, **changes: Any) -> None:
-        """Have the operator write the next version of the settings."""
+        """Write the next version of the settings to the store."""
         self.version += 1
         self.store.write(OPERATOR, "config", {**document(self.version), **changes})
 
     def register(self, name: str, **changes: Any) -> None:
-        """Have a server write its entry."""
+        """Write the entry of a server to the store."""
         server = self.servers[name]
         entry = {
-            "service": "lm" if server.stream else "shop",
+            "service": "lm" if server.is_streaming else "shop",
             "address": server.address,
             "zone": "dc-1",
             "version": "v1",
-            "max-concurrency": 64 if server.stream else 6,
+            "max-concurrency": 64 if server.is_streaming else 6,
             "state": "ready",
             "warmup-left-ms": 0,
             "seq": 1,
@@ -160,26 +160,26 @@
         self.register(name)
         return server
 
-    def crash(self, name: str) -> None:
-        """Have a server vanish: its port refuses."""
+    def crash_server(self, name: str) -> None:
+        """Close the port of a server."""
         self._loop.run(self._listeners.pop(name).stop())
 
-    def poison(self, body: bytes) -> None:
-        """Have a body crash every server that begins to run it."""
+    def set_crash_body(self, body: bytes) -> None:
+        """Make a request body crash every server that receives it."""
         for name, server in self.servers.items():
-            server.poison = body
-            server.crash = partial(self._crash_from_within, name)
+            server.crash_body = body
+            server.close_port = partial(self._stop_listener, name)
 
-    async def _crash_from_within(self, name: str) -> None:
+    async def _stop_listener(self, name: str) -> None:
         await self._listeners.pop(name).stop()
 
     @property
-    def crashed(self) -> list[str]:
-        """Give the servers that are off their ports."""
+    def crashed_servers(self) -> list[str]:
+        """The servers whose ports are closed."""
         return [name for name in self.servers if name not in self._listeners]
 
-    def revive(self, name: str, born: int) -> None:
-        """Start a server that crashed again, under its name, at its address."""
+    def restart_server(self, name: str, born: int) -> None:
+        """Restart a crashed server under its name and address, with a new start time."""
         server = self.servers[name]
         listener = Listener(server.address, server.handle)
         self._loop.run(listener.start())
@@ -187,39 +187,39 @@
         self.register(name, born=born)
 
     def connections(self, name: str) -> int:
-        """Count the connections that a server was opened."""
+        """Return the number of connections opened to a server."""
         return self._listeners[name].connections
 
-    def let_go(self, name: str) -> None:
-        """Let a server's held answers go on."""
+    def release_held(self, name: str) -> None:
+        """Release the streams that a server has paused."""
 
         async def release() -> None:
-            self.servers[name].go_on.set()
+            self.servers[name].release_held.set()
 
         self._loop.run(release())
 
-    def set_mode(self, mode: str, *names: str, times: int = -1) -> None:
-        """Have servers, or all of them, misbehave."""
+    def set_mode(self, mode: str, *names: str, request_count: int = -1) -> None:
+        """Set the mode of servers, by default of all, for a number of requests."""
         for name in names or tuple(self.servers):
             self.servers[name].mode = mode
-            self.servers[name].times = times
+            self.servers[name].mode_requests = request_count
 
-    def seen(self, request_id: str = "") -> list[Seen]:
-        """Give what servers saw, of one request or of all, in the order of servers."""
-        every = [seen for server in self.servers.values() for seen in server.seen]
-        return [each for each in every if request_id in ("", each.headers.get("x-attempt-id"))]
+    def received(self, request_id: str = "") -> list[ReceivedRequest]:
+        """Return the requests that servers received, optionally only those with an ID."""
+        requests = [request for server in self.servers.values() for request in server.received]
+        return [each for each in requests if request_id in ("", each.headers.get("x-attempt-id"))]
 
-    def ran(self, request_id: str = "") -> list[Seen]:
-        """Give what servers ran."""
-        return [each for each in self.seen(request_id) if each.ran]
+    def runs(self, request_id: str = "") -> list[ReceivedRequest]:
+        """Return the requests that servers ran, optionally only those with an ID."""
+        return [each for each in self.received(request_id) if each.was_run]
 
     # --- instances ---
 
-    def open_door(self, store: Store) -> str:
-        """Have a store listen at an address of its own."""
-        return self._open(store.handle)
+    def open_store(self, store: Store) -> str:
+        """Start a store on a new address; return the address."""
+        return self._open_listener(store.handle)
 
-    def _open(self, handler: Handler) -> str:
+    def _open_listener(self, handler: Handler) -> str:
         address = free_address()
         listener = Listener(address, handler)
         self._loop.run(listener.start())
@@ -227,25 +227,25 @@
         return address
 
     def add_instance(self, name: str, *, wait: bool = True, store: str = "") -> Instance:
-        """Start an instance, which has the store at its usual address or at another."""
+        """Start an instance, optionally with another address of the store."""
         path = self.directory / f"{name}.json"
         addresses = [free_address() for _ in range(3)]
-        # Each on a loopback address of its own, as peers all have the same port.
+        # Peers share one port, so each instance has its own loopback address.
         self._peer_port = self._peer_port or free_port()
         number = len(self.running) + 1
-        seeds = [f"127.0.0.{each}:1" for each in range(1, number)]
+        seeds = [f"127.0.0.{n}:1" for n in range(1, number)]
         cfg: dict[str, Any] = {
             "name": name,
-            "data_centre": f"dc-{1 + (number - 1) % self.centres}",
+            "data_centre": f"dc-{1 + (number - 1) % self.data_centres}",
             "region": "home",
-            "regions": {f"dc-{each}": "home" for each in range(1, self.centres + 1)},
+            "regions": {f"dc-{n}": "home" for n in range(1, self.data_centres + 1)},
             "caller_address": addresses[0],
             "readiness_address": addresses[1],
             "admin_address": addresses[2],
             "peer_address": f"127.0.0.{number}:{self._peer_port}",
             "seeds": seeds,
             "store": {"address": store or self._store_address},
-            # Enough for a test that makes a handful of requests in all.
+            # Allows retries in tests that make only a few requests.
             "bounds": {"strict_revoke": True, "retry_burst": 200, **self.bounds},
         }
         if self.duties is not None:
@@ -258,8 +258,8 @@
         instance = Instance(name, self._launch(name), addresses[0], addresses[1])
         self.running[name] = instance
         if wait:
-            wait_until(instance.ready, f"{name} is ready")
-            wait_until(lambda: self.knows_servers(instance), f"{name} knows the servers")
+            wait_until(instance.is_ready, f"{name} is ready")
+            wait_until(lambda: self.has_listed_servers(instance), f"{name} has listed the servers")
         return instance
 
     def _launch(self, name: str) -> Process:
@@ -270,32 +270,32 @@
         process.start()
         return process
 
-    def restart(self, name: str) -> None:
-        """Start an instance that was killed again: at its addresses, with nothing kept."""
+    def restart_instance(self, name: str) -> None:
+        """Restart an instance at its addresses, without its state."""
         self.running[name].process.stop()
         self.running[name].process = self._launch(name)
 
-    def beliefs(self, name: str) -> dict[str, Any]:
-        """Give what an instance believes, as operators see it."""
+    def reported_state(self, name: str) -> dict[str, Any]:
+        """Return the part `beliefs` of the state that an instance shows to operators."""
         text = (self.directory / f"{name}.json").read_text()
         cfg = json.loads(text.split("\n", 1)[1])
-        found: dict[str, Any] = json.loads(call(cfg["admin_address"], "GET", "/state").body)
-        beliefs: dict[str, Any] = found["beliefs"]
+        state: dict[str, Any] = json.loads(call(cfg["admin_address"], "GET", "/state").body)
+        beliefs: dict[str, Any] = state["beliefs"]
         return beliefs
 
-    def knows_servers(self, instance: Instance) -> bool:
-        """Tell whether an instance has heard of every server."""
-        known = {line["peer"] for line in instance.logged("server_listed")}
-        return set(self.servers) <= known
+    def has_listed_servers(self, instance: Instance) -> bool:
+        """Return whether an instance has logged the entries of all servers."""
+        listed = {line["peer"] for line in instance.logged("server_listed")}
+        return set(self.servers) <= listed
 
     # --- callers ---
 
     def new_id(self) -> str:
-        """Name an attempt of a caller."""
-        self._numbers += 1
-        return f"{self._numbers:016x}"
+        """Return a new attempt ID."""
+        self._attempt_count += 1
+        return f"{self._attempt_count:016x}"
 
-    def ask(
+    def send(
         self,
         path: str = "/lm/doc/",
         *,
@@ -305,31 +305,31 @@
         instance: str = "entry-1",
         **headers: str,
     ) -> Answer:
-        """Send a request as a caller; underscores in header names stand for hyphens."""
-        named = {name.replace("_", "-"): value for name, value in headers.items()}
-        sent = {
+        """Send a request as a caller; underscores in header names become hyphens."""
+        extra_headers = {name.replace("_", "-"): value for name, value in headers.items()}
+        all_headers = {
             "Host": HOST,
             "X-Attempt-Id": request_id or self.new_id(),
             "X-Deadline-Ms": "8000",
             "X-Key": KEY,
-            **named,
+            **extra_headers,
         }
         if path.startswith("/lm"):
-            sent.setdefault("X-Token-Count", "1000,60")
-            sent.setdefault("X-Prefix-Hash", f"{abs(hash(path)) % 9999:x}:400,own:600")
-        return call(self.running[instance].callers, method, path, body, sent)
+            all_headers.setdefault("X-Token-Count", "1000,60")
+            all_headers.setdefault("X-Prefix-Hash", f"{abs(hash(path)) % 9999:x}:400,own:600")
+        return call(self.running[instance].caller_address, method, path, body, all_headers)
 
-    def buy(self, **fields: Any) -> Answer:
-        """Make a call that must not run twice."""
-        return self.ask("/shop/buy/", body=b"one", **fields)
+    def send_unsafe(self, **fields: Any) -> Answer:
+        """Send a plain request that must not be repeated."""
+        return self.send("/shop/buy/", body=b"one", **fields)
 
-    def look(self, **fields: Any) -> Answer:
-        """Make a call that may be repeated."""
-        return self.ask("/shop/look/", method="GET", body=b"", **fields)
+    def send_safe(self, **fields: Any) -> Answer:
+        """Send a plain request that may be repeated."""
+        return self.send("/shop/look/", method="GET", body=b"", **fields)
 
 
 def document(version: int) -> dict[str, Any]:
-    """Give the operator's settings."""
+    """Return a version of the operator's settings."""
     base = {"hostname": HOST, "timeout-ms": 6000, "priority": 1, "public": False}
     routes = [
         {
@@ -404,25 +404,25 @@
 def call(
     address: str, method: str, path: str, body: bytes = b"", headers: dict[str, str] | None = None
 ) -> Answer:
-    """Make one call on a connection of its own."""
+    """Send a request on a new connection; return the answer."""
     host, _, port = address.rpartition(":")
     conn = http.client.HTTPConnection(host, int(port), timeout=20)
     try:
         conn.request(method, path, body or None, headers or {})
         response = conn.getresponse()
-        found = {name.lower(): value for name, value in response.getheaders()}
+        response_headers = {name.lower(): value for name, value in response.getheaders()}
         try:
-            return Answer(response.status, found, response.read())
+            return Answer(response.status, response_headers, response.read())
         except http.client.IncompleteRead as exc:
-            return Answer(response.status, found, exc.partial, cut=True)
+            return Answer(response.status, response_headers, exc.partial, is_cut=True)
         except ConnectionResetError:
-            return Answer(response.status, found, b"", cut=True)
+            return Answer(response.status, response_headers, b"", is_cut=True)
     finally:
         conn.close()
 
 
 def until(condition: Callable[[], bool], what: str) -> None:
-    """Wait for an event."""
+    """Wait until a condition holds."""
     wait_until(condition, what)
 
 
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -1,10 +1,8 @@
-"""Random trouble around real processes, and whether the promises held.
+"""Soak test: injects random faults around real processes and checks the system's guarantees.
 
-`python -m tests.platform.soak --seeds 1-20 --seconds 12` plays one world for each seed: instances
-that are killed, stopped, frozen and started again, a store that is down, slow or silent, settings
-that change, servers that crash, leave, lie and come back, in any order and overlapping. Callers go
-on sending all the while. The verdict is drawn from what callers got and what servers ran, never
-from what the instances say of themselves.
+`python -m tests.platform.soak --seeds 1-20 --seconds 12` runs one world for each seed. Faults in
+instances, servers, the store and the settings overlap at random while callers send requests. The
+checks use what callers received and what servers ran, not the state that instances report.
 """
 
 from __future__ import annotations
@@ -27,11 +25,11 @@
 SECOND_KEY: Final = "key-2"
 REVOKE_S: Final = 2.6
 DRAIN_S: Final = 2.0
-# What the way between a caller, an instance and a server may take on a busy machine, seconds.
+# Allowance for delays between callers, instances and servers on a busy machine.
 SLACK_S: Final = 0.8
 CALLERS: Final = 5
-# These say that nothing ran.
-NOT_RUN: Final = frozenset({408, 421, 429, 503})
+# Statuses which guarantee that nothing was run.
+NOT_RUN_STATUSES: Final = frozenset({408, 421, 429, 503})
 SERVER_MODES: Final = (
     "lost",
     "error",
@@ -46,73 +44,75 @@
     "misdirected",
 )
 STREAMS: Final = frozenset({"chat", "doc"})
-# Whole answers: of a server that streams, and of one that sends a second answer behind the first.
-WHOLE_STREAM: Final = [f"piece {number}" for number in range(6)]
-EXTRA: Final = b"mine"
+# Correct answers: a complete stream, and the first answer of a server in the mode "extra".
+COMPLETE_STREAM: Final = [f"piece {number}" for number in range(6)]
+EXTRA_MODE_BODY: Final = b"mine"
 STORE_MODES: Final = ("busy", "reset", "silent")
 
 
 @dataclass(slots=True)
 class Sent:
-    """One request of a caller, and what became of it."""
+    """A request of a caller and its result."""
 
     name: str
     kind: str
     instance: str
     key: str
-    at: float
+    sent_at: float
     answer: Answer | None = None
-    # Why there is no answer.
+    # The exception, if there is no answer.
     error: str = ""
 
 
 @dataclass(slots=True)
 class Span:
-    """Something that lasts."""
+    """A period of time during which something applies."""
 
-    what: str
-    since: float
-    until: float = float("inf")
+    subject: str
+    start: float
+    end: float = float("inf")
 
     def covers(self, start: float, end: float) -> bool:
-        """Tell whether it lasted over the whole of a time."""
-        return self.since <= start and end <= self.until
+        """Return whether this period contains another."""
+        return self.start <= start and end <= self.end
 
-    def meets(self, start: float, end: float) -> bool:
-        """Tell whether it lasted at any moment of a time."""
-        return self.since <= end and start <= self.until
+    def overlaps(self, start: float, end: float) -> bool:
+        """Return whether this period overlaps another."""
+        return self.start <= end and start <= self.end
 
 
 @dataclass(slots=True)
 class Soak:
-    """One world and its callers."""
+    """A world with its callers and faults."""
 
     world: PlatformWorld
     rng: Random
     sent: list[Sent] = field(default_factory=list)
-    # Keys that are taken away, servers that leave, and times at which what an instance should do
-    # cannot be told from outside: the store is in trouble, or the process frozen.
+    # Revoked keys, leaving servers, and faults of the store or of frozen processes during which
+    # leaving servers are not checked.
     revoked: list[Span] = field(default_factory=list)
     leaving: list[Span] = field(default_factory=list)
-    blurred: list[Span] = field(default_factory=list)
-    # Instances that were told to stop, and that were killed.
+    unchecked: list[Span] = field(default_factory=list)
+    # Instances that were stopped by a signal, and that were killed.
     stopped: list[Span] = field(default_factory=list)
     killed: list[Span] = field(default_factory=list)
     down: set[str] = field(default_factory=set)
-    over: threading.Event = field(default_factory=threading.Event)
-    # What ends later: when, and how.
-    endings: list[tuple[float, Callable[[], None]]] = field(default_factory=list)
-    told: list[str] = field(default_factory=list)
+    is_over: threading.Event = field(default_factory=threading.Event)
+    # Pending ends of faults: the time and the action.
+    fault_ends: list[tuple[float, Callable[[], None]]] = field(default_factory=list)
+    event_log: list[str] = field(default_factory=list)
 
     # --- callers ---
 
     def call_until_over(self, number: int) -> None:
-        """Send requests one after the other."""
+        """Send requests one after the other until the soak is over."""
         rng = Random(number)
-        while not self.over.is_set():
-            up = [name for name in self.world.running if name not in self.down]
-            if up:
-                self._call(rng, f"{number}-{len(self.sent)}-{rng.random():.9f}", rng.choice(up))
+        while not self.is_over.is_set():
+            running = [name for name in self.world.running if name not in self.down]
+            if running:
+                self._call(
+                    rng, f"{number}-{len(self.sent)}-{rng.random():.9f}", rng.choice(running)
+                )
             time.sleep(rng.uniform(0.0, 0.04))
 
     def _call(self, rng: Random, name: str, instance: str) -> None:
@@ -124,117 +124,119 @@
         method = "GET" if kind == "look" else "POST"
         body = b"" if kind == "look" else b"body"
         try:
-            sent.answer = self.world.ask(
+            sent.answer = self.world.send(
                 path, method=method, body=body, request_id=name, instance=instance, X_Key=key
             )
         except ConnectionRefusedError:
-            # Nothing listens: the process is being started again.
+            # The process is restarting.
             self.sent.remove(sent)
         except (OSError, http.client.HTTPException) as exc:
             sent.error = f"{type(exc).__name__}: {exc}"
 
-    # --- trouble ---
+    # --- faults ---
 
     def play(self, seconds: float) -> None:
-        """Have one trouble after the other begin, and each end in its time."""
+        """Start faults one after the other, and end each after its duration."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
-            self._end_due(time.monotonic())
-            trouble = self.rng.choice(TROUBLES)
-            trouble(self)
+            self._end_faults(time.monotonic())
+            start_fault = self.rng.choice(FAULTS)
+            start_fault(self)
             time.sleep(self.rng.uniform(0.05, 0.7))
-        self._end_due(float("inf"))
+        self._end_faults(float("inf"))
 
-    def _end_due(self, now: float) -> None:
-        due = [each for each in self.endings if each[0] <= now]
-        self.endings = [each for each in self.endings if each[0] > now]
-        for _, ending in due:
-            ending()
+    def _end_faults(self, now: float) -> None:
+        due_ends = [each for each in self.fault_ends if each[0] <= now]
+        self.fault_ends = [each for each in self.fault_ends if each[0] > now]
+        for _, end_fault in due_ends:
+            end_fault()
 
-    def _later(self, low: float, high: float, ending: Callable[[], None]) -> None:
-        self.endings.append((time.monotonic() + self.rng.uniform(low, high), ending))
+    def _end_later(self, min_s: float, max_s: float, end_fault: Callable[[], None]) -> None:
+        self.fault_ends.append((time.monotonic() + self.rng.uniform(min_s, max_s), end_fault))
 
-    def _tell(self, what: str) -> None:
-        self.told.append(f"{time.monotonic():.2f} {what}")
+    def _log(self, text: str) -> None:
+        self.event_log.append(f"{time.monotonic():.2f} {text}")
 
-    def store_trouble(self) -> None:
-        """The store is down, silent or slow for a while."""
-        if self.world.store.mode or self.world.store.slow_s:
+    def disturb_store(self) -> None:
+        """Make the store unavailable, unresponsive or slow."""
+        if self.world.store.mode or self.world.store.delay_s:
             return
         span = Span("store", time.monotonic())
-        self.blurred.append(span)
+        self.unchecked.append(span)
         if self.rng.random() < 0.3:
-            self.world.store.slow_s = 0.3
+            self.world.store.delay_s = 0.3
         else:
             self.world.store.mode = self.rng.choice(STORE_MODES)
-        self._tell(f"store {self.world.store.mode or 'slow'}")
-        self._later(0.3, 3.0, lambda: self._store_back(span))
+        self._log(f"store {self.world.store.mode or 'slow'}")
+        self._end_later(0.3, 3.0, lambda: self._restore_store(span))
 
-    def _store_back(self, span: Span) -> None:
+    def _restore_store(self, span: Span) -> None:
         self.world.store.mode = ""
-        self.world.store.slow_s = 0.0
-        # Those that back off are some moments late to see it.
-        span.until = time.monotonic() + 1.5
+        self.world.store.delay_s = 0.0
+        # Covers the backoff of the instances.
+        span.end = time.monotonic() + 1.5
 
     def change_settings(self) -> None:
-        """The operator takes a key away, gives it back, or changes nothing that matters."""
-        open_span = next((each for each in self.revoked if each.until == float("inf")), None)
+        """Publish settings that revoke the second key or restore it."""
+        current_revocation = next((each for each in self.revoked if each.end == float("inf")), None)
         keys = [KEY]
-        if open_span is not None:
-            open_span.until = time.monotonic()
+        if current_revocation is not None:
+            current_revocation.end = time.monotonic()
             keys.append(SECOND_KEY)
         self.world.publish(tenants=[{"name": "school", "api-keys": keys, "priority": 1}])
-        if open_span is None:
+        if current_revocation is None:
             self.revoked.append(Span(SECOND_KEY, time.monotonic()))
-        self._tell(f"version {self.world.version} with {len(keys)} keys")
+        self._log(f"version {self.world.version} with {len(keys)} keys")
 
-    def server_leaves(self) -> None:
-        """A server leaves, and is back later in another life."""
+    def drain_server(self) -> None:
+        """Make a server leave, and return later with a new start time."""
         name = self.rng.choice(sorted(self.world.servers))
-        busy = {each.what for each in self.leaving if each.until == float("inf")}
-        if name in busy or name in self.world.crashed or len(busy) >= 2:
+        leaving = {each.subject for each in self.leaving if each.end == float("inf")}
+        if name in leaving or name in self.world.crashed_servers or len(leaving) >= 2:
             return
         self.world.register(name, state="draining", seq=2)
         span = Span(name, time.monotonic())
         self.leaving.append(span)
-        self._tell(f"{name} leaves")
-        self._later(3.0, 5.0, lambda: self._server_returns(span))
+        self._log(f"{name} leaves")
+        self._end_later(3.0, 5.0, lambda: self._return_server(span))
 
-    def _server_returns(self, span: Span) -> None:
-        span.until = time.monotonic()
-        if span.what not in self.world.crashed:
-            self.world.register(span.what, born=time.time_ns() // 1_000_000)
+    def _return_server(self, span: Span) -> None:
+        span.end = time.monotonic()
+        if span.subject not in self.world.crashed_servers:
+            self.world.register(span.subject, born=time.time_ns() // 1_000_000)
 
-    def server_crashes(self) -> None:
-        """A server's port refuses, and it comes back under its name."""
+    def crash_server(self) -> None:
+        """Close the port of a server, and restart it later under its name."""
         name = self.rng.choice(sorted(self.world.servers))
-        leaving = {each.what for each in self.leaving if each.until == float("inf")}
-        if self.world.crashed or name in leaving:
+        leaving = {each.subject for each in self.leaving if each.end == float("inf")}
+        if self.world.crashed_servers or name in leaving:
             return
-        self.world.crash(name)
-        self._tell(f"{name} crashes")
-        self._later(0.3, 2.0, lambda: self.world.revive(name, time.time_ns() // 1_000_000))
+        self.world.crash_server(name)
+        self._log(f"{name} crashes")
+        self._end_later(
+            0.3, 2.0, lambda: self.world.restart_server(name, time.time_ns() // 1_000_000)
+        )
 
-    def server_misbehaves(self) -> None:
-        """A server does something odd to its next requests."""
+    def make_server_misbehave(self) -> None:
+        """Make a server misbehave for its next requests."""
         name = self.rng.choice(sorted(self.world.servers))
         mode = self.rng.choice(SERVER_MODES)
-        self.world.set_mode(mode, name, times=self.rng.randint(1, 4))
-        self._tell(f"{name} {mode}")
+        self.world.set_mode(mode, name, request_count=self.rng.randint(1, 4))
+        self._log(f"{name} {mode}")
 
-    def instance_is_killed(self) -> None:
-        """A process dies and is started again."""
+    def kill_instance(self) -> None:
+        """Kill a process and restart it later."""
         name = self._pick_instance()
         if name is None:
             return
         self.down.add(name)
         self.killed.append(Span(name, time.monotonic()))
         self.world.running[name].process.kill()
-        self._tell(f"{name} killed")
-        self._later(0.1, 1.5, lambda: self._instance_returns(name))
+        self._log(f"{name} killed")
+        self._end_later(0.1, 1.5, lambda: self._restart_instance(name))
 
-    def instance_is_stopped(self) -> None:
-        """A process is told to stop, once or twice, and started again when it has ended."""
+    def stop_instance(self) -> None:
+        """Stop a process by one or two signals, and restart it when it has ended."""
         name = self._pick_instance()
         if name is None:
             return
@@ -244,122 +246,127 @@
         process.terminate()
         if self.rng.random() < 0.3:
             process.terminate()
-        self._tell(f"{name} told to stop")
-        self._later(0.5, 2.0, lambda: self._instance_ended(name))
+        self._log(f"{name} gets a stop signal")
+        self._end_later(0.5, 2.0, lambda: self._restart_when_ended(name))
 
-    def _instance_ended(self, name: str) -> None:
+    def _restart_when_ended(self, name: str) -> None:
         instance = self.world.running[name]
         code = instance.process.wait(20)
-        # Before it runs a line of its own, a process ends as the system has it end, and has no
-        # callers yet.
+        # Until the process handles signals its exit code is not 0; it has no callers yet.
         if code != 0 and instance.logged("starting"):
-            self.told.append(f"BROKEN {name} ended with {code} when it was told to stop")
-        self._instance_returns(name)
+            self.event_log.append(f"BROKEN {name} ended with {code} after a stop signal")
+        self._restart_instance(name)
 
-    def instance_freezes(self) -> None:
-        """A process stands still for a while."""
+    def freeze_instance(self) -> None:
+        """Suspend a process for some time."""
         name = self._pick_instance()
         if name is None:
             return
         process = self.world.running[name].process
         span = Span("freeze", time.monotonic())
-        self.blurred.append(span)
+        self.unchecked.append(span)
         self.down.add(name)
         process.pause()
-        self._tell(f"{name} freezes")
+        self._log(f"{name} freezes")
 
-        def wake() -> None:
+        def resume() -> None:
             process.resume()
             self.down.discard(name)
-            span.until = time.monotonic() + 1.0
+            span.end = time.monotonic() + 1.0
 
-        self._later(0.2, 3.5, wake)
+        self._end_later(0.2, 3.5, resume)
 
     def _pick_instance(self) -> str | None:
-        up = [name for name in sorted(self.world.running) if name not in self.down]
-        return self.rng.choice(up) if len(up) > 1 else None
+        running = [name for name in sorted(self.world.running) if name not in self.down]
+        return self.rng.choice(running) if len(running) > 1 else None
 
-    def _instance_returns(self, name: str) -> None:
-        self.world.restart(name)
+    def _restart_instance(self, name: str) -> None:
+        self.world.restart_instance(name)
         self.down.discard(name)
 
-    # --- verdict ---
+    # --- checks ---
 
-    def broken(self) -> list[str]:
-        """List what callers or servers saw that must not be."""
-        found = [each for each in self.told if each.startswith("BROKEN")]
+    def violations(self) -> list[str]:
+        """Return descriptions of all violated guarantees."""
+        found = [each for each in self.event_log if each.startswith("BROKEN")]
         for sent in self.sent:
-            found += self._judge(sent)
+            found += self._check_request(sent)
         for span in self.leaving:
-            found += self._judge_leaving(span)
+            found += self._check_leaving(span)
         for instance in self.world.running.values():
             found += [f"{instance.name} logged a fault {line}" for line in instance.logged("fault")]
         return found
 
-    def _judge(self, sent: Sent) -> list[str]:
-        ran = self.world.ran(sent.name)
+    def _check_request(self, sent: Sent) -> list[str]:
+        runs = self.world.runs(sent.name)
         found = []
-        if sent.kind in ("buy", "doc") and len(ran) > 1:
-            found.append(f"{sent} ran {len(ran)} times")
+        if sent.kind in ("buy", "doc") and len(runs) > 1:
+            found.append(f"{sent} ran {len(runs)} times")
         answer = sent.answer
         if answer is None:
-            if self._was_only_stopped(sent):
-                found.append(f"{sent} had no answer of an instance that stopped")
+            if self._was_stopped_gracefully(sent):
+                found.append(f"{sent} got no answer from an instance that stopped gracefully")
             return found
-        if answer.status in NOT_RUN and ran and sent.kind in ("buy", "doc"):
-            found.append(f"{sent} was told that it did not run")
-        if answer.status == 200 and not answer.cut:
+        if answer.status in NOT_RUN_STATUSES and runs and sent.kind in ("buy", "doc"):
+            found.append(f"{sent} ran but was answered as not run")
+        if answer.status == 200 and not answer.is_cut:
             if answer.headers.get("x-attempt-id") != sent.name:
-                found.append(f"{sent} got another's answer")
-            if answer.body != EXTRA and answer.pieces != WHOLE_STREAM and sent.kind in STREAMS:
-                found.append(f"{sent} got {answer.pieces}")
-            is_shops = answer.body == EXTRA or answer.body.startswith(b"by shop-")
-            if sent.kind not in STREAMS and not is_shops:
+                found.append(f"{sent} got the answer to another request")
+            if (
+                answer.body != EXTRA_MODE_BODY
+                and answer.event_data != COMPLETE_STREAM
+                and sent.kind in STREAMS
+            ):
+                found.append(f"{sent} got {answer.event_data}")
+            is_plain_answer = answer.body == EXTRA_MODE_BODY or answer.body.startswith(b"by shop-")
+            if sent.kind not in STREAMS and not is_plain_answer:
                 found.append(f"{sent} got {answer.body!r}")
         if answer.status == 200 and sent.key == SECOND_KEY:
-            late = sent.at - REVOKE_S - SLACK_S
-            if any(each.covers(late, sent.at) for each in self.revoked):
-                found.append(f"{sent} was served with a key that was taken away")
+            revoked_by = sent.sent_at - REVOKE_S - SLACK_S
+            if any(each.covers(revoked_by, sent.sent_at) for each in self.revoked):
+                found.append(f"{sent} was served with a revoked key")
         return found
 
-    def _was_only_stopped(self, sent: Sent) -> bool:
-        """Tell whether a request was in the hands of a process that was stopped, not killed."""
-        told = [each.since for each in self.stopped if each.what == sent.instance]
-        after = min((at for at in told if at > sent.at), default=None)
-        if after is None or after - sent.at > 8.0:
+    def _was_stopped_gracefully(self, sent: Sent) -> bool:
+        """Return whether the instance of a request was stopped gracefully and not killed."""
+        stop_times = [each.start for each in self.stopped if each.subject == sent.instance]
+        stopped_at = min(
+            (stop_time for stop_time in stop_times if stop_time > sent.sent_at), default=None
+        )
+        if stopped_at is None or stopped_at - sent.sent_at > 8.0:
             return False
         return not any(
-            each.what == sent.instance and sent.at - 8.0 < each.since < after + 8.0
+            each.subject == sent.instance and sent.sent_at - 8.0 < each.start < stopped_at + 8.0
             for each in self.killed
         )
 
-    def _judge_leaving(self, span: Span) -> list[str]:
-        start = span.since + DRAIN_S + SLACK_S
-        if any(each.meets(span.since - 1.0, start) for each in self.blurred):
+    def _check_leaving(self, span: Span) -> list[str]:
+        start = span.start + DRAIN_S + SLACK_S
+        if any(each.overlaps(span.start - 1.0, start) for each in self.unchecked):
             return []
-        end = min(span.until, start + 0.5)
-        seen = self.world.servers[span.what].seen
-        late = [each for each in seen if each.ran and start < each.at < end]
-        return [f"{span.what} left at {span.since:.2f} and got {each}" for each in late]
+        end = min(span.end, start + 0.5)
+        requests = self.world.servers[span.subject].received
+        late_runs = [each for each in requests if each.was_run and start < each.received_at < end]
+        return [f"{span.subject} left at {span.start:.2f} and got {each}" for each in late_runs]
 
 
-TROUBLES: Final = (
-    Soak.store_trouble,
+FAULTS: Final = (
+    Soak.disturb_store,
     Soak.change_settings,
-    Soak.server_leaves,
-    Soak.server_crashes,
-    Soak.server_misbehaves,
-    Soak.server_misbehaves,
-    Soak.instance_is_killed,
-    Soak.instance_is_stopped,
-    Soak.instance_freezes,
+    Soak.drain_server,
+    Soak.crash_server,
+    Soak.make_server_misbehave,
+    Soak.make_server_misbehave,
+    Soak.kill_instance,
+    Soak.stop_instance,
+    Soak.freeze_instance,
 )
 
 
 def run(seed: int, seconds: float, directory: Path) -> list[str]:
-    """Play one seed; give what was broken."""
+    """Run the soak with a seed; return the violated guarantees."""
     bounds = {"revoke_ms": REVOKE_S * 1000, "drain_ms": DRAIN_S * 1000}
-    with PlatformWorld(directory, engines=3, plain=3, instances=3, bounds=bounds) as world:
+    with PlatformWorld(directory, engines=3, plain_servers=3, instances=3, bounds=bounds) as world:
         soak = Soak(world, Random(seed))
         callers = [
             threading.Thread(target=soak.call_until_over, args=(number,))
@@ -371,60 +378,64 @@
             soak.play(seconds)
             _settle(soak)
         finally:
-            soak.over.set()
+            soak.is_over.set()
             for each in callers:
                 each.join()
-        broken = soak.broken()
-        if broken:
-            broken += [f"  {each}" for each in soak.told]
-        return broken
+        violations = soak.violations()
+        if violations:
+            violations += [f"  {each}" for each in soak.event_log]
+        return violations
 
 
 def _settle(soak: Soak) -> None:
-    """Wait until every instance serves everything again by the newest settings."""
+    """End all faults, and wait until every instance serves all kinds of requests."""
     world = soak.world
     world.set_mode("")
     for span in soak.revoked:
-        span.until = min(span.until, time.monotonic())
+        span.end = min(span.end, time.monotonic())
     world.publish()
     for name in world.running:
         try:
             until(partial(_serves_all, world, name), f"{name} serves again")
         except TimeoutError as exc:
-            soak.told.append(f"BROKEN {exc}: {_asked(world, name)}, {world.beliefs(name)}")
+            soak.event_log.append(
+                f"BROKEN {exc}: {_send_all_kinds(world, name)}, {world.reported_state(name)}"
+            )
 
 
 def _serves_all(world: PlatformWorld, name: str) -> bool:
     try:
-        return all(each.status == 200 for each in _asked(world, name))
+        return all(each.status == 200 for each in _send_all_kinds(world, name))
     except (OSError, http.client.HTTPException):
         return False
 
 
-def _asked(world: PlatformWorld, name: str) -> list[Answer]:
+def _send_all_kinds(world: PlatformWorld, name: str) -> list[Answer]:
     return [
-        world.look(instance=name, X_Key=SECOND_KEY),
-        world.buy(instance=name),
-        world.ask(instance=name),
+        world.send_safe(instance=name, X_Key=SECOND_KEY),
+        world.send_unsafe(instance=name),
+        world.send(instance=name),
     ]
 
 
 def main() -> int:
-    """Play seeds by hand."""
+    """Run the seeds given on the command line."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seeds", default="1-10")
     parser.add_argument("--seconds", type=float, default=12.0)
     args = parser.parse_args()
     first, _, last = args.seeds.partition("-")
-    bad = 0
+    failed_seeds = 0
     for seed in range(int(first), int(last or first) + 1):
         directory = Path(tempfile.mkdtemp(prefix=f"soak-{seed}-"))
-        broken = run(seed, args.seconds, directory)
-        bad += bool(broken)
-        print(f"seed {seed}: {'broken, see ' + str(directory) if broken else 'kept'}", flush=True)
-        for each in broken:
-            print(f"  {each}", flush=True)
-    return 1 if bad else 0
+        violations = run(seed, args.seconds, directory)
+        failed_seeds += bool(violations)
+        print(
+            f"seed {seed}: {'broken, see ' + str(directory) if violations else 'kept'}", flush=True
+        )
+        for line in violations:
+            print(f"  {line}", flush=True)
+    return 1 if failed_seeds else 0
 
 
 if __name__ == "__main__":
--- a/tests/platform/standin_duties.py
+++ b/tests/platform/standin_duties.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's calls that one holder at a time may make."""
+"""A stand-in for the platform's API for usage reports and server orders."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DutyCall:
-    """A call that was carried out."""
+    """An accepted call."""
 
     path: str
     holder: str
@@ -20,17 +20,17 @@
     body: dict[str, Any]
 
 
-class DutyDesk:
-    """Takes usage reports and orders of servers."""
+class DutyStandin:
+    """Accepts usage reports and server orders from the duty holder."""
 
     def __init__(self) -> None:
-        # How it misbehaves: "", "busy", "silent", or "none": no servers are to be had.
+        # "" for correct answers, "busy", "silent", or "none" (no servers are available).
         self.mode = ""
-        # Whether calls below a fencing number that was seen are refused.
+        # Whether calls with a stale fencing number are refused.
         self.checks_fence = True
-        self.taken: list[DutyCall] = []
+        self.accepted: list[DutyCall] = []
         self.refused = 0
-        self._highest: dict[str, int] = {}
+        self._highest_fences: dict[str, int] = {}
 
     async def handle(self, call: Call) -> bool:
         """Answer one call."""
@@ -38,44 +38,44 @@
             await call.answer(429)
             return True
         if self.mode == "silent":
-            await call.closed()
+            await call.wait_closed()
             return False
         body = json.loads(call.body)
         subject = call.path
         if call.path == "/scale":
             subject = f"{body['service']}/{body['zone']}"
         fence = int(call.headers["x-fencing-token"])
-        if self.checks_fence and fence < self._highest.get(subject, -1):
+        if self.checks_fence and fence < self._highest_fences.get(subject, -1):
             self.refused += 1
             await call.answer(409, b'{"error":"a higher fence was seen"}')
             return True
-        self._highest[subject] = max(fence, self._highest.get(subject, -1))
+        self._highest_fences[subject] = max(fence, self._highest_fences.get(subject, -1))
         if self.mode == "none" and call.path == "/scale":
             await call.answer(409, b'{"error":"none of that kind is to be had there"}')
             return True
-        self.taken.append(DutyCall(call.path, call.headers["x-lease-holder"], fence, body))
+        self.accepted.append(DutyCall(call.path, call.headers["x-lease-holder"], fence, body))
         await asyncio.sleep(0)
         await call.answer(200, b"{}")
         return True
 
-    def reports(self) -> dict[int, dict[str, int]]:
-        """Give the counts that were taken, by window; reports of one window must not differ."""
-        found: dict[int, dict[str, int]] = {}
-        for each in list(self.taken):
-            if each.path == "/usage":
-                counts = each.body["counts"]
-                assert found.setdefault(each.body["window-id"], counts) == counts
-        return found
+    def counts_by_window(self) -> dict[int, dict[str, int]]:
+        """Return the reported counts by window; fail if reports of one window differ."""
+        reports: dict[int, dict[str, int]] = {}
+        for call in list(self.accepted):
+            if call.path == "/usage":
+                counts = call.body["counts"]
+                assert reports.setdefault(call.body["window-id"], counts) == counts
+        return reports
 
-    def total(self) -> int:
-        """Count all requests that were reported."""
-        return sum(sum(each.values()) for each in self.reports().values())
+    def reported_requests(self) -> int:
+        """Return the number of reported requests."""
+        return sum(sum(each.values()) for each in self.counts_by_window().values())
 
     def holders(self) -> list[str]:
-        """Name who made calls, in order, each change once."""
-        names = [each.holder for each in list(self.taken)]
-        return [name for at, name in enumerate(names) if at == 0 or names[at - 1] != name]
+        """Return the names of successive holders, in order."""
+        names = [each.holder for each in list(self.accepted)]
+        return [name for n, name in enumerate(names) if n == 0 or names[n - 1] != name]
 
     def orders(self) -> list[dict[str, Any]]:
-        """Give the orders of servers that were taken."""
-        return [each.body for each in list(self.taken) if each.path == "/scale"]
+        """Return the accepted server orders."""
+        return [each.body for each in list(self.accepted) if each.path == "/scale"]
--- a/tests/platform/standin_http.py
+++ b/tests/platform/standin_http.py
@@ -1,4 +1,4 @@
-"""A small HTTP/1.1 server of raw connections, so that a test decides every byte that is sent."""
+"""A small HTTP/1.1 server on raw connections, on which tests control every byte sent."""
 
 from __future__ import annotations
 
@@ -16,46 +16,46 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request that was read, and the connection to answer on."""
+    """A received request and its connection."""
 
     method: str
     path: str
     query: dict[str, str]
     target: str
-    # Names in lower case.
+    # Header names are in lower case.
     headers: dict[str, str]
     body: bytes
-    # Number of requests on this connection before this one.
-    earlier: int
+    # Number of requests received earlier on this connection.
+    earlier_requests: int
     reader: asyncio.StreamReader
     writer: asyncio.StreamWriter
 
     async def answer(
         self, status: int, body: bytes = b"", headers: dict[str, str] | None = None
     ) -> None:
-        """Write a whole answer."""
+        """Write a complete answer."""
         lines = [f"HTTP/1.1 {status} X"]
         lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
         lines += [f"Content-Length: {len(body)}", "", ""]
         await self.write("\r\n".join(lines).encode() + body)
 
     async def write(self, data: bytes) -> None:
-        """Write bytes as they are."""
+        """Write raw bytes."""
         self.writer.write(data)
         await self.writer.drain()
 
-    def cut(self) -> None:
+    def reset(self) -> None:
         """Reset the connection."""
         self.writer.transport.abort()
 
-    async def closed(self) -> None:
+    async def wait_closed(self) -> None:
         """Wait until the other end has closed the connection."""
         while await self.reader.read(4096):
             pass
 
 
 class Listener:
-    """Serves on one address, on the loop of a `Loop`."""
+    """Serves on one address, in the thread of a `LoopThread`."""
 
     def __init__(self, address: str, handler: Handler) -> None:
         self.address = address
@@ -65,12 +65,12 @@
         self.connections = 0
 
     async def start(self) -> None:
-        """Listen."""
+        """Start to listen."""
         host, _, port = self.address.rpartition(":")
         self._server = await asyncio.start_server(self._serve, host, int(port))
 
     async def stop(self) -> None:
-        """Close the port and reset what is open."""
+        """Close the port and reset open connections."""
         if self._server is not None:
             self._server.close()
             self._server = None
@@ -80,13 +80,13 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         self._writers.add(writer)
-        earlier = 0
+        earlier_requests = 0
         try:
             while True:
-                call = await _read(reader, writer, earlier)
+                call = await _read(reader, writer, earlier_requests)
                 if call is None or not await self._handler(call):
                     return
-                earlier += 1
+                earlier_requests += 1
         except (OSError, asyncio.IncompleteReadError, asyncio.CancelledError):
             return
         finally:
@@ -95,7 +95,7 @@
 
 
 async def _read(
-    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, earlier: int
+    reader: asyncio.StreamReader, writer: asyncio.StreamWriter, earlier_requests: int
 ) -> Call | None:
     try:
         head = await reader.readuntil(b"\r\n\r\n")
@@ -110,12 +110,14 @@
             headers[name.strip().lower()] = value.strip()
     body = await reader.readexactly(int(headers.get("content-length", "0")))
     path, _, query = target.partition("?")
-    named = dict(parse_qsl(query))
-    return Call(method, path, named, target, headers, body, earlier, reader, writer)
+    query_parameters = dict(parse_qsl(query))
+    return Call(
+        method, path, query_parameters, target, headers, body, earlier_requests, reader, writer
+    )
 
 
-class Loop:
-    """An event loop in a thread of its own, for listeners beside a test."""
+class LoopThread:
+    """An event loop in a background thread, which runs the listeners of a test."""
 
     def __init__(self) -> None:
         self._loop = asyncio.new_event_loop()
@@ -137,7 +139,7 @@
         self._loop.close()
 
     def run(self, work: Awaitable[None]) -> None:
-        """Run something on the loop and wait for it."""
+        """Run an awaitable on the loop and wait for it."""
 
         async def wrapped() -> None:
             await work
@@ -146,7 +148,7 @@
 
 
 async def _cancel_all() -> None:
-    tasks = [each for each in asyncio.all_tasks() if each is not asyncio.current_task()]
-    for each in tasks:
-        each.cancel()
+    tasks = [task for task in asyncio.all_tasks() if task is not asyncio.current_task()]
+    for task in tasks:
+        task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
--- a/tests/platform/standin_server.py
+++ b/tests/platform/standin_server.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform's servers, and how each of them may misbehave."""
+"""A stand-in for the platform's servers, with modes in which it misbehaves."""
 
 from __future__ import annotations
 
@@ -13,153 +13,157 @@
 
 
 @dataclass(slots=True)
-class Seen:
-    """One request as a server got it."""
+class ReceivedRequest:
+    """A request as received by a server."""
 
     server: str
     path: str
     headers: dict[str, str]
     body: bytes
-    # It was begun; refusals are not.
-    ran: bool
-    # Requests before it on its connection.
-    earlier: int = 0
-    # How it ended: "whole", "cut" or "left" by the caller.
-    end: str = ""
-    # When it came.
-    at: float = field(default_factory=time.monotonic)
+    # False if the server refused it.
+    was_run: bool
+    # Number of requests received earlier on the connection.
+    earlier_requests: int = 0
+    # "complete", "reset" by the server, "abandoned" by the caller, or "" while it runs.
+    outcome: str = ""
+    received_at: float = field(default_factory=time.monotonic)
 
 
 @dataclass(slots=True)
 class Server:
-    """A server of one service; `mode` says what it does with the next requests."""
+    """A server of one service; `mode` selects how it treats the next requests."""
 
     name: str
-    stream: bool
+    is_streaming: bool
     address: str = ""
-    # "", or one of the modes below.
+    # "" for correct answers, or one of the modes in `handle`.
     mode: str = ""
-    # Requests for which the mode holds; negative for all.
-    times: int = -1
-    events: int = 6
-    # Between two events, seconds.
-    pace_s: float = 0.0
-    # A body that crashes whichever server begins to run it.
-    poison: bytes = b""
-    # Takes this server off its port.
-    crash: Callable[[], Awaitable[None]] | None = None
-    seen: list[Seen] = field(default_factory=list)
-    # Set to let held answers go.
-    go_on: asyncio.Event = field(default_factory=asyncio.Event)
+    # Number of requests to which the mode applies; negative for all.
+    mode_requests: int = -1
+    event_count: int = 6
+    event_interval_s: float = 0.0
+    # A request body that crashes the server.
+    crash_body: bytes = b""
+    # Closes the port of this server.
+    close_port: Callable[[], Awaitable[None]] | None = None
+    received: list[ReceivedRequest] = field(default_factory=list)
+    # Set to release streams that the mode "hold" has paused.
+    release_held: asyncio.Event = field(default_factory=asyncio.Event)
 
     async def handle(self, call: Call) -> bool:
         """Answer one request."""
         mode = self._take_mode()
-        name = call.headers.get("x-attempt-id", "")
-        seen = Seen(self.name, call.target, call.headers, call.body, True, call.earlier)
-        self.seen.append(seen)
-        head = {"X-Attempt-Id": name, "X-Server-Signature": SIGNATURE}
+        attempt_id = call.headers.get("x-attempt-id", "")
+        request = ReceivedRequest(
+            self.name, call.target, call.headers, call.body, True, call.earlier_requests
+        )
+        self.received.append(request)
+        answer_headers = {"X-Attempt-Id": attempt_id, "X-Server-Signature": SIGNATURE}
         expected = call.headers.get("x-expect-instance")
         if expected != self.name or mode == "misdirected":
-            seen.ran = False
-            await call.answer(421, b"", {"X-Attempt-Id": name})
+            request.was_run = False
+            await call.answer(421, b"", {"X-Attempt-Id": attempt_id})
             return True
-        if self.poison and call.body == self.poison and self.crash is not None:
-            seen.end = "cut"
-            call.cut()
-            await self.crash()
+        if self.crash_body and call.body == self.crash_body and self.close_port is not None:
+            request.outcome = "reset"
+            call.reset()
+            await self.close_port()
             return False
         match mode:
             case "stale":
-                # Its end of kept connections is gone, and nothing on the way says so.
-                if call.earlier:
-                    seen.ran = False
-                    await call.closed()
+                # Models reused connections that silently drop everything.
+                if call.earlier_requests:
+                    request.was_run = False
+                    await call.wait_closed()
                     return False
             case "shed":
-                seen.ran = False
-                await call.answer(503, b"", {"X-Attempt-Id": name, "X-Not-Executed": "1"})
+                request.was_run = False
+                await call.answer(503, b"", {"X-Attempt-Id": attempt_id, "X-Not-Executed": "1"})
                 return True
             case "false_promise":
-                await call.answer(503, b"busy", head)
+                await call.answer(503, b"busy", answer_headers)
                 return True
             case "error":
-                await call.answer(500, b"failed", head)
+                await call.answer(500, b"failed", answer_headers)
                 return True
             case "foreign":
-                await call.answer(200, b"another's", {**head, "X-Attempt-Id": "another"})
+                await call.answer(200, b"another's", {**answer_headers, "X-Attempt-Id": "another"})
                 return True
             case "unsigned":
-                await call.answer(200, b"bytes", {"X-Attempt-Id": name})
+                await call.answer(200, b"bytes", {"X-Attempt-Id": attempt_id})
                 return True
             case "encoded":
-                await call.answer(200, b"bytes", {**head, "Content-Encoding": "gzip"})
+                await call.answer(200, b"bytes", {**answer_headers, "Content-Encoding": "gzip"})
                 return True
             case "lost":
-                seen.end = "cut"
-                call.cut()
+                request.outcome = "reset"
+                call.reset()
                 return False
             case "mute":
-                await call.closed()
-                seen.end = "left"
+                await call.wait_closed()
+                request.outcome = "abandoned"
                 return False
             case "extra":
-                await call.answer(200, b"mine", head)
-                await call.answer(200, b"extra", head)
+                await call.answer(200, b"mine", answer_headers)
+                await call.answer(200, b"extra", answer_headers)
                 return True
             case _:
                 pass
-        if not self.stream:
-            return await self._answer_plain(call, head, mode, seen)
-        return await self._answer_stream(call, head, mode, seen)
+        if not self.is_streaming:
+            return await self._answer_plain(call, answer_headers, mode, request)
+        return await self._answer_stream(call, answer_headers, mode, request)
 
     def _take_mode(self) -> str:
-        if self.times == 0:
+        if self.mode_requests == 0:
             return ""
-        if self.times > 0:
-            self.times -= 1
+        if self.mode_requests > 0:
+            self.mode_requests -= 1
         return self.mode
 
-    async def _answer_plain(self, call: Call, head: dict[str, str], mode: str, seen: Seen) -> bool:
+    async def _answer_plain(
+        self, call: Call, answer_headers: dict[str, str], mode: str, request: ReceivedRequest
+    ) -> bool:
         if mode == "unframed":
-            lines = "".join(f"{name}: {value}\r\n" for name, value in head.items())
+            lines = "".join(f"{name}: {value}\r\n" for name, value in answer_headers.items())
             await call.write(f"HTTP/1.1 200 X\r\n{lines}\r\nwhole".encode())
             return False
         if mode == "short":
-            lines = "".join(f"{name}: {value}\r\n" for name, value in head.items())
+            lines = "".join(f"{name}: {value}\r\n" for name, value in answer_headers.items())
             await call.write(f"HTTP/1.1 200 X\r\n{lines}Content-Length: 9\r\n\r\nhalf".encode())
-            seen.end = "cut"
+            request.outcome = "reset"
             return False
-        await call.answer(200, f"by {self.name}".encode(), head)
-        seen.end = "whole"
+        await call.answer(200, f"by {self.name}".encode(), answer_headers)
+        request.outcome = "complete"
         return True
 
-    async def _answer_stream(self, call: Call, head: dict[str, str], mode: str, seen: Seen) -> bool:
-        after = int(call.headers.get("last-event-id") or "-1")
-        lines = "".join(f"{name}: {value}\r\n" for name, value in head.items())
+    async def _answer_stream(
+        self, call: Call, answer_headers: dict[str, str], mode: str, request: ReceivedRequest
+    ) -> bool:
+        last_event_id = int(call.headers.get("last-event-id") or "-1")
+        lines = "".join(f"{name}: {value}\r\n" for name, value in answer_headers.items())
         start = f"HTTP/1.1 200 X\r\n{lines}Content-Type: text/event-stream\r\n"
         await call.write(f"{start}Transfer-Encoding: chunked\r\n\r\n".encode())
-        left = asyncio.create_task(call.closed())
-        for number in range(after + 1, self.events):
-            if mode == "cut" and number == self.events // 2:
-                # In the middle of an event.
+        caller_left = asyncio.create_task(call.wait_closed())
+        for number in range(last_event_id + 1, self.event_count):
+            if mode == "cut" and number == self.event_count // 2:
+                # Ends in the middle of an event.
                 await call.write(_chunk(f"id: {number}\ndata: ha".encode()))
-                seen.end = "cut"
-                left.cancel()
+                request.outcome = "reset"
+                caller_left.cancel()
                 return False
-            if mode == "hold" and number == self.events // 2:
-                held = asyncio.create_task(self.go_on.wait())
-                await asyncio.wait({held, left}, return_when=asyncio.FIRST_COMPLETED)
-                held.cancel()
-            if left.done():
-                seen.end = "left"
+            if mode == "hold" and number == self.event_count // 2:
+                release = asyncio.create_task(self.release_held.wait())
+                await asyncio.wait({release, caller_left}, return_when=asyncio.FIRST_COMPLETED)
+                release.cancel()
+            if caller_left.done():
+                request.outcome = "abandoned"
                 return False
             await call.write(_chunk(f"id: {number}\ndata: piece {number}\n\n".encode()))
-            if self.pace_s:
-                await asyncio.sleep(self.pace_s)
+            if self.event_interval_s:
+                await asyncio.sleep(self.event_interval_s)
         await call.write(b"0\r\n\r\n")
-        seen.end = "whole"
-        left.cancel()
+        request.outcome = "complete"
+        caller_left.cancel()
         return False
 
 
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -1,4 +1,4 @@
-"""What a caller is told when a server misbehaves: never more than is known."""
+"""Tests of the answers that callers get when servers misbehave."""
 
 from __future__ import annotations
 
@@ -11,109 +11,105 @@
 
 @pytest.fixture
 def world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[PlatformWorld]:
-    """Have one instance before servers that tests have misbehave."""
+    """Yield a world with one instance and servers that tests make misbehave."""
     with PlatformWorld(tmp_path_factory.mktemp("answers")) as world:
         yield world
 
 
 @pytest.mark.parametrize("mode", ["foreign", "unsigned", "encoded", "false_promise", "short"])
-def test_an_answer_that_may_not_be_passed_on_ends_as_unknown(
-    world: PlatformWorld, mode: str
-) -> None:
-    # A server sends another request's answer, one without its signature, an encoded one, a status
-    # that promises what is not so, or less than it announced. The call ran, once; its caller must
-    # not hear that it did not, must not get these bytes as an answer, and it must not run again.
+def test_invalid_answer_of_an_unsafe_request_becomes_502(world: PlatformWorld, mode: str) -> None:
+    # Guards against forwarding an invalid answer, reporting the request as not run, or running it
+    # again.
     world.set_mode(mode)
-    answer = world.buy(request_id="a1")
+    answer = world.send_unsafe(request_id="a1")
     assert answer.status == 502
     assert "x-server-signature" not in answer.headers
-    assert len(world.ran("a1")) == 1
+    assert len(world.runs("a1")) == 1
 
 
-def test_a_call_that_may_not_repeat_and_is_lost_runs_once(world: PlatformWorld) -> None:
-    # The server runs it and its answer is lost with the connection.
+def test_unsafe_request_with_a_lost_answer_runs_once(world: PlatformWorld) -> None:
+    # Guards against repeating an unsafe request whose answer was lost.
     world.set_mode("lost")
-    assert world.buy(request_id="a2").status == 502
-    assert len(world.ran("a2")) == 1
+    assert world.send_unsafe(request_id="a2").status == 502
+    assert len(world.runs("a2")) == 1
 
 
-def test_a_call_that_may_repeat_is_had_from_another_server(world: PlatformWorld) -> None:
-    # The first server fails or loses the answer; a second one answers, and the caller sees only it.
+def test_safe_request_is_retried_on_another_server(world: PlatformWorld) -> None:
+    # Guards against failing a safe request that another server can answer.
     for number, mode in enumerate(("lost", "error", "short", "foreign")):
-        world.set_mode(mode, times=1)
+        world.set_mode(mode, request_count=1)
         world.set_mode("", "shop-2" if number % 2 else "shop-1")
-        answer = world.look(request_id=f"b{number}")
+        answer = world.send_safe(request_id=f"b{number}")
         assert (answer.status, answer.body[:2]) == (200, b"by")
-        assert len(world.ran(f"b{number}")) <= 2
+        assert len(world.runs(f"b{number}")) <= 2
 
 
-def test_a_servers_own_failure_is_passed_on_unchanged(world: PlatformWorld) -> None:
+def test_error_answer_of_a_server_is_forwarded_unchanged(world: PlatformWorld) -> None:
     world.set_mode("error")
-    assert (world.buy().status, world.buy().body) == (500, b"failed")
-    last = world.look(request_id="c1")
+    assert (world.send_unsafe().status, world.send_unsafe().body) == (500, b"failed")
+    last = world.send_safe(request_id="c1")
     assert (last.status, last.body) == (500, b"failed")
     assert last.headers["x-server-signature"]
-    assert len(world.ran("c1")) == 2
+    assert len(world.runs("c1")) == 2
 
 
 @pytest.mark.parametrize("mode", ["shed", "misdirected"])
-def test_what_no_server_ran_is_refused_and_the_caller_told_when_to_come_back(
+def test_request_that_was_not_run_gets_503_with_retry_after(
     world: PlatformWorld, mode: str
 ) -> None:
-    # Every server is full, or the addresses belong to other servers by now.
+    # Guards against refusals without a retry delay.
     world.set_mode(mode)
-    answer = world.buy(request_id="d1")
+    answer = world.send_unsafe(request_id="d1")
     assert answer.status == 503
     assert float(answer.headers["retry-after"]) > 0
-    assert not world.ran("d1")
+    assert not world.runs("d1")
 
 
-def test_bytes_behind_an_answer_reach_nobody(world: PlatformWorld) -> None:
-    # A server sends a second answer behind the first. On a kept connection it would be the next
-    # caller's.
+def test_surplus_bytes_after_an_answer_are_dropped(world: PlatformWorld) -> None:
+    # Guards against delivering surplus bytes to the next caller on a reused connection.
     world.set_mode("extra", "shop-1", "shop-2")
-    bodies = [world.look(request_id=f"e{number}").body for number in range(4)]
+    bodies = [world.send_safe(request_id=f"e{number}").body for number in range(4)]
     assert bodies == [b"mine"] * 4
-    assert all(seen.earlier == 0 for number in range(4) for seen in world.ran(f"e{number}"))
+    assert all(
+        request.earlier_requests == 0 for number in range(4) for request in world.runs(f"e{number}")
+    )
 
 
-def test_an_answer_that_ends_with_its_connection_is_whole(world: PlatformWorld) -> None:
+def test_answer_ended_by_connection_close_is_complete(world: PlatformWorld) -> None:
     world.set_mode("unframed")
-    answer = world.buy()
+    answer = world.send_unsafe()
     assert (answer.status, answer.body) == (200, b"whole")
 
 
-def test_a_stream_goes_on_at_another_server_after_its_last_whole_event(
+def test_stream_resumes_on_another_server_after_its_last_complete_event(
     world: PlatformWorld,
 ) -> None:
-    # The server stops in the middle of event 3; the caller has whole events only, each once, and
-    # the head that the first server gave.
-    world.set_mode("cut", "lm-1", "lm-2", times=1)
+    # Guards against partial or repeated events when a server fails in the middle of an event.
+    world.set_mode("cut", "lm-1", "lm-2", request_count=1)
     world.set_mode("", "lm-2")
-    world.crash("lm-2")
+    world.crash_server("lm-2")
     world.add_server("lm-3", "lm")
-    until(lambda: world.knows_servers(world.running["entry-1"]), "lm-3 is known")
-    answer = world.ask("/lm/chat/", request_id="f1")
-    assert answer.pieces == [f"piece {number}" for number in range(6)]
-    resumed = [seen.headers.get("last-event-id") for seen in world.ran("f1")]
+    until(lambda: world.has_listed_servers(world.running["entry-1"]), "lm-3 is listed")
+    answer = world.send("/lm/chat/", request_id="f1")
+    assert answer.event_data == [f"piece {number}" for number in range(6)]
+    resumed = [request.headers.get("last-event-id") for request in world.runs("f1")]
     assert resumed in ([None, "2"], [None])
 
 
-def test_a_stream_that_may_not_go_on_elsewhere_is_cut(world: PlatformWorld) -> None:
-    # A caller must not take the part for the whole answer.
+def test_stream_that_cannot_be_resumed_is_cut(world: PlatformWorld) -> None:
+    # Guards against a truncated stream that looks complete.
     world.set_mode("cut")
-    answer = world.ask("/lm/doc/", request_id="g1")
-    assert answer.cut
-    assert len(world.ran("g1")) == 1
+    answer = world.send("/lm/doc/", request_id="g1")
+    assert answer.is_cut
+    assert len(world.runs("g1")) == 1
 
 
-def test_a_server_that_never_answers_is_given_up_at_the_routes_time(
+def test_unresponsive_server_is_given_up_at_the_route_timeout(
     world: PlatformWorld,
 ) -> None:
-    # The caller would wait 8 s; the operator's limit for the route is 0.3 s. It is told at once
-    # that the call may have run, and the server is left alone with it.
+    # Guards against waiting for the caller's 8 s where the route's timeout is 0.3 s.
     world.set_mode("mute")
-    answer = world.ask("/shop/brief/", request_id="h1")
+    answer = world.send("/shop/brief/", request_id="h1")
     assert answer.status == 504
-    (seen,) = world.ran("h1")
-    until(lambda: seen.end == "left", "the server sees its caller leave")
+    (request,) = world.runs("h1")
+    until(lambda: request.outcome == "abandoned", "the server sees the request abandoned")
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties of one holder at a time, with real processes before a stand-in of the platform."""
+"""Tests of the duties, with real processes and a stand-in for the platform's API."""
 
 from __future__ import annotations
 
@@ -11,110 +11,118 @@
 from tests.platform.platform_world import PlatformWorld, document, until
 from turmericctl.main import cli
 
-# Short windows, so that a test waits for few seconds.
+# Short windows keep the tests fast.
 DUTIES: dict[str, Any] = {"kinds": ["metering"], "lease_ms": 1000, "window_s": 2, "late_s": 4}
 
 
 def serve(world: PlatformWorld, count: int) -> int:
-    """Have so many calls served, by all instances that run, and tell how many were."""
-    names = [name for name, each in world.running.items() if each.process.running]
-    statuses = [world.look(instance=names[at % len(names)]).status for at in range(count)]
+    """Send requests to the running instances in turn; return how many were served."""
+    names = [name for name, instance in world.running.items() if instance.process.running]
+    statuses = [world.send_safe(instance=names[n % len(names)]).status for n in range(count)]
     return statuses.count(200)
 
 
 def test_usage_is_reported_once_by_one_holder(tmp_path: Path) -> None:
     with PlatformWorld(tmp_path, instances=3, duties=dict(DUTIES)) as world:
         served = serve(world, 30)
-        assert world.ask().status == 200
-        until(lambda: world.desk.total() == served + 1, "all requests are reported")
-        assert len(world.desk.holders()) == 1
-        assert all(set(each) <= {"school"} for each in world.desk.reports().values())
+        assert world.send().status == 200
+        until(
+            lambda: world.duty_standin.reported_requests() == served + 1,
+            "all requests are reported",
+        )
+        assert len(world.duty_standin.holders()) == 1
+        assert all(
+            set(each) <= {"school"} for each in world.duty_standin.counts_by_window().values()
+        )
 
 
-def test_successor_of_a_killed_holder_reports_on(tmp_path: Path) -> None:
-    """Guards against usage that nobody reports once its holder has died."""
+def test_successor_of_a_killed_holder_reports_usage(tmp_path: Path) -> None:
+    """Guards against usage that is never reported after the holder has died."""
     with PlatformWorld(tmp_path, instances=3, duties=dict(DUTIES)) as world:
-        until(lambda: bool(world.desk.holders()), "somebody holds the duties")
-        holder = world.desk.holders()[0]
+        until(lambda: bool(world.duty_standin.holders()), "somebody holds the duties")
+        holder = world.duty_standin.holders()[0]
         world.running[holder].process.kill()
-        until(lambda: len(world.desk.holders()) > 1, "another one holds the duties")
-        reported = world.desk.total()
+        until(lambda: len(world.duty_standin.holders()) > 1, "another one holds the duties")
+        reported = world.duty_standin.reported_requests()
         served = serve(world, 20)
-        until(lambda: world.desk.total() == reported + served, "its requests are reported")
-        fences = [each.fence for each in world.desk.taken]
+        until(
+            lambda: world.duty_standin.reported_requests() == reported + served,
+            "its requests are reported",
+        )
+        fences = [each.fence for each in world.duty_standin.accepted]
         assert fences == sorted(fences)
 
 
-def test_holder_that_stops_leaves_the_duties_to_another(tmp_path: Path) -> None:
-    """Guards against counts of a stopping instance that die with it."""
+def test_stopping_holder_hands_over_the_duties(tmp_path: Path) -> None:
+    """Guards against losing the counts of a stopping instance."""
     with PlatformWorld(tmp_path, instances=3, duties=dict(DUTIES)) as world:
-        until(lambda: bool(world.desk.holders()), "somebody holds the duties")
+        until(lambda: bool(world.duty_standin.holders()), "somebody holds the duties")
         served = serve(world, 20)
-        holder = world.desk.holders()[0]
+        holder = world.duty_standin.holders()[0]
         world.running[holder].process.terminate()
-        until(lambda: world.desk.total() == served, "all requests are reported")
-        until(lambda: world.desk.holders()[-1] != holder, "another one holds the duties")
+        until(lambda: world.duty_standin.reported_requests() == served, "all requests are reported")
+        until(lambda: world.duty_standin.holders()[-1] != holder, "another one holds the duties")
 
 
-def test_reports_wait_for_a_platform_that_is_away(tmp_path: Path) -> None:
-    """Guards against windows that are lost while the platform does not answer."""
+def test_reports_are_sent_after_a_platform_outage(tmp_path: Path) -> None:
+    """Guards against losing windows while the platform does not answer."""
     with PlatformWorld(tmp_path, instances=2, duties=dict(DUTIES)) as world:
-        until(lambda: bool(world.desk.holders()), "somebody holds the duties")
-        world.desk.mode = "silent"
+        until(lambda: bool(world.duty_standin.holders()), "somebody holds the duties")
+        world.duty_standin.mode = "silent"
         served = serve(world, 20)
-        windows = len(world.desk.reports())
-        until(lambda: _settled(world) >= windows + 2, "windows are settled meanwhile")
-        world.desk.mode = ""
-        until(lambda: world.desk.total() == served, "all requests are reported")
+        windows = len(world.duty_standin.counts_by_window())
+        until(lambda: _count_settled_windows(world) >= windows + 2, "windows are settled meanwhile")
+        world.duty_standin.mode = ""
+        until(lambda: world.duty_standin.reported_requests() == served, "all requests are reported")
 
 
-def _settled(world: PlatformWorld) -> int:
+def _count_settled_windows(world: PlatformWorld) -> int:
     return sum(len(each.logged("usage_settled")) for each in world.running.values())
 
 
-def test_servers_are_ordered_as_spot_ones_before_the_lasting_go(tmp_path: Path) -> None:
+def test_spot_servers_are_ordered_before_others_are_released(tmp_path: Path) -> None:
     duties = {**DUTIES, "kinds": ["autoscaling"]}
     with PlatformWorld(tmp_path, engines=8, duties=duties) as world:
         lm, shop = document(1)["services"]
         scale = {"min": 1, "max": 20, "boot-s": 0.1, "spot-price": 0.2, "zone-prices": {"dc-1": 1}}
         world.publish(services=[{**lm, "autoscale": scale}, shop])
-        until(lambda: bool(world.desk.orders()), "servers are ordered")
-        first = world.desk.orders()[0]
+        until(lambda: bool(world.duty_standin.orders()), "servers are ordered")
+        first = world.duty_standin.orders()[0]
         assert first == {"service": "lm", "zone": "dc-1", "desired": 12, "spot": True}
-        assert len(world.desk.orders()) == 1
+        assert len(world.duty_standin.orders()) == 1
         for number in range(9, 21):
             world.add_server(f"lm-{number}", "lm")
             world.register(f"lm-{number}", spot=True)
         until(
-            lambda: any("spot" not in each for each in world.desk.orders()),
+            lambda: any("spot" not in each for each in world.duty_standin.orders()),
             "lasting servers are ordered down",
         )
-        lasting = [each for each in world.desk.orders() if "spot" not in each]
+        lasting = [each for each in world.duty_standin.orders() if "spot" not in each]
         assert lasting[0] == {"service": "lm", "zone": "dc-1", "desired": 1}
 
 
-def test_operators_see_who_holds_the_duties(tmp_path: Path) -> None:
+def test_command_line_shows_the_duty_holder(tmp_path: Path) -> None:
     with PlatformWorld(tmp_path, instances=1, duties=dict(DUTIES)) as world:
-        until(lambda: bool(world.desk.holders()), "somebody holds the duties")
+        until(lambda: bool(world.duty_standin.holders()), "somebody holds the duties")
         cfg = json.loads((tmp_path / "entry-1.json").read_text().split("\n", 1)[1])
-        shown = CliRunner().invoke(cli, ["--admin", cfg["admin_address"], "duties"])
-        assert shown.exit_code == 0
-        assert "holder      entry-1, fencing number 0" in shown.output
-        assert "reported" in shown.output
+        result = CliRunner().invoke(cli, ["--admin", cfg["admin_address"], "duties"])
+        assert result.exit_code == 0
+        assert "holder      entry-1, fencing number 0" in result.output
+        assert "reported" in result.output
 
 
-def test_a_platform_without_duties_says_so(tmp_path: Path) -> None:
+def test_command_line_reports_a_platform_without_duties(tmp_path: Path) -> None:
     with PlatformWorld(tmp_path) as world:
-        world.look()
+        world.send_safe()
         cfg = json.loads((tmp_path / "entry-1.json").read_text().split("\n", 1)[1])
-        shown = CliRunner().invoke(cli, ["--admin", cfg["admin_address"], "duties"])
-        assert shown.exit_code != 0
-        assert "no duties" in str(shown.exception)
+        result = CliRunner().invoke(cli, ["--admin", cfg["admin_address"], "duties"])
+        assert result.exit_code != 0
+        assert "no duties" in str(result.exception)
         assert world.store.answered["keyed.leases"] == 0
 
 
-def test_wrong_settings_of_duties_end_the_start(tmp_path: Path) -> None:
+def test_invalid_duty_settings_prevent_the_start(tmp_path: Path) -> None:
     with PlatformWorld(tmp_path, instances=0, duties={**DUTIES, "window_s": 0}) as world:
         instance = world.add_instance("entry-1", wait=False)
-        until(lambda: not instance.process.running, "it ends")
+        until(lambda: not instance.process.running, "the process ends")
         assert "duties.window_s" in instance.process.stderr_text()
--- a/tests/platform/test_follower.py
+++ b/tests/platform/test_follower.py
@@ -1,4 +1,4 @@
-"""When an instance reads the store."""
+"""Tests of when an instance reads the store."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from turmericweir_core.messages.events import Event
 from turmericweir_platform.store import Follower, StoreClient
 
-NOTHING = struct.pack(">QQ", 0, 0)
+EMPTY_PAGE = struct.pack(">QQ", 0, 0)
 
 
-class _Node:
-    """Has events reduced."""
+class _ReducingNode:
+    """Passes events to the reducer."""
 
     def __init__(self, world: StoreWorld) -> None:
         self.state = world.state
@@ -31,7 +31,7 @@
         self._world.give(event)
 
 
-class _Cfg:
+class _Settings:
     class store:  # noqa: N801
         address = "127.0.0.1:1"
 
@@ -39,54 +39,53 @@
         drain_ms = 2000
 
 
-def follow(world: StoreWorld, part: Callable[[Follower], Any]) -> list[str]:
-    """Run a part of a follower; list what it did, in order: pauses, and calls with their target."""
-    done: list[str] = []
+def run_follower(world: StoreWorld, method: Callable[[Follower], Any]) -> list[str]:
+    """Run a method of a follower; return its pauses and call targets, in order."""
+    steps: list[str] = []
 
     async def call(_self: StoreClient, target: str, _timeout_s: float) -> Answer:
-        done.append(target)
-        return Answer(200, {}, NOTHING)
+        steps.append(target)
+        return Answer(200, {}, EMPTY_PAGE)
 
     async def sleep(_seconds: float) -> None:
-        done.append("pause")
+        steps.append("pause")
 
     async def main() -> None:
-        follower = Follower(cast(BackendPool, None), cast(Any, _Cfg))
-        follower.attach(cast(Node, _Node(world)))
-        await part(follower)
+        follower = Follower(cast(BackendPool, None), cast(Any, _Settings))
+        follower.attach(cast(Node, _ReducingNode(world)))
+        await method(follower)
 
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(StoreClient, "_call", call)
         patch.setattr("turmericweir_platform.store.anyio.sleep", sleep)
         anyio.run(main)
-    return done
+    return steps
 
 
-def settled(world: StoreWorld, *, reads: bool) -> StoreWorld:
-    """Let an instance be one that reads for others, or one that was not told in time."""
-    world.state.members.started_at = float("-inf") if reads else None
+def make_reader(world: StoreWorld, *, is_reader: bool) -> StoreWorld:
+    """Make an instance a reader, or one whose updates from the reader are overdue."""
+    world.state.members.started_at = float("-inf") if is_reader else None
     return world
 
 
-def test_one_that_was_not_told_of_the_servers_reads_at_once() -> None:
-    # The instance that reads for all dies just before a server leaves. The others have waited for
-    # its word; a pause on top would give the leaving server requests for longer than is allowed.
-    world = settled(StoreWorld(), reads=False)
-    (target,) = follow(world, lambda each: each._read_next_entries(1, False))
+def test_instance_with_overdue_updates_reads_servers_at_once() -> None:
+    # Guards against a pause that delays the notice of a leaving server after the reader has died.
+    world = make_reader(StoreWorld(), is_reader=False)
+    (target,) = run_follower(world, lambda each: each._read_next_entries(1, False))
     assert "log-read" in target
 
 
-def test_a_reader_pauses_between_reads_of_the_servers() -> None:
-    world = settled(StoreWorld(), reads=True)
-    pause, target = follow(world, lambda each: each._read_next_entries(1, False))
+def test_reader_pauses_between_reads_of_the_servers() -> None:
+    world = make_reader(StoreWorld(), is_reader=True)
+    pause, target = run_follower(world, lambda each: each._read_next_entries(1, False))
     assert pause == "pause"
     assert "log-read" in target
 
 
-@pytest.mark.parametrize("reads", [False, True])
-def test_only_a_reader_pauses_before_it_reads_the_settings(reads: bool) -> None:
-    """What an instance that was not told holds is old: waiting would make its keys stop."""
-    world = settled(StoreWorld(), reads=reads)
-    *pauses, target = follow(world, lambda each: each._read_next_document(1, False))
-    assert pauses == ["pause"] * reads
+@pytest.mark.parametrize("is_reader", [False, True])
+def test_only_a_reader_pauses_before_reading_the_settings(is_reader: bool) -> None:
+    """Guards against a pause that makes a stale freshness proof expire."""
+    world = make_reader(StoreWorld(), is_reader=is_reader)
+    *pauses, target = run_follower(world, lambda each: each._read_next_document(1, False))
+    assert pauses == ["pause"] * is_reader
     assert "log-read" in target
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -1,4 +1,4 @@
-"""What callers, operators and servers write, read once: good, broken and unknown."""
+"""Tests of decoding requests, answers, server entries and settings, valid and malformed."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 
 ROOT = Path(__file__).resolve().parents[2]
 ENTRY = {"service": "lm", "address": "10.0.0.1:80", "zone": "dc-1", "state": "ready"}
-# Every refusal says something.
-REASON = r"\w"
+# Matches any non-empty message.
+ANY_MESSAGE = r"\w"
 WIRE = PlatformWire()
 CALL = ForwardCall(b"GET", b"/", (), b"", b"a1", False, False, b"")
 
@@ -35,19 +35,19 @@
 
 
 def head(path: str, *headers: tuple[bytes, bytes], arrived: float = 100.0) -> RequestHead:
-    every = [
+    all_headers = [
         (b"host", HOST.encode()),
         (b"x-key", KEY.encode()),
         (b"x-attempt-id", b"a1"),
         *headers,
     ]
-    return RequestHead(b"POST", path.encode(), every, arrived)
+    return RequestHead(b"POST", path.encode(), all_headers, arrived)
 
 
 # --- servers' entries ---
 
 
-def test_an_entry_names_a_server_and_unknown_fields_are_left_alone() -> None:
+def test_entry_is_decoded_and_unknown_fields_are_ignored() -> None:
     entry = decode_entry("i-1", json.dumps({**ENTRY, "born": 17, "novel": [1]}).encode())
     assert (entry.name, entry.incarnation, entry.leaving) == ("i-1", "17", False)
 
@@ -66,21 +66,21 @@
         {"born": "today"},
     ],
 )
-def test_a_broken_entry_is_refused(change: dict[str, Any]) -> None:
-    with pytest.raises(ValueError, match=REASON):
+def test_malformed_entry_is_rejected(change: dict[str, Any]) -> None:
+    with pytest.raises(ValueError, match=ANY_MESSAGE):
         decode_entry("i-1", json.dumps({**ENTRY, **change}).encode())
 
 
 @pytest.mark.parametrize("raw", [b"", b"\xff", b"[]", b"null", b'{"service":'])
-def test_bytes_that_are_no_entry_are_refused(raw: bytes) -> None:
-    with pytest.raises(ValueError, match=REASON):
+def test_bytes_that_are_not_an_entry_are_rejected(raw: bytes) -> None:
+    with pytest.raises(ValueError, match=ANY_MESSAGE):
         decode_entry("i-1", raw)
 
 
 # --- the operator's settings ---
 
 
-def test_a_document_becomes_routes_classes_customers_and_services() -> None:
+def test_document_is_decoded() -> None:
     cfg = config()
     route = cfg.routes.find(HOST, "/lm/chat/7")
     assert route is not None
@@ -106,12 +106,12 @@
         {"tenants": [{"api-keys": ["k"]}]},
     ],
 )
-def test_a_document_with_a_wrong_type_is_refused_as_a_whole(change: dict[str, Any]) -> None:
-    with pytest.raises(ValueError, match=REASON):
+def test_document_with_a_wrong_type_is_rejected(change: dict[str, Any]) -> None:
+    with pytest.raises(ValueError, match=ANY_MESSAGE):
         config(**change)
 
 
-def test_without_customers_no_key_is_asked_for() -> None:
+def test_no_key_is_required_without_customers() -> None:
     cfg = config(tenants=None)
     inquiry = WIRE.read(cfg, Random(1), head("/shop/look/"), b"", RequestId("a1"))
     assert inquiry.request.customer == ""
@@ -120,14 +120,14 @@
 # --- callers ---
 
 
-def test_a_request_waits_no_longer_than_its_caller_or_its_route() -> None:
+def test_deadline_is_the_earlier_of_caller_and_route() -> None:
     cfg = config()
-    short = head("/shop/look/", (b"x-deadline-ms", b"400"))
-    read = WIRE.read(cfg, Random(1), short, b"", RequestId("a1")).request
-    # The word that it was not run has some of the time to be on its way.
-    assert 100.3 < read.deadline < 100.4
-    long = head("/shop/look/", (b"x-deadline-ms", b"90000"))
-    assert WIRE.read(cfg, Random(1), long, b"", RequestId("a1")).request.deadline == 106.0
+    short_wait = head("/shop/look/", (b"x-deadline-ms", b"400"))
+    request = WIRE.read(cfg, Random(1), short_wait, b"", RequestId("a1")).request
+    # Leaves time to deliver an error before the deadline.
+    assert 100.3 < request.deadline < 100.4
+    long_wait = head("/shop/look/", (b"x-deadline-ms", b"90000"))
+    assert WIRE.read(cfg, Random(1), long_wait, b"", RequestId("a1")).request.deadline == 106.0
 
 
 @pytest.mark.parametrize(
@@ -142,7 +142,7 @@
         ("/lm/doc/", ((b"x-token-count", b"7,some"),), Reason.BAD_REQUEST),
     ],
 )
-def test_a_request_that_cannot_be_served_names_its_reason(
+def test_request_that_cannot_be_served_is_refused_with_a_reason(
     path: str, headers: tuple[tuple[bytes, bytes], ...], reason: Reason
 ) -> None:
     with pytest.raises(RefusedError) as refused:
@@ -150,7 +150,7 @@
     assert refused.value.reason is reason
 
 
-def test_what_belongs_to_a_connection_or_to_the_system_is_not_passed_on() -> None:
+def test_connection_and_system_headers_are_not_forwarded() -> None:
     sent = head(
         "/shop/look/",
         (b"connection", b"close, x-hop"),
@@ -185,7 +185,7 @@
         (421, {}, NotRun),
     ],
 )
-def test_an_answers_head_decides_what_may_become_of_it(
+def test_verdict_on_an_answer_follows_from_status_and_headers(
     status: int, headers: dict[bytes, bytes], kind: type[object]
 ) -> None:
     assert isinstance(WIRE.judge(CALL, status, headers), kind)
@@ -205,13 +205,13 @@
         (Outcome.UNKNOWN, Reason.SERVER_LOST, 502),
     ],
 )
-def test_a_status_that_says_not_run_is_told_of_nothing_else(
+def test_status_503_is_used_only_for_requests_that_were_not_run(
     outcome: Outcome, reason: Reason, status: int
 ) -> None:
     problem = WIRE.problem(Account("a1", outcome, reason, "", retry_after_s=0.7))
-    told = dict(problem.headers)
+    headers = dict(problem.headers)
     assert problem.status == status
-    assert (b"retry-after" in told) == (status == 503)
+    assert (b"retry-after" in headers) == (status == 503)
 
 
 # --- the settings file ---
@@ -230,7 +230,7 @@
     return json.dumps({**base, **changes})
 
 
-def test_comments_in_the_settings_file_are_no_settings() -> None:
+def test_comments_in_the_settings_file_are_ignored() -> None:
     cfg = parse_entry_settings("// of a machine\n" + settings(), "file").unwrap()
     assert cfg.name == "entry-1"
     assert cfg.peer_seeds == ()
@@ -249,7 +249,7 @@
         ({"bounds": {"grace_s": "long"}}, "grace_s"),
     ],
 )
-def test_a_wrong_setting_is_named(change: dict[str, Any], named: str) -> None:
+def test_error_names_the_invalid_setting(change: dict[str, Any], named: str) -> None:
     error = parse_entry_settings(settings(**change), "file").failure()
     assert named in str(error)
     assert "file" in str(error)
@@ -258,7 +258,7 @@
 # --- what the deployment installs ---
 
 
-def test_the_deployment_installs_the_versions_that_are_tested() -> None:
+def test_deployment_installs_the_tested_versions() -> None:
     pinned = _pins((ROOT / "deploy" / "requirements.txt").read_text())
     tested = {}
     for path in [*ROOT.glob("packages/*/pyproject.toml"), ROOT / "platform" / "pyproject.toml"]:
