--- a/tests/platform/platform_world.py
+++ b/tests/platform/platform_world.py
@@ -421,9 +421,9 @@
         conn.close()
 
 
-def until(condition: Callable[[], bool], what: str) -> None:
+def until(condition: Callable[[], bool], description: str) -> None:
     """Wait until a condition holds."""
-    wait_until(condition, what)
+    wait_until(condition, description)
 
 
 __all__ = ["HOST", "KEY", "LOOPBACK", "Answer", "Instance", "PlatformWorld", "call", "until"]
--- a/tests/platform/soak.py
+++ b/tests/platform/soak.py
@@ -51,10 +51,10 @@
 
 
 @dataclass(slots=True)
-class Sent:
+class SentRequest:
     """A request of a caller and its result."""
 
-    name: str
+    request_id: str
     kind: str
     instance: str
     key: str
@@ -87,7 +87,7 @@
 
     world: PlatformWorld
     rng: Random
-    sent: list[Sent] = field(default_factory=list)
+    sent: list[SentRequest] = field(default_factory=list)
     # Revoked keys, leaving servers, and faults of the store or of frozen processes during which
     # leaving servers are not checked.
     revoked: list[Span] = field(default_factory=list)
@@ -96,8 +96,8 @@
     # Instances that were stopped by a signal, and that were killed.
     stopped: list[Span] = field(default_factory=list)
     killed: list[Span] = field(default_factory=list)
-    down: set[str] = field(default_factory=set)
-    is_over: threading.Event = field(default_factory=threading.Event)
+    unavailable: set[str] = field(default_factory=set)
+    stop_event: threading.Event = field(default_factory=threading.Event)
     # Pending ends of faults: the time and the action.
     fault_ends: list[tuple[float, Callable[[], None]]] = field(default_factory=list)
     event_log: list[str] = field(default_factory=list)
@@ -107,25 +107,25 @@
     def call_until_over(self, number: int) -> None:
         """Send requests one after the other until the soak is over."""
         rng = Random(number)
-        while not self.is_over.is_set():
-            running = [name for name in self.world.running if name not in self.down]
+        while not self.stop_event.is_set():
+            running = [name for name in self.world.running if name not in self.unavailable]
             if running:
                 self._call(
                     rng, f"{number}-{len(self.sent)}-{rng.random():.9f}", rng.choice(running)
                 )
             time.sleep(rng.uniform(0.0, 0.04))
 
-    def _call(self, rng: Random, name: str, instance: str) -> None:
+    def _call(self, rng: Random, request_id: str, instance: str) -> None:
         kind = rng.choice(("look", "buy", "chat", "doc"))
         path = {"look": "/shop/look/", "buy": "/shop/buy/"}.get(kind, f"/lm/{kind}/")
         key = rng.choice((KEY, SECOND_KEY))
-        sent = Sent(name, kind, instance, key, time.monotonic())
+        sent = SentRequest(request_id, kind, instance, key, time.monotonic())
         self.sent.append(sent)
         method = "GET" if kind == "look" else "POST"
         body = b"" if kind == "look" else b"body"
         try:
             sent.answer = self.world.send(
-                path, method=method, body=body, request_id=name, instance=instance, X_Key=key
+                path, method=method, body=body, request_id=request_id, instance=instance, X_Key=key
             )
         except ConnectionRefusedError:
             # The process is restarting.
@@ -135,7 +135,7 @@
 
     # --- faults ---
 
-    def play(self, seconds: float) -> None:
+    def inject_faults(self, seconds: float) -> None:
         """Start faults one after the other, and end each after its duration."""
         end = time.monotonic() + seconds
         while time.monotonic() < end:
@@ -178,13 +178,13 @@
 
     def change_settings(self) -> None:
         """Publish settings that revoke the second key or restore it."""
-        current_revocation = next((each for each in self.revoked if each.end == float("inf")), None)
+        active_revocation = next((each for each in self.revoked if each.end == float("inf")), None)
         keys = [KEY]
-        if current_revocation is not None:
-            current_revocation.end = time.monotonic()
+        if active_revocation is not None:
+            active_revocation.end = time.monotonic()
             keys.append(SECOND_KEY)
         self.world.publish(tenants=[{"name": "school", "api-keys": keys, "priority": 1}])
-        if current_revocation is None:
+        if active_revocation is None:
             self.revoked.append(Span(SECOND_KEY, time.monotonic()))
         self._log(f"version {self.world.version} with {len(keys)} keys")
 
@@ -229,7 +229,7 @@
         name = self._pick_instance()
         if name is None:
             return
-        self.down.add(name)
+        self.unavailable.add(name)
         self.killed.append(Span(name, time.monotonic()))
         self.world.running[name].process.kill()
         self._log(f"{name} killed")
@@ -242,7 +242,7 @@
             return
         process = self.world.running[name].process
         self.stopped.append(Span(name, time.monotonic()))
-        self.down.add(name)
+        self.unavailable.add(name)
         process.terminate()
         if self.rng.random() < 0.3:
             process.terminate()
@@ -251,10 +251,10 @@
 
     def _restart_when_ended(self, name: str) -> None:
         instance = self.world.running[name]
-        code = instance.process.wait(20)
+        exit_code = instance.process.wait(20)
         # Until the process handles signals its exit code is not 0; it has no callers yet.
-        if code != 0 and instance.logged("starting"):
-            self.event_log.append(f"BROKEN {name} ended with {code} after a stop signal")
+        if exit_code != 0 and instance.logged("starting"):
+            self.event_log.append(f"BROKEN {name} ended with {exit_code} after a stop signal")
         self._restart_instance(name)
 
     def freeze_instance(self) -> None:
@@ -265,69 +265,71 @@
         process = self.world.running[name].process
         span = Span("freeze", time.monotonic())
         self.unchecked.append(span)
-        self.down.add(name)
+        self.unavailable.add(name)
         process.pause()
         self._log(f"{name} freezes")
 
         def resume() -> None:
             process.resume()
-            self.down.discard(name)
+            self.unavailable.discard(name)
             span.end = time.monotonic() + 1.0
 
         self._end_later(0.2, 3.5, resume)
 
     def _pick_instance(self) -> str | None:
-        running = [name for name in sorted(self.world.running) if name not in self.down]
+        running = [name for name in sorted(self.world.running) if name not in self.unavailable]
         return self.rng.choice(running) if len(running) > 1 else None
 
     def _restart_instance(self, name: str) -> None:
         self.world.restart_instance(name)
-        self.down.discard(name)
+        self.unavailable.discard(name)
 
     # --- checks ---
 
     def violations(self) -> list[str]:
         """Return descriptions of all violated guarantees."""
-        found = [each for each in self.event_log if each.startswith("BROKEN")]
+        violations = [each for each in self.event_log if each.startswith("BROKEN")]
         for sent in self.sent:
-            found += self._check_request(sent)
+            violations += self._check_request(sent)
         for span in self.leaving:
-            found += self._check_leaving(span)
+            violations += self._check_leaving(span)
         for instance in self.world.running.values():
-            found += [f"{instance.name} logged a fault {line}" for line in instance.logged("fault")]
-        return found
+            violations += [
+                f"{instance.name} logged a fault {line}" for line in instance.logged("fault")
+            ]
+        return violations
 
-    def _check_request(self, sent: Sent) -> list[str]:
-        runs = self.world.runs(sent.name)
-        found = []
+    def _check_request(self, sent: SentRequest) -> list[str]:
+        runs = self.world.runs(sent.request_id)
+        violations = []
         if sent.kind in ("buy", "doc") and len(runs) > 1:
-            found.append(f"{sent} ran {len(runs)} times")
+            violations.append(f"{sent} ran {len(runs)} times")
         answer = sent.answer
         if answer is None:
             if self._was_stopped_gracefully(sent):
-                found.append(f"{sent} got no answer from an instance that stopped gracefully")
-            return found
+                violations.append(f"{sent} got no answer from an instance that stopped gracefully")
+            return violations
         if answer.status in NOT_RUN_STATUSES and runs and sent.kind in ("buy", "doc"):
-            found.append(f"{sent} ran but was answered as not run")
+            violations.append(f"{sent} ran but was answered as not run")
         if answer.status == 200 and not answer.is_cut:
-            if answer.headers.get("x-attempt-id") != sent.name:
-                found.append(f"{sent} got the answer to another request")
+            if answer.headers.get("x-attempt-id") != sent.request_id:
+                violations.append(f"{sent} got the answer to another request")
             if (
                 answer.body != EXTRA_MODE_BODY
                 and answer.event_data != COMPLETE_STREAM
                 and sent.kind in STREAMS
             ):
-                found.append(f"{sent} got {answer.event_data}")
+                violations.append(f"{sent} got {answer.event_data}")
             is_plain_answer = answer.body == EXTRA_MODE_BODY or answer.body.startswith(b"by shop-")
             if sent.kind not in STREAMS and not is_plain_answer:
-                found.append(f"{sent} got {answer.body!r}")
+                violations.append(f"{sent} got {answer.body!r}")
         if answer.status == 200 and sent.key == SECOND_KEY:
-            revoked_by = sent.sent_at - REVOKE_S - SLACK_S
-            if any(each.covers(revoked_by, sent.sent_at) for each in self.revoked):
-                found.append(f"{sent} was served with a revoked key")
-        return found
+            window_start = sent.sent_at - REVOKE_S - SLACK_S
+            if any(each.covers(window_start, sent.sent_at) for each in self.revoked):
+                violations.append(f"{sent} was served with a revoked key")
+        return violations
 
-    def _was_stopped_gracefully(self, sent: Sent) -> bool:
+    def _was_stopped_gracefully(self, sent: SentRequest) -> bool:
         """Return whether the instance of a request was stopped gracefully and not killed."""
         stop_times = [each.start for each in self.stopped if each.subject == sent.instance]
         stopped_at = min(
@@ -375,10 +377,10 @@
         for each in callers:
             each.start()
         try:
-            soak.play(seconds)
+            soak.inject_faults(seconds)
             _settle(soak)
         finally:
-            soak.is_over.set()
+            soak.stop_event.set()
             for each in callers:
                 each.join()
         violations = soak.violations()
@@ -388,7 +390,7 @@
 
 
 def _settle(soak: Soak) -> None:
-    """End all faults, and wait until every instance serves all kinds of requests."""
+    """Reset servers and settings, and wait until every instance serves all kinds of requests."""
     world = soak.world
     world.set_mode("")
     for span in soak.revoked:
--- a/tests/platform/test_answers.py
+++ b/tests/platform/test_answers.py
@@ -92,8 +92,8 @@
     until(lambda: world.has_listed_servers(world.running["entry-1"]), "lm-3 is listed")
     answer = world.send("/lm/chat/", request_id="f1")
     assert answer.event_data == [f"piece {number}" for number in range(6)]
-    resumed = [request.headers.get("last-event-id") for request in world.runs("f1")]
-    assert resumed in ([None, "2"], [None])
+    last_event_ids = [request.headers.get("last-event-id") for request in world.runs("f1")]
+    assert last_event_ids in ([None, "2"], [None])
 
 
 def test_stream_that_cannot_be_resumed_is_cut(world: PlatformWorld) -> None:
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -15,7 +15,7 @@
 DUTIES: dict[str, Any] = {"kinds": ["metering"], "lease_ms": 1000, "window_s": 2, "late_s": 4}
 
 
-def serve(world: PlatformWorld, count: int) -> int:
+def send_and_count_served(world: PlatformWorld, count: int) -> int:
     """Send requests to the running instances in turn; return how many were served."""
     names = [name for name, instance in world.running.items() if instance.process.running]
     statuses = [world.send_safe(instance=names[n % len(names)]).status for n in range(count)]
@@ -24,7 +24,7 @@
 
 def test_usage_is_reported_once_by_one_holder(tmp_path: Path) -> None:
     with PlatformWorld(tmp_path, instances=3, duties=dict(DUTIES)) as world:
-        served = serve(world, 30)
+        served = send_and_count_served(world, 30)
         assert world.send().status == 200
         until(
             lambda: world.duty_standin.reported_requests() == served + 1,
@@ -39,15 +39,15 @@
 def test_successor_of_a_killed_holder_reports_usage(tmp_path: Path) -> None:
     """Guards against usage that is never reported after the holder has died."""
     with PlatformWorld(tmp_path, instances=3, duties=dict(DUTIES)) as world:
-        until(lambda: bool(world.duty_standin.holders()), "somebody holds the duties")
+        until(lambda: bool(world.duty_standin.holders()), "an instance holds the duties")
         holder = world.duty_standin.holders()[0]
         world.running[holder].process.kill()
-        until(lambda: len(world.duty_standin.holders()) > 1, "another one holds the duties")
-        reported = world.duty_standin.reported_requests()
-        served = serve(world, 20)
+        until(lambda: len(world.duty_standin.holders()) > 1, "another instance holds the duties")
+        reported_before = world.duty_standin.reported_requests()
+        served = send_and_count_served(world, 20)
         until(
-            lambda: world.duty_standin.reported_requests() == reported + served,
-            "its requests are reported",
+            lambda: world.duty_standin.reported_requests() == reported_before + served,
+            "the new requests are reported",
         )
         fences = [each.fence for each in world.duty_standin.accepted]
         assert fences == sorted(fences)
@@ -56,20 +56,22 @@
 def test_stopping_holder_hands_over_the_duties(tmp_path: Path) -> None:
     """Guards against losing the counts of a stopping instance."""
     with PlatformWorld(tmp_path, instances=3, duties=dict(DUTIES)) as world:
-        until(lambda: bool(world.duty_standin.holders()), "somebody holds the duties")
-        served = serve(world, 20)
+        until(lambda: bool(world.duty_standin.holders()), "an instance holds the duties")
+        served = send_and_count_served(world, 20)
         holder = world.duty_standin.holders()[0]
         world.running[holder].process.terminate()
         until(lambda: world.duty_standin.reported_requests() == served, "all requests are reported")
-        until(lambda: world.duty_standin.holders()[-1] != holder, "another one holds the duties")
+        until(
+            lambda: world.duty_standin.holders()[-1] != holder, "another instance holds the duties"
+        )
 
 
 def test_reports_are_sent_after_a_platform_outage(tmp_path: Path) -> None:
     """Guards against losing windows while the platform does not answer."""
     with PlatformWorld(tmp_path, instances=2, duties=dict(DUTIES)) as world:
-        until(lambda: bool(world.duty_standin.holders()), "somebody holds the duties")
+        until(lambda: bool(world.duty_standin.holders()), "an instance holds the duties")
         world.duty_standin.mode = "silent"
-        served = serve(world, 20)
+        served = send_and_count_served(world, 20)
         windows = len(world.duty_standin.counts_by_window())
         until(lambda: _count_settled_windows(world) >= windows + 2, "windows are settled meanwhile")
         world.duty_standin.mode = ""
@@ -84,26 +86,32 @@
     duties = {**DUTIES, "kinds": ["autoscaling"]}
     with PlatformWorld(tmp_path, engines=8, duties=duties) as world:
         lm, shop = document(1)["services"]
-        scale = {"min": 1, "max": 20, "boot-s": 0.1, "spot-price": 0.2, "zone-prices": {"dc-1": 1}}
-        world.publish(services=[{**lm, "autoscale": scale}, shop])
+        autoscale = {
+            "min": 1,
+            "max": 20,
+            "boot-s": 0.1,
+            "spot-price": 0.2,
+            "zone-prices": {"dc-1": 1},
+        }
+        world.publish(services=[{**lm, "autoscale": autoscale}, shop])
         until(lambda: bool(world.duty_standin.orders()), "servers are ordered")
-        first = world.duty_standin.orders()[0]
-        assert first == {"service": "lm", "zone": "dc-1", "desired": 12, "spot": True}
+        first_order = world.duty_standin.orders()[0]
+        assert first_order == {"service": "lm", "zone": "dc-1", "desired": 12, "spot": True}
         assert len(world.duty_standin.orders()) == 1
         for number in range(9, 21):
             world.add_server(f"lm-{number}", "lm")
             world.register(f"lm-{number}", spot=True)
         until(
             lambda: any("spot" not in each for each in world.duty_standin.orders()),
-            "lasting servers are ordered down",
+            "fewer lasting servers are ordered",
         )
-        lasting = [each for each in world.duty_standin.orders() if "spot" not in each]
-        assert lasting[0] == {"service": "lm", "zone": "dc-1", "desired": 1}
+        lasting_orders = [each for each in world.duty_standin.orders() if "spot" not in each]
+        assert lasting_orders[0] == {"service": "lm", "zone": "dc-1", "desired": 1}
 
 
 def test_command_line_shows_the_duty_holder(tmp_path: Path) -> None:
     with PlatformWorld(tmp_path, instances=1, duties=dict(DUTIES)) as world:
-        until(lambda: bool(world.duty_standin.holders()), "somebody holds the duties")
+        until(lambda: bool(world.duty_standin.holders()), "an instance holds the duties")
         cfg = json.loads((tmp_path / "entry-1.json").read_text().split("\n", 1)[1])
         result = CliRunner().invoke(cli, ["--admin", cfg["admin_address"], "duties"])
         assert result.exit_code == 0
--- a/tests/platform/test_follower.py
+++ b/tests/platform/test_follower.py
@@ -62,22 +62,22 @@
     return steps
 
 
-def make_reader(world: StoreWorld, *, is_reader: bool) -> StoreWorld:
-    """Make an instance a reader, or one whose updates from the reader are overdue."""
+def set_reader_role(world: StoreWorld, *, is_reader: bool) -> StoreWorld:
+    """Make the instance a reader, or one whose updates from the reader are overdue."""
     world.state.members.started_at = float("-inf") if is_reader else None
     return world
 
 
 def test_instance_with_overdue_updates_reads_servers_at_once() -> None:
     # Guards against a pause that delays the notice of a leaving server after the reader has died.
-    world = make_reader(StoreWorld(), is_reader=False)
-    (target,) = run_follower(world, lambda each: each._read_next_entries(1, False))
+    world = set_reader_role(StoreWorld(), is_reader=False)
+    (target,) = run_follower(world, lambda follower: follower._read_next_entries(1, False))
     assert "log-read" in target
 
 
 def test_reader_pauses_between_reads_of_the_servers() -> None:
-    world = make_reader(StoreWorld(), is_reader=True)
-    pause, target = run_follower(world, lambda each: each._read_next_entries(1, False))
+    world = set_reader_role(StoreWorld(), is_reader=True)
+    pause, target = run_follower(world, lambda follower: follower._read_next_entries(1, False))
     assert pause == "pause"
     assert "log-read" in target
 
@@ -85,7 +85,7 @@
 @pytest.mark.parametrize("is_reader", [False, True])
 def test_only_a_reader_pauses_before_reading_the_settings(is_reader: bool) -> None:
     """Guards against a pause that makes a stale freshness proof expire."""
-    world = make_reader(StoreWorld(), is_reader=is_reader)
-    *pauses, target = run_follower(world, lambda each: each._read_next_document(1, False))
+    world = set_reader_role(StoreWorld(), is_reader=is_reader)
+    *pauses, target = run_follower(world, lambda follower: follower._read_next_document(1, False))
     assert pauses == ["pause"] * is_reader
     assert "log-read" in target
--- a/tests/platform/test_operators.py
+++ b/tests/platform/test_operators.py
@@ -36,18 +36,21 @@
         cfg = json.loads((tmp_path / "entry-1.json").read_text().split("\n", 1)[1])
         admin = ["--admin", cfg["admin_address"]]
 
-        def shown(*args: str) -> str:
+        def instances_output(*args: str) -> str:
             result = CliRunner().invoke(cli, [*admin, "instances", *args])
             assert result.exit_code == 0
             return result.output
 
-        until(lambda: shown().split()[-1] == "3", "all three have the first version")
+        until(lambda: instances_output().split()[-1] == "3", "all three have the first version")
         world.running["entry-3"].process.kill()
         world.publish(tenants=[{"name": "school", "api-keys": ["key-1"]}])
         version = world.version
-        until(lambda: shown("--all").count(f" {version} ") == 2, "two have the second version")
-        until(lambda: "silent" in shown(), "the third is reported as silent")
-        lines = shown("--all").splitlines()
+        until(
+            lambda: instances_output("--all").count(f" {version} ") == 2,
+            "two have the second version",
+        )
+        until(lambda: "silent" in instances_output(), "the third is reported as silent")
+        lines = instances_output("--all").splitlines()
         (silent_line,) = [line for line in lines if "silent" in line]
         assert silent_line.split()[0] == "entry-3"
         page = call(world.metrics_address, "GET", "/metrics").body.decode()
--- a/tests/platform/test_path.py
+++ b/tests/platform/test_path.py
@@ -13,14 +13,14 @@
 
 
 @pytest.fixture(scope="module")
-def calm(tmp_path_factory: pytest.TempPathFactory) -> Iterator[PlatformWorld]:
+def shared_world(tmp_path_factory: pytest.TempPathFactory) -> Iterator[PlatformWorld]:
     """Yield a world with one instance and correct servers."""
     with PlatformWorld(tmp_path_factory.mktemp("calm")) as world:
         yield world
 
 
-def test_stream_is_forwarded_complete_and_unchanged(calm: PlatformWorld) -> None:
-    answer = calm.send(request_id="s1")
+def test_stream_is_forwarded_complete_and_unchanged(shared_world: PlatformWorld) -> None:
+    answer = shared_world.send(request_id="s1")
     assert (answer.status, answer.is_cut) == (200, False)
     assert answer.event_data == [f"piece {number}" for number in range(6)]
     assert answer.headers["x-server-signature"] == SIGNATURE
@@ -28,11 +28,11 @@
 
 
 def test_request_is_forwarded_with_only_system_headers_changed(
-    calm: PlatformWorld,
+    shared_world: PlatformWorld,
 ) -> None:
     # Guards against callers that set system headers to impersonate another customer or use its KV
     # cache, and against forwarding API keys to servers.
-    calm.send(
+    shared_world.send(
         "/lm/doc/?a=1&b=",
         request_id="s2",
         X_Tenant="another",
@@ -43,7 +43,7 @@
         X_Urgency_Class="0",
         X_Extra="kept",
     )
-    (request,) = calm.runs("s2")
+    (request,) = shared_world.runs("s2")
     assert request.path == "/lm/doc/?a=1&b="
     assert request.body == b"prompt"
     assert request.headers["host"] == "front.example"
@@ -55,29 +55,29 @@
         assert name not in request.headers
 
 
-def test_request_without_route_or_key_is_not_run(calm: PlatformWorld) -> None:
-    assert calm.send("/nowhere/", request_id="s3").status == 404
-    assert calm.send(request_id="s4", X_Key="unknown").status == 401
-    assert calm.send(request_id="s5", X_Token_Count="many").status == 400
-    assert calm.send(request_id="s6", X_Deadline_Ms="soon").status == 400
-    assert not any(calm.received(each) for each in ("s3", "s4", "s5", "s6"))
+def test_request_without_route_or_key_is_not_run(shared_world: PlatformWorld) -> None:
+    assert shared_world.send("/nowhere/", request_id="s3").status == 404
+    assert shared_world.send(request_id="s4", X_Key="unknown").status == 401
+    assert shared_world.send(request_id="s5", X_Token_Count="many").status == 400
+    assert shared_world.send(request_id="s6", X_Deadline_Ms="soon").status == 400
+    assert not any(shared_world.received(each) for each in ("s3", "s4", "s5", "s6"))
 
 
-def test_body_over_the_limit_is_refused_and_the_next_is_served(calm: PlatformWorld) -> None:
-    assert calm.send_unsafe(request_id="s7", Content_Length="100001").status == 413
-    assert calm.send_unsafe(request_id="s8").status == 200
-    assert [len(calm.runs(each)) for each in ("s7", "s8")] == [0, 1]
+def test_body_over_the_limit_is_refused_and_the_next_is_served(shared_world: PlatformWorld) -> None:
+    assert shared_world.send_unsafe(request_id="s7", Content_Length="100001").status == 413
+    assert shared_world.send_unsafe(request_id="s8").status == 200
+    assert [len(shared_world.runs(each)) for each in ("s7", "s8")] == [0, 1]
 
 
 def test_route_follows_a_new_version_of_the_settings(tmp_path: Path) -> None:
     # Guards against requests that go to the old service after a route has changed.
     with PlatformWorld(tmp_path) as world:
         assert world.send_unsafe().body.startswith(b"by shop")
-        moved = [
+        changed_routes = [
             {**route, "service": "lm"} if route["name"] == "buy" else route
             for route in _routes(world)
         ]
-        world.publish(routes=moved)
+        world.publish(routes=changed_routes)
         instance = world.running["entry-1"]
         until(lambda: instance.logged("settings_in_force")[-1]["version"] == 2, "version 2")
         world.set_mode("error", "lm-1", "lm-2")
@@ -90,17 +90,17 @@
     return routes
 
 
-def test_resumed_stream_repeats_no_event(calm: PlatformWorld) -> None:
+def test_resumed_stream_repeats_no_event(shared_world: PlatformWorld) -> None:
     # Guards against sending events 0 to 2 again to a caller that reconnects after event 2.
-    answer = calm.send("/lm/chat/", request_id="s9", Last_Event_Id="2")
+    answer = shared_world.send("/lm/chat/", request_id="s9", Last_Event_Id="2")
     assert answer.event_data == ["piece 3", "piece 4", "piece 5"]
-    (request,) = calm.runs("s9")
+    (request,) = shared_world.runs("s9")
     assert request.headers["last-event-id"] == "2"
 
 
-def test_api_keys_are_not_logged(calm: PlatformWorld) -> None:
-    calm.send(request_id="s10", X_Key="key-2")
-    lines = "\n".join(calm.running["entry-1"].process.lines)
+def test_api_keys_are_not_logged(shared_world: PlatformWorld) -> None:
+    shared_world.send(request_id="s10", X_Key="key-2")
+    lines = "\n".join(shared_world.running["entry-1"].process.lines)
     assert KEY not in lines
     assert "key-2" not in lines
 
--- a/tests/platform/test_stopping.py
+++ b/tests/platform/test_stopping.py
@@ -16,17 +16,17 @@
     with PlatformWorld(tmp_path) as world, ThreadPoolExecutor(1) as pool:
         instance = world.running["entry-1"]
         world.set_mode("hold", "lm-1", "lm-2")
-        streamed = pool.submit(world.send, request_id="t1")
+        pending_answer = pool.submit(world.send, request_id="t1")
         until(lambda: len(world.runs("t1")) == 1, "the stream runs")
         instance.process.terminate()
         until(lambda: bool(instance.logged("stopping")), "the instance stops")
         assert not instance.is_ready()
-        late = world.send_safe()
-        assert late.status == 200
-        assert late.headers["connection"] == "close"
+        late_answer = world.send_safe()
+        assert late_answer.status == 200
+        assert late_answer.headers["connection"] == "close"
         for name in ("lm-1", "lm-2"):
             world.release_held(name)
-        answer = streamed.result(20)
+        answer = pending_answer.result(20)
         assert (len(answer.event_data), answer.is_cut) == (6, False)
         assert instance.process.wait(20) == 0
 
@@ -36,11 +36,11 @@
     with PlatformWorld(tmp_path, bounds={"grace_s": 3}) as world, ThreadPoolExecutor(1) as pool:
         instance = world.running["entry-1"]
         world.set_mode("hold", "lm-1", "lm-2")
-        streamed = pool.submit(world.send, request_id="t2")
+        pending_answer = pool.submit(world.send, request_id="t2")
         until(lambda: len(world.runs("t2")) == 1, "the stream runs")
         instance.process.terminate()
         assert instance.process.wait(20) == 0
-        assert streamed.result(20).is_cut
+        assert pending_answer.result(20).is_cut
 
 
 def test_request_is_abandoned_when_its_caller_disconnects(tmp_path: Path) -> None:
--- a/tests/platform/test_store_trouble.py
+++ b/tests/platform/test_store_trouble.py
@@ -33,7 +33,7 @@
     with PlatformWorld(tmp_path) as world:
         assert world.send_safe(X_Key="key-2").status == 200
         world.publish(tenants=[{"name": "school", "api-keys": ["key-1"]}])
-        until(lambda: world.send_safe(X_Key="key-2").status == 401, "the key stops")
+        until(lambda: world.send_safe(X_Key="key-2").status == 401, "the key is refused")
         assert world.send_safe().status == 200
 
 
@@ -45,7 +45,7 @@
         world.version = 0
         world.publish()
         instance = world.running["entry-1"]
-        until(lambda: bool(instance.logged("settings_older")), "the older one was read")
+        until(lambda: bool(instance.logged("settings_older")), "the older version was read")
         assert world.send_safe().status == 401
 
 
@@ -53,7 +53,9 @@
     with PlatformWorld(tmp_path) as world:
         world.store.write(OPERATOR, "config", b"{ not json")
         instance = world.running["entry-1"]
-        until(lambda: bool(instance.logged("settings_unreadable")), "it was read")
+        until(
+            lambda: bool(instance.logged("settings_unreadable")), "the malformed settings were read"
+        )
         assert world.send_safe().status == 200
 
 
@@ -61,16 +63,19 @@
     # Guards against a malformed entry that makes all entries unusable.
     with PlatformWorld(tmp_path) as world:
         instance = world.running["entry-1"]
-        broken: list[object] = [
+        malformed_entries: list[object] = [
             b"\xff\xfe",
             {"service": "shop"},
             {"service": "shop", "address": 7, "zone": "dc-1", "state": "ready"},
             {"service": "shop", "address": "nowhere", "zone": "dc-1", "state": "ready"},
             {"service": "shop", "address": "127.0.0.1:9", "zone": "dc-1", "state": "melting"},
         ]
-        for number, entry in enumerate(broken):
+        for number, entry in enumerate(malformed_entries):
             world.store.write(SERVERS, f"broken-{number}", entry)
-        until(lambda: len(instance.logged("entry_unreadable")) >= len(broken), "all were read")
+        until(
+            lambda: len(instance.logged("entry_unreadable")) >= len(malformed_entries),
+            "all were read",
+        )
         assert all(world.send_safe().status == 200 for _ in range(6))
 
 
@@ -92,7 +97,7 @@
     with PlatformWorld(tmp_path) as world:
         instance = world.running["entry-1"]
         world.store.write(SERVERS, "shop-1", None)
-        until(lambda: bool(instance.logged("server_removed")), "shop-1 is gone")
+        until(lambda: bool(instance.logged("server_removed")), "shop-1 is removed")
         for number in range(8):
             world.send_safe(request_id=f"l{number}")
         assert {request.server for n in range(8) for request in world.runs(f"l{n}")} == {"shop-2"}
@@ -110,21 +115,25 @@
         world.store.delete_history(SERVERS)
         world.store.mode = ""
         until(lambda: world.send_safe(X_Key="key-9").status == 200, "version 2 is in force")
-        until(lambda: bool(instance.logged("server_removed")), "shop-1 is gone")
+        until(lambda: bool(instance.logged("server_removed")), "shop-1 is removed")
 
 
 def test_requests_are_served_during_a_short_store_outage(tmp_path: Path) -> None:
     with PlatformWorld(tmp_path) as world:
         instance = world.running["entry-1"]
         for mode in ("busy", "reset"):
-            lost = len(instance.logged("store_lost"))
+            outage_count = len(instance.logged("store_lost"))
             world.store.mode = mode
-            until(partial(_has_logged_more, instance, "store_lost", lost), "it is noticed")
+            until(
+                partial(_has_logged_more, instance, "store_lost", outage_count),
+                "the outage is noticed",
+            )
             assert world.send_safe().status == 200
-            back = len(instance.logged("store_back"))
+            recovery_count = len(instance.logged("store_back"))
             world.store.mode = ""
             until(
-                partial(_has_logged_more, instance, "store_back", back), "the recovery is noticed"
+                partial(_has_logged_more, instance, "store_back", recovery_count),
+                "the recovery is noticed",
             )
 
 
@@ -137,12 +146,12 @@
     with PlatformWorld(tmp_path, instances=0) as world:
         world.store.mode = "busy"
         instance = world.add_instance("entry-1", wait=False)
-        until(lambda: instance.readiness_status() == 503, "it listens")
+        until(lambda: instance.readiness_status() == 503, "the instance listens")
         answer = world.send_safe(request_id="n1")
         assert answer.status == 503
         assert float(answer.headers["retry-after"]) > 0
         world.store.mode = ""
-        until(instance.is_ready, "it is ready")
+        until(instance.is_ready, "the instance is ready")
         until(lambda: world.send_safe().status == 200, "callers are served")
 
 
@@ -151,7 +160,7 @@
     with PlatformWorld(tmp_path, instances=0) as world:
         world.store.delay_s = 0.05
         instance = world.add_instance("entry-1", wait=False)
-        until(lambda: _accepts_connections(instance.caller_address), "its port is listened on")
+        until(lambda: _accepts_connections(instance.caller_address), "the instance listens")
         assert world.send_safe(request_id="s1").status == 200
         assert not instance.logged("refused")
 
@@ -169,10 +178,10 @@
     # Guards against an instance that depends on its own connection to the store.
     with PlatformWorld(tmp_path) as world:
         endpoint = world.store.second_endpoint()
-        second = world.add_instance("entry-2", store=world.open_store(endpoint))
+        second_instance = world.add_instance("entry-2", store=world.open_store(endpoint))
         endpoint.mode = "busy"
         until(
-            lambda: bool(second.logged("store_lost")) or _reads_through_peer(world),
+            lambda: bool(second_instance.logged("store_lost")) or _reads_through_peer(world),
             "entry-2 has no store",
         )
         world.publish(tenants=[{"name": "school", "api-keys": ["key-1"]}])
@@ -180,11 +189,13 @@
         send = partial(world.send_safe, instance="entry-2")
         until(lambda: send(X_Key="key-2").status == 401, "entry-2 refuses the key")
         until(
-            lambda: _is_leaving(second.logged("server_listed"), "shop-1"),
+            lambda: _is_leaving(second_instance.logged("server_listed"), "shop-1"),
             "entry-2 sees shop-1 leave",
         )
-        answered = len(second.logged("finished"))
-        until(lambda: _keeps_serving(world, send, answered), "entry-2 has proofs from its peer")
+        finished_count = len(second_instance.logged("finished"))
+        until(
+            lambda: _keeps_serving(world, send, finished_count), "entry-2 has proofs from its peer"
+        )
 
 
 def _reads_through_peer(world: PlatformWorld) -> bool:
@@ -192,9 +203,9 @@
     return world.reported_state("entry-2")["reads_the_store"] is False
 
 
-def _keeps_serving(world: PlatformWorld, send: Callable[[], Answer], answered: int) -> bool:
+def _keeps_serving(world: PlatformWorld, send: Callable[[], Answer], finished_count: int) -> bool:
     instance = world.running["entry-2"]
-    return send().status == 200 and len(instance.logged("finished")) > answered + 20
+    return send().status == 200 and len(instance.logged("finished")) > finished_count + 20
 
 
 def test_slow_store_does_not_delay_requests(tmp_path: Path) -> None:
@@ -202,7 +213,9 @@
     with PlatformWorld(tmp_path) as world:
         world.store.delay_s = 0.24
         reads = world.store.answered[OPERATOR]
-        until(lambda: world.store.answered[OPERATOR] > reads + 4, "it was read slowly")
+        until(
+            lambda: world.store.answered[OPERATOR] > reads + 4, "the store was read several times"
+        )
         assert all(world.send_safe().status == 200 for _ in range(6))
         world.publish(tenants=[{"name": "school", "api-keys": ["key-9"]}])
         until(lambda: world.send_safe(X_Key="key-9").status == 200, "version 2 is in force")
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -151,7 +151,7 @@
 
 
 def test_connection_and_system_headers_are_not_forwarded() -> None:
-    sent = head(
+    request_head = head(
         "/shop/look/",
         (b"connection", b"close, x-hop"),
         (b"x-hop", b"1"),
@@ -159,7 +159,7 @@
         (b"x-tenant", b"forged"),
         (b"x-own", b"kept"),
     )
-    call = WIRE.read(config(), Random(1), sent, b"", RequestId("a1")).call
+    call = WIRE.read(config(), Random(1), request_head, b"", RequestId("a1")).call
     names = {name for name, _ in call.headers}
     assert b"x-own" in names
     assert not names & {b"x-hop", b"x-key", b"connection", b"x-expect-instance"}
@@ -170,7 +170,7 @@
 
 
 @pytest.mark.parametrize(
-    ("status", "headers", "kind"),
+    ("status", "headers", "verdict_class"),
     [
         (200, {b"x-attempt-id": b"a1", b"x-server-signature": b"s"}, Passable),
         (200, {b"x-attempt-id": b"a1"}, Spoiled),
@@ -186,9 +186,9 @@
     ],
 )
 def test_verdict_on_an_answer_follows_from_status_and_headers(
-    status: int, headers: dict[bytes, bytes], kind: type[object]
+    status: int, headers: dict[bytes, bytes], verdict_class: type[object]
 ) -> None:
-    assert isinstance(WIRE.judge(CALL, status, headers), kind)
+    assert isinstance(WIRE.judge(CALL, status, headers), verdict_class)
 
 
 # --- refusals ---
@@ -237,7 +237,7 @@
 
 
 @pytest.mark.parametrize(
-    ("change", "named"),
+    ("change", "setting"),
     [
         ({"caller_address": "10.0.0.1"}, "caller_address"),
         ({"caller_address": "host:80"}, "caller_address"),
@@ -249,9 +249,9 @@
         ({"bounds": {"grace_s": "long"}}, "grace_s"),
     ],
 )
-def test_error_names_the_invalid_setting(change: dict[str, Any], named: str) -> None:
+def test_error_names_the_invalid_setting(change: dict[str, Any], setting: str) -> None:
     error = parse_entry_settings(settings(**change), "file").failure()
-    assert named in str(error)
+    assert setting in str(error)
     assert "file" in str(error)
 
 
