--- a/tests/failures/cluster.py
+++ b/tests/failures/cluster.py
@@ -1,8 +1,4 @@
-"""Small clusters of real processes for the failure tests.
-
-Everything is in `turmericweir_standins.deployment`; this module only holds the small deployments
-that tests share, so that each test says what differs.
-"""
+"""The small deployment of real processes that the failure tests start from."""
 
 from __future__ import annotations
 
@@ -12,7 +8,7 @@
 
 __all__ = ["SMALL", "Cluster"]
 
-# Two data centres with an instance each, two engines and two plain servers.
+# Two data centres with one instance each, two engines and two plain servers.
 SMALL: Final = Deployment(
     name="small",
     region="home",
--- a/tests/failures/fault_cluster.py
+++ b/tests/failures/fault_cluster.py
@@ -1,8 +1,8 @@
-"""A cluster whose backend servers stand behind the fault proxy, and callers that read streams.
+"""A cluster whose backend servers are behind the fault proxy, and callers that read streams.
 
-Each server has a route of its own, by which all instances reach it, so one server's connections can
-be silenced or closed. `Chats` sends chat requests in the background and keeps what came back; what
-the engines did is read from their own records.
+All instances reach a server through its own proxy route, so a test can disturb the connections of
+one server. `ChatCallers` sends chat requests in the background and collects the answers. The work
+of the engines is read from their own records.
 """
 
 from __future__ import annotations
@@ -33,25 +33,25 @@
 
 MODEL: Final = "lm"
 CUSTOMER: Final = "shop-1"
-# Ends a call that would hang the test; no test waits for it.
-CALL_S: Final = 60.0
-SEEN_S: Final = 20.0
+# Safety limit for a call that hangs; no test waits for it.
+CALL_TIMEOUT_S: Final = 60.0
+EVENT_TIMEOUT_S: Final = 20.0
 OUTCOME_EVENT: Final = "event: turmericweir.outcome"
 DATA: Final = "data: "
 DONE: Final = "[DONE]"
 
 
 def small(*, engines: int = 2, instances: int = 2, **changes: Any) -> Deployment:
-    """Give the small deployment with another number of engines or instances."""
+    """Return the small deployment with another number of engines or instances."""
     groups = (replace(SMALL.groups[0], count=engines), *SMALL.groups[1:])
     return replace(SMALL, groups=groups, instances=instances, **changes)
 
 
 class FaultCluster(Cluster):
-    """Backend servers behind a proxy."""
+    """A cluster whose backend servers are behind a proxy."""
 
     proxy: Process
-    # Where instances reach each server.
+    # Address of the route to each server, by server name.
     routes: dict[str, str]
 
     def __init__(self, deployment: Deployment, directory: Path, **options: float) -> None:
@@ -65,12 +65,12 @@
         super()._start()
 
     def list_process(self, listed: Listed, state: str = "live", incarnation: str = "1") -> None:
-        """Put a process into the platform's list, a server by the address of its route."""
+        """Put a process into the platform's list; a server gets the address of its route."""
         if listed.kind != "entry":
-            listed = replace(listed, address=self._route(listed))
+            listed = replace(listed, address=self._route_address(listed))
         super().list_process(listed, state, incarnation)
 
-    def _route(self, listed: Listed) -> str:
+    def _route_address(self, listed: Listed) -> str:
         address = self.routes.get(listed.name)
         if address is None:
             address = self.routes[listed.name] = free_address()
@@ -78,28 +78,28 @@
             call_json(self.proxy.address, "POST", "/_standin/routes", {"routes": [route]})
         return address
 
-    def wait_met(self) -> None:
-        """Wait until every instance takes all of them for live."""
+    def wait_all_live(self) -> None:
+        """Wait until every instance lists all instances as live."""
         names = set(self.instances)
 
-        def met() -> bool:
+        def are_all_live() -> bool:
             live = [each.state()["process"]["live_instances"] for each in self.instances.values()]
             return all(set(each) == names for each in live)
 
-        wait_until(met, "the instances have met", SEEN_S)
+        wait_until(are_all_live, "all instances list each other as live", EVENT_TIMEOUT_S)
 
-    def fault(self, server: str, **changes: object) -> None:
-        """Change the faults of the route to a server."""
+    def set_route_faults(self, server: str, **changes: object) -> None:
+        """Change the faults on the route to a server."""
         path = f"/_standin/behaviour?route={self.routes[server]}"
         answer = call_json(self.proxy.address, "POST", path, changes)
         assert answer.status == 200, answer.body
 
-    def behave(self, server: str, **changes: object) -> None:
+    def set_server_behaviour(self, server: str, **changes: object) -> None:
         """Change the behaviour of a backend server."""
         set_behaviour(self.servers[server].address, **changes)
 
     def records(self, event: str, service: str = MODEL) -> list[dict[str, Any]]:
-        """List what a service's servers noted of one event, with the server's name as `server`."""
+        """Return a service's records of one event, with the server's name as `server`."""
         return [
             {**record, "server": name}
             for name in self.servers
@@ -109,35 +109,35 @@
         ]
 
     def wait_records(self, event: str, count: int, service: str = MODEL) -> None:
-        """Wait until the servers of a service have noted an event so often."""
+        """Wait until the servers of a service have recorded an event this many times."""
         wait_until(
             lambda: len(self.records(event, service)) >= count,
-            f"{count} times {event} at {service}",
-            SEEN_S,
+            f"{count} records of {event} at {service}",
+            EVENT_TIMEOUT_S,
         )
 
 
 @dataclass(slots=True)
 class Chat:
-    """What a caller saw of one chat request."""
+    """The answer to one chat request, as its caller received it."""
 
     prompt: str
     status: int
     text: str
-    # As the outcome event, or the problem, says.
+    # From the outcome event, or from the problem document.
     outcome: str
     reason: str
     # The stream ended with [DONE].
     done: bool
 
-    def is_whole(self) -> bool:
-        """Tell whether it is the whole answer to its own prompt, each token once."""
-        truth = answer_of(MODEL, [ChatMessage(role="user", content=self.prompt)])
-        return self.done and self.outcome == "completed" and self.text == truth.text()
+    def is_complete(self) -> bool:
+        """Return whether it is the complete answer to its own prompt, each token once."""
+        expected = answer_of(MODEL, [ChatMessage(role="user", content=self.prompt)])
+        return self.done and self.outcome == "completed" and self.text == expected.text()
 
 
-class Chats:
-    """Callers that stream."""
+class ChatCallers:
+    """Callers that send chat requests and read the streamed answers."""
 
     cluster: FaultCluster
 
@@ -153,21 +153,21 @@
         return self._pool.submit(_stream, address, prompt, customer, headers)
 
     def ask(self, prompt: str, *, instance: int = 1, customer: str = CUSTOMER) -> Chat:
-        """Send a request and wait for its end."""
-        return self.send(prompt, instance=instance, customer=customer).result(CALL_S)
+        """Send a request and wait until its answer has ended."""
+        return self.send(prompt, instance=instance, customer=customer).result(CALL_TIMEOUT_S)
 
 
 def _stream(address: str, prompt: str, customer: str, headers: Mapping[str, str]) -> Chat:
     host, _, port = address.rpartition(":")
-    conn = http.client.HTTPConnection(host, int(port), timeout=CALL_S)
+    conn = http.client.HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
     body = {"model": MODEL, "messages": [{"role": "user", "content": prompt}], "stream": True}
-    named = {
+    all_headers = {
         "Authorization": f"Bearer {token_of(customer)}",
         "Content-Type": "application/json",
         **{name.replace("_", "-"): value for name, value in headers.items()},
     }
     try:
-        conn.request("POST", "/v1/chat/completions", orjson.dumps(body), named)
+        conn.request("POST", "/v1/chat/completions", orjson.dumps(body), all_headers)
         response = conn.getresponse()
         if response.status != 200:
             problem = orjson.loads(response.read())
@@ -184,12 +184,12 @@
     for raw in response:
         line = raw.decode().rstrip("\r\n")
         if line.startswith(DATA):
-            _take_data(chat, line[len(DATA) :], is_outcome)
+            _add_data(chat, line[len(DATA) :], is_outcome)
         is_outcome = line == OUTCOME_EVENT
     return chat
 
 
-def _take_data(chat: Chat, data: str, is_outcome: bool) -> None:
+def _add_data(chat: Chat, data: str, is_outcome: bool) -> None:
     if data == DONE:
         chat.done = True
         return
@@ -202,14 +202,16 @@
 
 
 def runs_by_request(records: list[dict[str, Any]]) -> Counter[str]:
-    """Count records by request."""
+    """Return the number of records of each request."""
     return Counter(record["request_id"] for record in records)
 
 
 @contextmanager
-def chats(deployment: Deployment, directory: Path, **options: float) -> Iterator[Chats]:
-    """Run a cluster behind the proxy, with callers."""
+def chat_callers(
+    deployment: Deployment, directory: Path, **options: float
+) -> Iterator[ChatCallers]:
+    """Run a cluster whose servers are behind the proxy, with callers."""
     cluster = FaultCluster(deployment, directory, **options)
     with ThreadPoolExecutor(64) as pool, cluster:
-        cluster.wait_met()
-        yield Chats(cluster, pool)
+        cluster.wait_all_live()
+        yield ChatCallers(cluster, pool)
--- a/tests/failures/member_cluster.py
+++ b/tests/failures/member_cluster.py
@@ -1,6 +1,6 @@
-"""A cluster whose instances speak to each other through the fault proxy, and what they believe.
+"""A cluster whose instances reach each other through the fault proxy, and their membership views.
 
-`Calls` keeps sending requests to one instance, as its callers would.
+`CallLoop` keeps one instance under a steady load of requests.
 """
 
 from __future__ import annotations
@@ -19,14 +19,14 @@
 from turmericweir_standins.procs import JsonAnswer, call_json, wait_until
 from turmericweir_standins.record import read_records
 
-# Left out, or back in, at the latest after so long; the test waits for the event itself.
-SEEN_S: Final = 20.0
+# Safety limit for a wait; no test depends on its length.
+EVENT_TIMEOUT_S: Final = 20.0
 MODEL: Final = "lm"
 CUSTOMER: Final = "shop-1"
 
 
 class MemberCluster(PeerCluster):
-    """Instances with a proxy between them."""
+    """A cluster with a proxy between its instances."""
 
     def __init__(
         self,
@@ -46,60 +46,60 @@
 
     # --- faults ---
 
-    def part_all(self, *, on: bool = True) -> None:
-        """Part every instance from every other."""
+    def block_all_incoming(self, *, on: bool = True) -> None:
+        """Block the peer messages to every instance."""
         for name in self.instances:
             self.deafen(name, on=on)
 
-    def behave(self, name: str, **changes: object) -> None:
+    def set_server_behaviour(self, name: str, **changes: object) -> None:
         """Change the behaviour of a backend server."""
         call_json(self.servers[name].address, "POST", "/_standin/behaviour", changes)
 
-    def platform_behave(self, **changes: object) -> None:
+    def set_platform_behaviour(self, **changes: object) -> None:
         """Change the behaviour of the platform."""
         call_json(self.platform.address, "POST", "/_standin/behaviour", changes)
 
-    # --- what instances believe ---
+    # --- views of the instances ---
 
     def live(self, name: str) -> set[str]:
-        """Name the instances that one takes for live, itself included."""
+        """Return the instances that one instance lists as live, itself included."""
         return set(self.instances[name].state()["process"]["live_instances"])
 
     def wait_live(self, name: str, expected: set[str]) -> None:
-        """Wait until an instance takes exactly those for live."""
-        what = f"{name} takes {sorted(expected)} for live"
-        wait_until(lambda: self.live(name) == expected, what, SEEN_S)
+        """Wait until an instance lists exactly these as live."""
+        what = f"{name} lists {sorted(expected)} as live"
+        wait_until(lambda: self.live(name) == expected, what, EVENT_TIMEOUT_S)
 
     def wait_all_live(self) -> None:
-        """Wait until all running instances have met."""
+        """Wait until all running instances list each other as live."""
         running = {it.name for it in self.instances.values() if it.process.running}
         for name in running:
             self.wait_live(name, running)
 
-    def server_at(self, name: str, server: str) -> Any:
-        """Give what an instance holds of a backend server."""
+    def server_state_on(self, name: str, server: str) -> Any:
+        """Return the state of a backend server on an instance."""
         return self.instances[name].state()["servers"]["by_name"].get(server)
 
-    def wait_marked(self, server: str, flag: str) -> None:
-        """Wait until every running instance holds a server as leaving or as drained."""
-        for each in self.instances.values():
-            if each.process.running:
-                what = f"{each.name} holds {server} as {flag}"
-                holds = partial(self._has_flag, each.name, server, flag)
-                wait_until(holds, what, SEEN_S)
+    def wait_flagged(self, server: str, flag: str) -> None:
+        """Wait until every running instance has flagged a server as leaving or as drained."""
+        for instance in self.instances.values():
+            if instance.process.running:
+                what = f"{instance.name} has flagged {server} as {flag}"
+                has_flag = partial(self._has_flag, instance.name, server, flag)
+                wait_until(has_flag, what, EVENT_TIMEOUT_S)
 
     def _has_flag(self, name: str, server: str, flag: str) -> bool:
-        held = self.server_at(name, server)
-        return held is not None and bool(held[flag])
+        server_state = self.server_state_on(name, server)
+        return server_state is not None and bool(server_state[flag])
 
     # --- callers ---
 
     def ask(self, name: str, text: str = "hello", timeout_s: float = 30.0) -> JsonAnswer:
-        """Send one model request by way of an instance."""
+        """Send one model request through an instance."""
         return ask(self.instances[name], text, timeout_s)
 
-    def attempts_at(self, server: str) -> int:
-        """Count the requests that a backend server has seen, whatever it did with them."""
+    def request_count(self, server: str) -> int:
+        """Return the number of requests that reached a backend server, refused ones included."""
         records = read_records(self.record_path(server))
         return sum(1 for record in records if record["event"] in ("started", "refused"))
 
@@ -117,8 +117,8 @@
     )
 
 
-class Calls:
-    """Requests sent to an instance one after the other until it is left."""
+class CallLoop:
+    """A caller that sends requests to one instance, one after the other, until the block ends."""
 
     # The status of each answer, in order.
     statuses: list[int]
@@ -126,7 +126,7 @@
     def __init__(self, instance: Instance) -> None:
         self.statuses = []
         self._instance = instance
-        self._ended = threading.Event()
+        self._stop_requested = threading.Event()
         self._thread = threading.Thread(target=self._run, daemon=True)
 
     def __enter__(self) -> Self:
@@ -139,15 +139,17 @@
         exc: BaseException | None,
         traceback: TracebackType | None,
     ) -> None:
-        self._ended.set()
+        self._stop_requested.set()
         self._thread.join()
 
     def _run(self) -> None:
-        while not self._ended.is_set():
+        while not self._stop_requested.is_set():
             answer = ask(self._instance, f"question {len(self.statuses)}")
             self.statuses.append(answer.status)
 
-    def wait_more(self, count: int) -> None:
-        """Wait until so many more requests were answered."""
-        wanted = len(self.statuses) + count
-        wait_until(lambda: len(self.statuses) >= wanted, f"{count} more answers", SEEN_S)
+    def wait_more_answers(self, count: int) -> None:
+        """Wait until this many more requests were answered."""
+        target_count = len(self.statuses) + count
+        wait_until(
+            lambda: len(self.statuses) >= target_count, f"{count} more answers", EVENT_TIMEOUT_S
+        )
--- a/tests/failures/order_cluster.py
+++ b/tests/failures/order_cluster.py
@@ -1,7 +1,7 @@
-"""A cluster whose entry instances give orders to engines, with short leases.
+"""A cluster with short leases whose instances order engines to load and unload models.
 
-What the engines were told is read from their own records; who holds a lease, and what an instance
-has seen, from the instances' state dumps.
+The orders that engines received are read from the engines' own records. Leases and received
+reports are read from the instances' state dumps.
 """
 
 from __future__ import annotations
@@ -24,12 +24,12 @@
 from turmericweir_standins.procs import call_json, set_behaviour, wait_until
 from turmericweir_standins.record import read_records
 
-SEEN_S: Final = 30.0
+EVENT_TIMEOUT_S: Final = 30.0
 SERVICE: Final = "lm"
 SCOPE: Final = "lm/dc-1"
 MODEL: Final = "lm"
-# A second model that the engines may serve and do not have at first.
-OTHER: Final = "aux"
+# A second model that the engines may serve; it is not loaded at first.
+OTHER_MODEL: Final = "aux"
 OPTIONS: Final = {
     "lease_s": 3.0,
     "lease_margin_s": 0.5,
@@ -46,27 +46,27 @@
     "model_server_gap_s": 0.0,
     "model_change_s": 0.0,
     "model_warm_s": 0.0,
-    # A model that no server needs to have goes as soon as nothing asks for it.
+    # A model without a required server is unloaded soon after its last request.
     "model_last_s": 0.5,
-    # Longer than any load, so that only an outage or a pause ends a lease.
+    # Longer than any load; only an outage or a pause ends a lease.
     "model_idle_s": 20.0,
 }
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """An order that an engine was given."""
+class ReceivedOrder:
+    """An order that an engine received."""
 
-    at: float
+    received_at: float
     engine: str
     kind: str
     label: str
     fence: int
-    # `refused`, or what the order came to.
+    # `refused`, or the state that the order led to.
     state: str
 
 
-def deployment(*, checks_fence: bool, load_s: float, **settings: Any) -> Deployment:
+def order_deployment(*, checks_fence: bool, load_s: float, **settings: Any) -> Deployment:
     """Describe two engines and two instances in one data centre."""
     engines = BackendGroup(
         SERVICE,
@@ -80,7 +80,7 @@
     service = {
         "kind": "model",
         "slots": 4,
-        "models": [MODEL, OTHER],
+        "models": [MODEL, OTHER_MODEL],
         "checks_fence": checks_fence,
     }
     return replace(
@@ -93,37 +93,37 @@
 
 
 class OrderCluster(Cluster):
-    """Engines that are told which models to have."""
+    """A cluster whose instances decide which models its engines load."""
 
-    def __init__(self, directory: Path, described: Deployment, *, weights_per_s: float) -> None:
+    def __init__(self, directory: Path, deployment: Deployment, *, weights_per_s: float) -> None:
         args = (f"--weights-per-s={weights_per_s}",)
-        super().__init__(described, directory, options=OPTIONS, platform_args=args)
+        super().__init__(deployment, directory, options=OPTIONS, platform_args=args)
 
     # --- operators ---
 
     def set(self, instance: Instance, path: str, value: Any) -> None:
-        """Change a setting by way of an instance."""
+        """Change a setting through an instance."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         answer = call_json(
             instance.admin_address, "PUT", f"/settings{path}", {"value": value}, headers
         )
         assert answer.status == 200, answer.body
 
-    def platform_behave(self, **changes: object) -> None:
+    def set_platform_behaviour(self, **changes: object) -> None:
         """Change the behaviour of the platform."""
         set_behaviour(self.platform.address, **changes)
 
-    def gets_weights(self) -> bool:
-        """Ask the weight store for a load that nobody makes; tell whether it would grant one."""
-        body = {"model": OTHER, "version": "none"}
+    def can_grant_weights(self) -> bool:
+        """Return whether the weight store grants a load; this load is not carried out."""
+        body = {"model": OTHER_MODEL, "version": "none"}
         return call_json(self.platform.address, "POST", "/weights/grant", body).status == 200
 
-    # --- what happened ---
+    # --- orders and loaded models ---
 
-    def told(self) -> list[Told]:
-        """List all orders that engines were given, in time."""
-        found = [
-            Told(
+    def received_orders(self) -> list[ReceivedOrder]:
+        """Return all orders that engines received, by time."""
+        orders = [
+            ReceivedOrder(
                 record["at"],
                 name,
                 record["order"]["kind"],
@@ -135,67 +135,71 @@
             for record in read_records(self.record_path(name))
             if record["event"] == "order"
         ]
-        return sorted(found, key=lambda told: told.at)
+        return sorted(orders, key=lambda order: order.received_at)
 
-    def wait_told(self, count: int) -> list[Told]:
-        """Wait until engines were given so many orders."""
-        wait_until(lambda: len(self.told()) >= count, f"{count} orders", SEEN_S)
-        return self.told()
+    def wait_orders(self, count: int) -> list[ReceivedOrder]:
+        """Wait until engines have received this many orders."""
+        wait_until(lambda: len(self.received_orders()) >= count, f"{count} orders", EVENT_TIMEOUT_S)
+        return self.received_orders()
 
-    def models(self) -> dict[str, list[str]]:
-        """Give what every engine has loaded."""
+    def loaded_models(self) -> dict[str, list[str]]:
+        """Return the loaded models of every engine."""
         return {
             name: sorted(call_json(process.address, "GET", "/v1/load").body["models"])
             for name, process in self.servers.items()
         }
 
-    def wait_models(self, *labels: str) -> None:
-        """Wait until every engine has exactly these."""
-        wanted = sorted(labels)
+    def wait_loaded_models(self, *labels: str) -> None:
+        """Wait until every engine has loaded exactly these models."""
+        expected = sorted(labels)
         wait_until(
-            lambda: all(each == wanted for each in self.models().values()),
-            f"every engine has {wanted}",
-            SEEN_S,
+            lambda: all(each == expected for each in self.loaded_models().values()),
+            f"every engine has loaded {expected}",
+            EVENT_TIMEOUT_S,
         )
 
-    # --- what instances believe ---
+    # --- views of the instances ---
 
-    def wait_met(self) -> None:
-        """Wait until all instances take each other for live."""
-        for each in self.instances.values():
-            wait_until(partial(self._has_met, each), f"{each.name} has met all", SEEN_S)
+    def wait_all_live(self) -> None:
+        """Wait until all instances list each other as live."""
+        for instance in self.instances.values():
+            wait_until(
+                partial(self._lists_all_live, instance),
+                f"{instance.name} lists all as live",
+                EVENT_TIMEOUT_S,
+            )
 
-    def _has_met(self, instance: Instance) -> bool:
+    def _lists_all_live(self, instance: Instance) -> bool:
         return set(instance.state()["process"]["live_instances"]) == set(self.instances)
 
     def leases(self, instance: Instance) -> dict[str, Any]:
-        """Give the leases that an instance holds, by scope."""
-        held: dict[str, Any] = instance.state()["leases"]["held"]
-        return held
+        """Return the leases that an instance holds, by scope."""
+        leases: dict[str, Any] = instance.state()["leases"]["held"]
+        return leases
 
-    def holder(self) -> Instance:
-        """Find the instance that holds the lease."""
+    def lease_holder(self) -> Instance:
+        """Return the instance that holds the lease."""
         return next(each for each in self.instances.values() if SCOPE in self.leases(each))
 
-    def reports_seen(self, instance: Instance) -> int:
-        """Count the reports that an instance has had from the first engine itself."""
-        seen = instance.state()["models"]["seen"].get(f"{SERVICE}-1")
-        return 0 if seen is None else int(seen["report"]["seq"])
+    def newest_report_seq(self, instance: Instance) -> int:
+        """Return the sequence number of the first engine's newest report on an instance."""
+        model_record = instance.state()["models"]["seen"].get(f"{SERVICE}-1")
+        return 0 if model_record is None else int(model_record["report"]["seq"])
 
-    def wait_rounds(self, instance: Instance, count: int) -> None:
-        """Wait until an instance has compared reports with what is wanted so many more times."""
+    def wait_newer_reports(self, instance: Instance, count: int) -> None:
+        """Wait until an instance has received and processed this many newer reports."""
         for _ in range(count):
-            before = self.reports_seen(instance)
-            newer = partial(self._has_newer, instance, before)
-            wait_until(newer, f"{instance.name} sees another report", SEEN_S)
+            before = self.newest_report_seq(instance)
+            newer = partial(self._has_newer_report, instance, before)
+            wait_until(newer, f"{instance.name} receives a newer report", EVENT_TIMEOUT_S)
 
-    def _has_newer(self, instance: Instance, seq: int) -> bool:
-        return self.reports_seen(instance) > seq
+    def _has_newer_report(self, instance: Instance, seq: int) -> bool:
+        return self.newest_report_seq(instance) > seq
 
 
 @contextmanager
 def paused(instance: Instance) -> Iterator[None]:
-    """Stop a process and let it go on at the end."""
+    """Pause an instance's process and resume it at the end of the block."""
     instance.process.pause()
     try:
         yield
--- a/tests/failures/test_claims_in_outage.py
+++ b/tests/failures/test_claims_in_outage.py
@@ -1,4 +1,4 @@
-"""Keyed calls go on, at most once, while the platform's log is out of reach."""
+"""Calls with idempotency keys run, at most once, while the platform's log is unreachable."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from tests.failures.test_at_most_once import (
     ENTRY_1,
     ENTRY_2,
-    SEEN_S,
+    EVENT_TIMEOUT_S,
     Counter,
     counter,
     is_not_run,
@@ -20,44 +20,47 @@
 from turmericweir_standins.procs import JsonAnswer, wait_until
 
 ENTRY_3: Final = "entry-3"
-# Ends a call that would hang; no answer of these tests takes nearly as long.
+# Safety limit for a call that hangs; no answer in these tests takes nearly as long.
 DEADLINE_MS: Final = 10_000
 
 
 def members(shop: Counter, name: str) -> set[str]:
-    """List the instances that must agree to a claim without the log, as one of them knows them."""
+    """Return the voters of claims without the log, by the view of one instance."""
     view = shop.cluster.instances[name].state()["claims"]["ledger"]["views"]["current"]
-    return {each["instance"] for each in view["members"]}
+    return {member["instance"] for member in view["members"]}
 
 
 def wait_members(shop: Counter, *names: str) -> None:
-    """Wait until these instances, and no others, know each other as members."""
+    """Wait until exactly these instances are members in the views of each of them."""
     for name in names:
-        wait_until(partial(_knows, shop, name, set(names)), f"{name} knows the members", SEEN_S)
+        wait_until(
+            partial(_has_members, shop, name, set(names)),
+            f"the view of {name} has these members",
+            EVENT_TIMEOUT_S,
+        )
 
 
-def _knows(shop: Counter, name: str, names: set[str]) -> bool:
+def _has_members(shop: Counter, name: str, names: set[str]) -> bool:
     return members(shop, name) == names
 
 
 @contextmanager
 def voting(directory: Path) -> Iterator[Counter]:
-    """Run a small cluster whose instances may agree on claims."""
+    """Run a small cluster whose instances may claim keys by votes, without the log."""
     with counter(directory, claim_votes=True) as shop:
         wait_members(shop, ENTRY_1, ENTRY_2)
         yield shop
 
 
 def is_refused(answer: JsonAnswer) -> bool:
-    """Tell whether a caller was told when to send its key again."""
+    """Return whether the answer is a refusal with a retry time."""
     reason = answer.body.get("reason")
     return is_not_run(answer) and reason == "claim_unavailable" and "retry-after" in answer.headers
 
 
-def test_keys_run_once_in_an_outage(tmp_path: Path) -> None:
-    # The log hangs and tills go on reserving. Each key is sent twice, the second time to the other
-    # data centre, which gives the first answer without the log: it agreed to the first. After the
-    # outage the claims are in the log, and an instance that starts then knows them from there.
+def test_keys_run_once_in_an_outage_of_the_log(tmp_path: Path) -> None:
+    # Guards against refused or repeated runs while the log hangs: the instances claim keys by
+    # votes. After the outage the claims are in the log, also for an instance that starts then.
     with voting(tmp_path) as shop:
         shop.platform(outage=True, outage_mode="hang")
         keys = [f"k{number}" for number in range(10)]
@@ -70,10 +73,16 @@
 
         shop.platform(outage=False)
 
-        def claimed() -> int:
-            return sum(len(r["claims"]) for each in shop.claim_appends() for r in each["records"])
+        def claimed_count() -> int:
+            return sum(
+                len(record["claims"])
+                for append in shop.claim_appends()
+                for record in append["records"]
+            )
 
-        wait_until(lambda: claimed() >= len(keys), "the claims are in the log", SEEN_S)
+        wait_until(
+            lambda: claimed_count() >= len(keys), "the claims are in the log", EVENT_TIMEOUT_S
+        )
         shop.cluster.add_instance(2)
         wait_members(shop, ENTRY_1, ENTRY_2, ENTRY_3)
         for key in keys:
@@ -82,11 +91,9 @@
 
 
 def test_instance_killed_in_an_outage(tmp_path: Path) -> None:
-    # In an outage an instance is killed while a service runs its call. The caller sends the key to
-    # the other instance, which agreed to it: it may have run, so it does not run again. New keys
-    # need the dead one's agreement and are refused, and callers are told when to come back. Once
-    # the log is back the survivor replaces the view. New keys run, and the old one stays known,
-    # also to an instance that starts later: the record that lets it in brings the key.
+    # Guards against a second run when an instance is killed during a call in an outage. New keys
+    # are refused with a retry time, since the killed instance can't vote. After the outage a new
+    # view replaces it; its record carries the old keys to an instance that starts later.
     with voting(tmp_path) as shop:
         shop.platform(outage=True, outage_mode="hang")
         assert shop.reserve(ENTRY_1, "before").status == 200
@@ -94,7 +101,7 @@
         broken = shop.begin(ENTRY_1, "cut")
         shop.wait_run("cut")
         shop.cluster.instances[ENTRY_1].process.kill()
-        assert isinstance(broken.exception(SEEN_S), OSError)
+        assert isinstance(broken.exception(EVENT_TIMEOUT_S), OSError)
 
         assert is_unknown(shop.reserve(ENTRY_2, "cut", deadline_ms=DEADLINE_MS))
         assert is_refused(shop.reserve(ENTRY_2, "new", deadline_ms=DEADLINE_MS))
@@ -104,7 +111,9 @@
         shop.platform(outage=False)
         wait_members(shop, ENTRY_2)
         wait_until(
-            lambda: shop.reserve(ENTRY_2, "new").status == 200, "new keys are claimed", SEEN_S
+            lambda: shop.reserve(ENTRY_2, "new").status == 200,
+            "new keys are claimed",
+            EVENT_TIMEOUT_S,
         )
         shop.cluster.add_instance(2)
         wait_members(shop, ENTRY_2, ENTRY_3)
@@ -114,11 +123,10 @@
         assert shop.runs("new") == 1
 
 
-def test_paused_member_goes_on_after_a_newer_view(tmp_path: Path) -> None:
-    # An instance is paused in an outage with a call that all agreed to, before the service has it.
-    # The log comes back, the others replace the view without it, and the key is sent to them. The
-    # record of the new view brings it: `unknown`, as the paused one may still run it. It does, when
-    # it goes on, and that is the only run.
+def test_paused_member_resumes_after_a_newer_view(tmp_path: Path) -> None:
+    # Guards against a second run of a claimed key whose instance was paused in an outage and was
+    # removed from the view. Other instances answer `unknown`; the paused one completes the only run
+    # after it resumes.
     with voting(tmp_path) as shop:
         shop.platform(outage=True, outage_mode="hang")
         shop.slow_down(100.0)
@@ -133,16 +141,19 @@
             assert is_unknown(shop.reserve(name, "k1", deadline_ms=2000))
         shop.cluster.instances[ENTRY_1].process.resume()
         assert first.result().status == 200
-        back = partial(members, shop, ENTRY_1)
-        wait_until(lambda: ENTRY_1 in back(), "it is a member again", SEEN_S)
+        current_members = partial(members, shop, ENTRY_1)
+        wait_until(
+            lambda: ENTRY_1 in current_members(),
+            "the resumed instance is a member again",
+            EVENT_TIMEOUT_S,
+        )
         assert shop.reserve(ENTRY_3, "k1").body == first.result().body
         assert shop.runs("k1") == 1
 
 
-def test_data_centre_cut_off_from_the_platform_goes_on(tmp_path: Path) -> None:
-    # The second data centre can't reach the log, but the first can, and they can talk. Tills of
-    # both go on. Each key is sent to both: what the first has claimed in the log, the second learns
-    # when it asks the first to agree, and what both agreed to the first does not claim.
+def test_data_centre_cut_off_from_the_platform_claims_by_votes(tmp_path: Path) -> None:
+    # Guards against refused or repeated runs when one data centre can't reach the log but reaches
+    # the other data centre: claims by votes and claims in the log must not overlap.
     with voting(tmp_path) as shop:
         shop.platform(cut_from=[ENTRY_2])
         for number in range(6):
--- a/tests/failures/test_regions.py
+++ b/tests/failures/test_regions.py
@@ -1,4 +1,4 @@
-"""Regions that lose each other: each goes on by itself, and they come together without a loss."""
+"""Partitioned regions: each keeps serving, and they converge after the partition."""
 
 from __future__ import annotations
 
@@ -7,70 +7,70 @@
 from pathlib import Path
 from typing import Any, Final
 
-from tests.failures.member_cluster import CUSTOMER, SEEN_S, MemberCluster
+from tests.failures.member_cluster import CUSTOMER, EVENT_TIMEOUT_S, MemberCluster
 from turmericweir_standins.deployment import OPERATOR_TOKEN, Listed, token_of
 from turmericweir_standins.procs import JsonAnswer, call_json, wait_until
 from turmericweir_standins.record import read_records
 
 REGIONS: Final = {"dc-north": "north", "dc-south": "south"}
-# Instances, engines and plain servers lie in the two data centres in turn; the log is in the north.
+# Instances and servers are placed in the two data centres in turn; the log is in the north.
 NORTH: Final = {"entry-1", "entry-3"}
 SOUTH: Final = {"entry-2", "entry-4"}
-ALL: Final = NORTH | SOUTH
-PATH: Final = "/limits/default"
-CALL_S: Final = 40.0
+ALL_INSTANCES: Final = NORTH | SOUTH
+LIMIT_PATH: Final = "/limits/default"
+CALL_TIMEOUT_S: Final = 40.0
 
 
 class RegionCluster(MemberCluster):
     """Two regions, each with two instances, an engine and a plain server."""
 
     # The request ids of the answers, by the instance that gave them.
-    asked: dict[str, list[str]]
+    request_ids: dict[str, list[str]]
 
     def __init__(self, directory: Path) -> None:
         super().__init__(directory, 4, tuple(REGIONS))
         self.deployment = replace(self.deployment, policy="credits")
-        self.asked = {}
+        self.request_ids = {}
 
     def _process_settings(self, listed: Listed, admin_address: str) -> dict[str, Any]:
         region = REGIONS[listed.data_centre]
-        others = [each for each in REGIONS.values() if each != region]
+        other_regions = [each for each in REGIONS.values() if each != region]
         cfg = super()._process_settings(listed, admin_address)
-        return {**cfg, "region": region, "other_regions": others}
+        return {**cfg, "region": region, "other_regions": other_regions}
 
-    def part_regions(self, *, on: bool = True) -> None:
-        """Cut all links between the regions, that of the south to the log included."""
+    def partition_regions(self, *, on: bool = True) -> None:
+        """Cut all links between the regions, including the link from the south to the log."""
         self.part(["dc-south"], on=on)
-        self.platform_behave(cut_from=sorted(SOUTH) if on else [])
+        self.set_platform_behaviour(cut_from=sorted(SOUTH) if on else [])
 
     # --- callers ---
 
     def call(self, name: str, path: str, body: object, key: str | None = None) -> JsonAnswer:
-        """Make a call by way of an instance and note its request id."""
+        """Make a call through an instance and record its request id."""
         headers = {"Authorization": f"Bearer {token_of(CUSTOMER)}"}
         headers |= {"Turmericweir-Deadline-Ms": "5000"}
         headers |= {} if key is None else {"Idempotency-Key": key}
         address = self.instances[name].address
-        answer = call_json(address, "POST", path, body, headers, CALL_S)
-        self.asked.setdefault(name, []).append(answer.headers["turmericweir-request-id"])
+        answer = call_json(address, "POST", path, body, headers, CALL_TIMEOUT_S)
+        self.request_ids.setdefault(name, []).append(answer.headers["turmericweir-request-id"])
         return answer
 
     def reserve(self, name: str, key: str) -> JsonAnswer:
-        """Reserve a size under a key."""
+        """Make a reservation with an idempotency key."""
         return self.call(name, "/services/shop/reserve", {"size": 34}, key)
 
     def serves(self, name: str) -> bool:
-        """Tell whether a model request and a repeatable call are answered."""
+        """Return whether a model request and a repeatable call are answered."""
         messages = [{"role": "user", "content": "hello"}]
         body = {"model": "lm", "messages": messages, "max_tokens": 4}
         model = self.call(name, "/v1/chat/completions", body)
         plain = self.call(name, "/services/shop/check", {})
         return (model.status, plain.status) == (200, 200)
 
-    # --- what the servers noted ---
+    # --- records of the servers ---
 
-    def begun(self, data_centre: str) -> set[str]:
-        """Name the requests that servers of a data centre have begun."""
+    def started_requests(self, data_centre: str) -> set[str]:
+        """Return the ids of the requests that the servers of a data centre have started."""
         return {
             record["request_id"]
             for name, listed in self.listed.items()
@@ -80,7 +80,7 @@
         }
 
     def runs(self, key: str) -> int:
-        """Count the runs of a key in all regions."""
+        """Return the number of runs of a key in all regions."""
         return sum(
             record["event"] == "run" and record["key"] == key
             for name in self.listed
@@ -91,79 +91,94 @@
     # --- operators ---
 
     def put(self, name: str, requests_s: float, change_id: str, version: int) -> JsonAnswer:
-        """Set the limit by way of an instance, for a version."""
+        """Set the limit through an instance, for an expected version."""
         value = {"requests_s": requests_s}
         body = {"value": value, "expected_version": version, "change_id": change_id}
-        return self._admin(name, "PUT", f"{PATH}?wait_s=1", body)
+        return self._admin(name, "PUT", f"{LIMIT_PATH}?wait_s=1", body)
 
     def limit(self, name: str) -> float | None:
-        """Give the limit that an instance goes by."""
-        answer = self._admin(name, "GET", PATH)
+        """Return the limit in force on an instance."""
+        answer = self._admin(name, "GET", LIMIT_PATH)
         return float(answer.body["value"]["requests_s"]) if answer.status == 200 else None
 
-    def goes_by(self, name: str, requests_s: float) -> bool:
-        """Tell whether an instance goes by this limit."""
+    def has_limit(self, name: str, requests_s: float) -> bool:
+        """Return whether this limit is in force on an instance."""
         return self.limit(name) == requests_s
 
     def verdict(self, name: str, change_id: str) -> str | None:
-        """Give what an instance holds of a change."""
-        found: str | None = self._admin(name, "GET", f"/changes/{change_id}").body.get("verdict")
-        return found
+        """Return the verdict on a change, by the view of an instance."""
+        verdict: str | None = self._admin(name, "GET", f"/changes/{change_id}").body.get("verdict")
+        return verdict
 
     def _admin(self, name: str, method: str, path: str, body: object = None) -> JsonAnswer:
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         address = self.instances[name].admin_address
-        return call_json(address, method, f"/settings{path}", body, headers, CALL_S)
+        return call_json(address, method, f"/settings{path}", body, headers, CALL_TIMEOUT_S)
 
 
-def test_regions_that_lose_each_other(tmp_path: Path) -> None:
-    # All links between the regions are cut, and with them the south's way to the log. Callers in
-    # both are served by their own servers. An operator changes a limit in the north; another one
-    # changes it in the south, for the version that is known there. A till sends one key to both.
-    # When the links are back the north's change is in force everywhere: the south's comes too late
-    # and must not undo it. Keys have run once: the south has claimed none that it couldn't.
+def test_partitioned_regions_keep_serving_and_converge(tmp_path: Path) -> None:
+    # Guards against refused callers, a reverted change and repeated runs when all links between the
+    # regions are cut and the south can't reach the log. A change in the south, made for a stale
+    # version, must not override that of the north; each key runs once.
     with RegionCluster(tmp_path) as cluster:
         cluster.wait_all_live()
-        cluster.part_regions()
+        cluster.partition_regions()
         for side in (NORTH, SOUTH):
             for name in side:
                 cluster.wait_live(name, side)
-        cluster.asked.clear()
+        cluster.request_ids.clear()
 
         for name in NORTH | SOUTH:
-            wait_until(partial(cluster.serves, name), f"{name} serves", SEEN_S)
-        own = {name: cluster.begun("dc-north" if name in NORTH else "dc-south") for name in ALL}
-        assert all(set(ids) <= own[name] for name, ids in cluster.asked.items())
+            wait_until(partial(cluster.serves, name), f"{name} serves", EVENT_TIMEOUT_S)
+        started_ids = {
+            name: cluster.started_requests("dc-north" if name in NORTH else "dc-south")
+            for name in ALL_INSTANCES
+        }
+        assert all(set(ids) <= started_ids[name] for name, ids in cluster.request_ids.items())
 
         assert cluster.put("entry-1", 2000, "change-north", 0).body["verdict"] == "accepted"
-        wait_until(partial(cluster.goes_by, "entry-3", 2000), "the north follows", SEEN_S)
-        told = cluster.put("entry-2", 3000, "change-south", 0).body["verdict"]
-        assert told in ("pending", "not_appended")
+        wait_until(
+            partial(cluster.has_limit, "entry-3", 2000), "the north has the change", EVENT_TIMEOUT_S
+        )
+        verdict = cluster.put("entry-2", 3000, "change-south", 0).body["verdict"]
+        assert verdict in ("pending", "not_appended")
         assert [cluster.limit(name) for name in sorted(SOUTH)] == [None, None]
 
-        first = cluster.reserve("entry-1", "both")
-        assert first.status == 200
+        first_answer = cluster.reserve("entry-1", "both")
+        assert first_answer.status == 200
         assert cluster.reserve("entry-2", "both").status != 200
-        south = cluster.reserve("entry-4", "south")
-        ran = cluster.runs("south")
-        assert south.body.get("outcome") != "not_run" or ran == 0
-
-        cluster.part_regions(on=False)
-        for name in ALL:
-            cluster.wait_live(name, ALL)
-            wait_until(partial(cluster.goes_by, name, 2000), f"{name} follows", SEEN_S)
+        south_answer = cluster.reserve("entry-4", "south")
+        run_count = cluster.runs("south")
+        assert south_answer.body.get("outcome") != "not_run" or run_count == 0
+
+        cluster.partition_regions(on=False)
+        for name in ALL_INSTANCES:
+            cluster.wait_live(name, ALL_INSTANCES)
+            wait_until(
+                partial(cluster.has_limit, name, 2000), f"{name} has the change", EVENT_TIMEOUT_S
+            )
         for name in sorted(SOUTH):
-            replays = partial(replayed, cluster, name, first)
-            wait_until(replays, f"{name} knows the key", SEEN_S)
-        wait_until(lambda: cluster.reserve("entry-1", "south").status == 200, "south", SEEN_S)
+            is_replayed_there = partial(is_replayed, cluster, name, first_answer)
+            wait_until(is_replayed_there, f"{name} replays the answer", EVENT_TIMEOUT_S)
+        wait_until(
+            lambda: cluster.reserve("entry-1", "south").status == 200,
+            "the south's key is answered",
+            EVENT_TIMEOUT_S,
+        )
 
-        settled = ("conflict", "not_appended", None)
-        wait_until(lambda: cluster.verdict("entry-2", "change-south") in settled, "told", CALL_S)
-        assert [cluster.limit(name) for name in sorted(ALL)] == [2000] * len(ALL)
+        final_verdicts = ("conflict", "not_appended", None)
+        wait_until(
+            lambda: cluster.verdict("entry-2", "change-south") in final_verdicts,
+            "the south's change has a final verdict",
+            CALL_TIMEOUT_S,
+        )
+        assert [cluster.limit(name) for name in sorted(ALL_INSTANCES)] == [2000] * len(
+            ALL_INSTANCES
+        )
         assert (cluster.runs("both"), cluster.runs("south")) == (1, 1)
 
 
-def replayed(cluster: RegionCluster, name: str, first: JsonAnswer) -> bool:
-    """Tell whether an instance gives the first answer to the key that was sent to both regions."""
+def is_replayed(cluster: RegionCluster, name: str, first: JsonAnswer) -> bool:
+    """Return whether an instance replays the first answer to the key sent to both regions."""
     again = cluster.reserve(name, "both")
     return again.status == 200 and bool(again.body == first.body)
--- a/tests/failures/test_settings.py
+++ b/tests/failures/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings that were accepted hold everywhere, whatever becomes of the log and of the instances."""
+"""Accepted settings apply to all instances through outages of the log and restarts of instances."""
 
 from __future__ import annotations
 
@@ -36,14 +36,14 @@
 
 ENTRY_1: Final = "entry-1"
 ENTRY_2: Final = "entry-2"
-PATH: Final = "/limits/default"
+LIMIT_PATH: Final = "/limits/default"
 ANN: Final = "ann"
 BEN: Final = "ben"
-# Ends a wait for what never comes; no test waits for it.
-SEEN_S: Final = 20.0
-# Records that the small log keeps, and after how many of them a snapshot is due.
-RETENTION: Final = 30
-SNAPSHOT_EVERY: Final = 10
+# Safety limit for a wait; no test depends on its length.
+EVENT_TIMEOUT_S: Final = 20.0
+# Number of records that the log retains, and of records between two snapshots.
+RETENTION_RECORDS: Final = 30
+SNAPSHOT_EVERY_RECORDS: Final = 10
 
 DEPLOYMENT: Final = replace(
     SMALL,
@@ -56,9 +56,9 @@
 
 
 class SettingsCluster(Cluster):
-    """Two data centres with an instance each, and operators."""
+    """Two data centres with one instance each, and the calls of operators."""
 
-    # Where the instances send their metrics.
+    # Address to which the instances send their metrics.
     statsd_address: str | None = None
 
     def _process_settings(self, listed: Listed, admin_address: str) -> dict[str, Any]:
@@ -66,59 +66,61 @@
         return {**cfg, "statsd": self.statsd_address, "stop_grace_s": 0.2}
 
     def reporting_to(self, statsd_address: str) -> Self:
-        """Let the instances send their metrics; called before the cluster is started."""
+        """Set the address of the metrics; to be called before the cluster is started."""
         self.statsd_address = statsd_address
         return self
 
     # --- operators ---
 
     def put(self, name: str, value: object, **body: object) -> JsonAnswer:
-        """Set the path by way of an instance."""
-        return self._call(name, "PUT", f"/settings{PATH}", {"value": value, **body})
+        """Set the path through an instance."""
+        return self._call(name, "PUT", f"/settings{LIMIT_PATH}", {"value": value, **body})
 
     def delete(self, name: str) -> JsonAnswer:
-        """Delete the path by way of an instance."""
-        return self._call(name, "DELETE", f"/settings{PATH}", {})
+        """Delete the path through an instance."""
+        return self._call(name, "DELETE", f"/settings{LIMIT_PATH}", {})
 
-    def listing(self, name: str) -> Any:
-        """Give all settings that an instance holds."""
+    def settings_dump(self, name: str) -> Any:
+        """Return all settings of an instance."""
         return self._call(name, "GET", "/settings").body
 
     def entries(self, name: str) -> dict[str, Any]:
-        """Give the values and versions that an instance holds, by path."""
-        return {it["path"]: (it["version"], it["value"]) for it in self.listing(name)["entries"]}
+        """Return the versions and values of an instance's settings, by path."""
+        return {
+            it["path"]: (it["version"], it["value"]) for it in self.settings_dump(name)["entries"]
+        }
 
-    def holds(self, name: str) -> bool:
-        """Tell whether an instance has a value of the path."""
-        return PATH in self.entries(name)
+    def has_path(self, name: str) -> bool:
+        """Return whether an instance has a value for the path."""
+        return LIMIT_PATH in self.entries(name)
 
     def _call(self, name: str, method: str, path: str, body: object = None) -> JsonAnswer:
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         address = self.instances[name].admin_address
-        return call_json(address, method, path, body, headers, timeout_s=SEEN_S)
+        return call_json(address, method, path, body, headers, timeout_s=EVENT_TIMEOUT_S)
 
-    def ctl(self, name: str, token: str, *words: str) -> subprocess.Popen[str]:
-        """Start `turmericctl` on an instance."""
+    def ctl(self, name: str, token: str, *args: str) -> subprocess.Popen[str]:
+        """Start `turmericctl` for an instance."""
         admin = self.instances[name].admin_address
         argv = [sys.executable, "-m", "turmericctl.main", "--admin", admin, "--token", token]
-        return subprocess.Popen([*argv, *words], stdout=subprocess.PIPE, text=True)
+        return subprocess.Popen([*argv, *args], stdout=subprocess.PIPE, text=True)
 
     # --- the log ---
 
     def append(self, *records: dict[str, Any]) -> None:
-        """Append records to the log by no instance."""
+        """Append records to the log directly, without an instance."""
         address = self.platform.address
         call_json(address, "POST", "/log/settings/append", {"records": list(records)})
 
     def appended(self) -> list[dict[str, Any]]:
-        """List the appends to the settings that the platform noted."""
+        """Return the platform's records of appends to the settings."""
         records = read_records(self.record_path("platform"))
         return [it for it in records if it["event"] == "append" and it["stream"] == "settings"]
 
-    def log_has_let_go(self) -> bool:
-        """Tell whether the first records are gone and a snapshot that is kept bridges them."""
+    def has_log_dropped_first_records(self) -> bool:
+        """Return whether the first records have expired and a retained snapshot covers them."""
         appended = self.appended()
-        oldest = appended[-1]["first"] + len(appended[-1]["records"]) - RETENTION
+        oldest = appended[-1]["first"] + len(appended[-1]["records"]) - RETENTION_RECORDS
         snapshots = [
             it["records"][0] for it in appended if it["caller"] and _is_snapshot(it["records"][0])
         ]
@@ -130,37 +132,37 @@
         """Wait for a log line of an instance."""
         process = self.instances[name].process
         logged = f"event={event} "
-        wait_until(lambda: logged in process.stderr_text(), f"{name} logs {event}", SEEN_S)
+        wait_until(lambda: logged in process.stderr_text(), f"{name} logs {event}", EVENT_TIMEOUT_S)
 
-    def wait_met(self) -> None:
-        """Wait until every instance takes all of them for live."""
+    def wait_all_live(self) -> None:
+        """Wait until every instance lists all instances as live."""
         names = set(self.instances)
 
-        def met() -> bool:
+        def are_all_live() -> bool:
             live = [it.state()["process"]["live_instances"] for it in self.instances.values()]
             return all(set(it) == names for it in live)
 
-        wait_until(met, "the instances have met", SEEN_S)
+        wait_until(are_all_live, "all instances list each other as live", EVENT_TIMEOUT_S)
 
     def wait_ready(self, instance: Instance) -> None:
-        """Wait until an instance serves."""
-        wait_until(instance.ready, f"{instance.name} is ready", SEEN_S)
+        """Wait until an instance is ready."""
+        wait_until(instance.ready, f"{instance.name} is ready", EVENT_TIMEOUT_S)
 
     def ask_model(self, name: str) -> int:
-        """Send a model request by way of an instance and give its status."""
+        """Send a model request through an instance and return the status of the answer."""
         headers = {"Authorization": f"Bearer {token_of('shop-1')}"}
         messages = [{"role": "user", "content": "hello"}]
         body = {"model": "lm", "messages": messages, "max_tokens": 2}
         address = self.instances[name].address
-        answer = call_json(address, "POST", "/v1/chat/completions", body, headers, SEEN_S)
+        answer = call_json(address, "POST", "/v1/chat/completions", body, headers, EVENT_TIMEOUT_S)
         return answer.status
 
 
 @contextmanager
-def running(directory: Path, **options: Any) -> Iterator[SettingsCluster]:
-    """Run a cluster whose instances have met."""
+def running_cluster(directory: Path, **options: Any) -> Iterator[SettingsCluster]:
+    """Run a cluster whose instances list each other as live."""
     with SettingsCluster(DEPLOYMENT, directory, **options) as cluster:
-        cluster.wait_met()
+        cluster.wait_all_live()
         yield cluster
 
 
@@ -169,81 +171,96 @@
 
 
 def limit(requests_s: int) -> dict[str, float]:
-    """Give a value of the path."""
+    """Return a value for the path."""
     return {"requests_s": float(requests_s)}
 
 
 # --- changes ---------------------------------------------------------------------------------
 
 
-def test_of_two_operators_at_once_one_wins_and_the_other_is_told(tmp_path: Path) -> None:
-    # Ann and Ben set the same path in the same moment, each through another data centre's instance
-    # and each for the version that both have seen. Both records stand in the log. The first one
-    # there counts, on both instances alike: one operator reads `accepted`, the other `conflict`
-    # with the value and the name that won. Otherwise one would overwrite the other unseen.
-    with running(tmp_path) as cluster:
+def test_one_of_two_concurrent_changes_wins_and_the_other_is_a_conflict(tmp_path: Path) -> None:
+    # Guards against an unnoticed overwrite when two operators set one path for the same version at
+    # the same time: the first record in the log wins, and the other operator reads `conflict`.
+    with running_cluster(tmp_path) as cluster:
         values = {ANN: 20, BEN: 30}
-        words = {it: f'{{"requests_s": {number}}}' for it, number in values.items()}
+        values_json = {it: f'{{"requests_s": {number}}}' for it, number in values.items()}
         calls = {
             who: cluster.ctl(
-                entry, token_of(who), "settings", "set", PATH, words[who], "--expect", "0"
+                entry,
+                token_of(who),
+                "settings",
+                "set",
+                LIMIT_PATH,
+                values_json[who],
+                "--expect",
+                "0",
             )
             for who, entry in ((ANN, ENTRY_1), (BEN, ENTRY_2))
         }
-        told = {who: call.communicate(timeout=SEEN_S)[0] for who, call in calls.items()}
+        outputs = {who: call.communicate(timeout=EVENT_TIMEOUT_S)[0] for who, call in calls.items()}
 
         codes = {who: call.returncode for who, call in calls.items()}
-        assert sorted(codes.values()) == [0, 1], told
+        assert sorted(codes.values()) == [0, 1], outputs
         winner, loser = sorted(codes, key=lambda who: codes[who])
-        assert told[winner].startswith(f"accepted: {PATH} is at version ")
-        assert told[loser].startswith(f"conflict: {PATH} is at version ")
-        assert f'set by {winner}: {{"requests_s": {values[winner]}.0' in told[loser]
+        assert outputs[winner].startswith(f"accepted: {LIMIT_PATH} is at version ")
+        assert outputs[loser].startswith(f"conflict: {LIMIT_PATH} is at version ")
+        assert f'set by {winner}: {{"requests_s": {values[winner]}.0' in outputs[loser]
         for name in (ENTRY_1, ENTRY_2):
-            wait_until(partial(cluster.holds, name), f"{name} has a change", SEEN_S)
-            assert cluster.entries(name)[PATH][1]["requests_s"] == values[winner]
+            wait_until(partial(cluster.has_path, name), f"{name} has a change", EVENT_TIMEOUT_S)
+            assert cluster.entries(name)[LIMIT_PATH][1]["requests_s"] == values[winner]
 
 
-def test_change_whose_acknowledgement_was_lost_is_made_once(tmp_path: Path) -> None:
-    # The log takes a change, and its answer to the instance is lost. The operator is told
-    # `accepted`, since the verdict is read from the log. Then another change deletes the path, and
-    # only now the first one stands in the log a second time, as when an append was made again. It
-    # was judged by its id before and stays without effect: the deletion would be undone otherwise.
-    with running(tmp_path) as cluster:
+def test_change_whose_acknowledgement_was_lost_is_applied_once(tmp_path: Path) -> None:
+    # Guards against a change that is applied twice when its acknowledgement is lost and its record
+    # is appended again after a later change: its id has a verdict already, and the repeated record
+    # has no effect.
+    with running_cluster(tmp_path) as cluster:
         set_behaviour(cluster.platform.address, lose_acks=1000)
         first = cluster.put(ENTRY_1, limit(20), expected_version=0, change_id="lost-ack-1")
         set_behaviour(cluster.platform.address, lose_acks=0)
 
         assert (first.status, first.body["verdict"]) == (200, "accepted")
-        lost = [it for it in cluster.appended() if it["records"][0]["change_id"] == "lost-ack-1"]
-        assert [it["acked"] for it in lost] == [False]
-        again = cluster.put(ENTRY_2, limit(20), expected_version=0, change_id="lost-ack-1")
-        assert (again.body["verdict"], again.body["offset"]) == ("accepted", first.body["offset"])
+        lost_appends = [
+            it for it in cluster.appended() if it["records"][0]["change_id"] == "lost-ack-1"
+        ]
+        assert [it["acked"] for it in lost_appends] == [False]
+        repeated = cluster.put(ENTRY_2, limit(20), expected_version=0, change_id="lost-ack-1")
+        assert (repeated.body["verdict"], repeated.body["offset"]) == (
+            "accepted",
+            first.body["offset"],
+        )
 
         assert cluster.delete(ENTRY_1).body["verdict"] == "accepted"
-        cluster.append(lost[0]["records"][0])
+        cluster.append(lost_appends[0]["records"][0])
         last = cluster.put(ENTRY_1, limit(30), expected_version=0)
 
         assert last.body["verdict"] == "accepted"
-        assert cluster.entries(ENTRY_1)[PATH][1]["requests_s"] == 30
+        assert cluster.entries(ENTRY_1)[LIMIT_PATH][1]["requests_s"] == 30
         cluster.wait_logged(ENTRY_1, "settings_repeated")
 
 
-def test_data_centre_cut_off_from_the_platform_follows_its_siblings(tmp_path: Path) -> None:
-    # dc-2 can reach neither log nor list, but the instance of dc-1. An operator changes a limit in
-    # dc-1 and waits. entry-2 hears by heartbeats that it is behind and asks for the record, so the
-    # operator reads that it is in force in both. Without it dc-2 would go by the old limit for as
-    # long as the cut lasts.
-    with running(tmp_path) as cluster:
+def test_data_centre_cut_off_from_the_platform_gets_settings_from_peers(tmp_path: Path) -> None:
+    # Guards against stale settings in a data centre that reaches neither log nor list: its instance
+    # notices from heartbeats that it is behind and fetches the record from its peer.
+    with running_cluster(tmp_path) as cluster:
         set_behaviour(cluster.platform.address, cut_from=[ENTRY_2])
         cluster.wait_logged(ENTRY_2, "settings_log_unreachable")
 
-        words = ("settings", "set", PATH, '{"requests_s": 20}', "--wait", "--wait-timeout", "15")
-        call = cluster.ctl(ENTRY_1, OPERATOR_TOKEN, *words)
-        told = call.communicate(timeout=2 * SEEN_S)[0].splitlines()
+        args = (
+            "settings",
+            "set",
+            LIMIT_PATH,
+            '{"requests_s": 20}',
+            "--wait",
+            "--wait-timeout",
+            "15",
+        )
+        call = cluster.ctl(ENTRY_1, OPERATOR_TOKEN, *args)
+        lines = call.communicate(timeout=2 * EVENT_TIMEOUT_S)[0].splitlines()
 
-        assert call.returncode == 0, told
-        assert sorted(told[1:]) == ["dc-1: in force", "dc-2: in force"]
-        assert cluster.entries(ENTRY_2)[PATH] == cluster.entries(ENTRY_1)[PATH]
+        assert call.returncode == 0, lines
+        assert sorted(lines[1:]) == ["dc-1: in force", "dc-2: in force"]
+        assert cluster.entries(ENTRY_2)[LIMIT_PATH] == cluster.entries(ENTRY_1)[LIMIT_PATH]
         log = cluster.instances[ENTRY_2].process.stderr_text()
         assert "event=settings_log_reachable" not in log
 
@@ -251,13 +268,12 @@
 # --- instances that start --------------------------------------------------------------------
 
 
-def test_instance_that_starts_in_an_outage_has_the_newest_settings_of_its_peers(
+def test_instance_that_starts_in_an_outage_gets_the_newest_settings_from_peers(
     tmp_path: Path,
 ) -> None:
-    # The platform is down when entry-3 starts, and a limit was changed before. It has no settings
-    # of its own, so callers would be refused until the platform is back. It asks its peers, holds
-    # what they hold, the change included, and only then serves.
-    with running(tmp_path) as cluster:
+    # Guards against refused callers, and against serving by old settings, on an instance that
+    # starts while the platform is down: it fetches the settings from its peers before it is ready.
+    with running_cluster(tmp_path) as cluster:
         assert cluster.put(ENTRY_1, limit(20)).status == 200
         address = cluster.platform.address
         set_behaviour(address, outage=True, outage_mode="refuse", list_down=True)
@@ -265,31 +281,33 @@
 
         entry_3 = cluster.add_instance(2).name
 
-        assert cluster.entries(entry_3)[PATH][1]["requests_s"] == 20
-        assert cluster.listing(entry_3)["hash"] == cluster.listing(ENTRY_1)["hash"]
-        wait_until(lambda: cluster.ask_model(entry_3) == 200, "entry-3 serves", SEEN_S)
+        assert cluster.entries(entry_3)[LIMIT_PATH][1]["requests_s"] == 20
+        assert cluster.settings_dump(entry_3)["hash"] == cluster.settings_dump(ENTRY_1)["hash"]
+        wait_until(lambda: cluster.ask_model(entry_3) == 200, "entry-3 serves", EVENT_TIMEOUT_S)
 
 
 @pytest.fixture
 def short_log(tmp_path: Path) -> Iterator[SettingsCluster]:
-    """Run a cluster whose log soon lets go of the first settings."""
-    options = {"snapshot_every": SNAPSHOT_EVERY}
-    platform_args = ("--retention", str(RETENTION))
-    with running(tmp_path, options=options, platform_args=platform_args) as cluster:
+    """Run a cluster whose log soon drops the first settings records."""
+    options = {"snapshot_every": SNAPSHOT_EVERY_RECORDS}
+    platform_args = ("--retention", str(RETENTION_RECORDS))
+    with running_cluster(tmp_path, options=options, platform_args=platform_args) as cluster:
         yield cluster
 
 
-def test_settings_outlive_the_replacement_of_one_instance_after_another(
+def test_settings_survive_a_rolling_replacement_of_instances(
     short_log: SettingsCluster,
 ) -> None:
-    # The log keeps no longer the records that made the classes, services and customers. Each
-    # instance in turn is stopped and a new one takes its place, which holds nothing. It has the
-    # settings from its sibling or from a snapshot in the log, whichever comes first, and when it
-    # serves it holds what the one before it held. Otherwise an ordinary upgrade would lose them.
+    # Guards against the loss of settings in a rolling upgrade after the log has dropped their
+    # records: a new instance gets them from a peer or from a snapshot before it is ready.
     cluster = short_log
-    for number in range(RETENTION):
+    for number in range(RETENTION_RECORDS):
         assert cluster.put(ENTRY_1, limit(number + 1)).status == 200
-    wait_until(cluster.log_has_let_go, "a snapshot follows expired records", SEEN_S)
+    wait_until(
+        cluster.has_log_dropped_first_records,
+        "a snapshot covers the expired records",
+        EVENT_TIMEOUT_S,
+    )
     before = cluster.entries(ENTRY_1)
 
     for name in (ENTRY_1, ENTRY_2):
@@ -301,18 +319,21 @@
     assert cluster.put(ENTRY_1, limit(1000)).body["verdict"] == "accepted"
 
 
-def test_settings_outlive_the_replacement_of_all_instances_at_once(
+def test_settings_survive_the_replacement_of_all_instances_at_once(
     short_log: SettingsCluster,
 ) -> None:
-    # All instances are killed at once, so nobody holds the settings but the log, where the first
-    # records have expired and the log is down. Before each good snapshot there stands an empty one
-    # with a wrong hash. The new instances serve nobody until the log is back, since they would
-    # refuse customers that they do not know; then they load a good snapshot and hold all again.
+    # Guards against the loss of settings when all instances are killed and the log, which has
+    # dropped the first records, is down. The new instances are not ready until the log is back;
+    # then they skip the snapshots with a wrong hash and load a valid one.
     cluster = short_log
-    for number in range(RETENTION // 2):
-        cluster.append(_emptied(cluster.listing(ENTRY_1)["offset"]))
+    for number in range(RETENTION_RECORDS // 2):
+        cluster.append(_empty_snapshot(cluster.settings_dump(ENTRY_1)["offset"]))
         assert cluster.put(ENTRY_1, limit(number + 1)).status == 200
-    wait_until(cluster.log_has_let_go, "a good snapshot follows expired records", SEEN_S)
+    wait_until(
+        cluster.has_log_dropped_first_records,
+        "a valid snapshot covers the expired records",
+        EVENT_TIMEOUT_S,
+    )
     before = cluster.entries(ENTRY_1)
 
     for name in (ENTRY_1, ENTRY_2):
@@ -320,7 +341,7 @@
     set_behaviour(cluster.platform.address, outage=True, outage_mode="refuse")
     for name in (ENTRY_1, ENTRY_2):
         cluster.restart_instance(name)
-    cluster.wait_met()
+    cluster.wait_all_live()
     assert not any(it.ready() for it in cluster.instances.values())
 
     set_behaviour(cluster.platform.address, outage=False)
@@ -334,10 +355,10 @@
 
 
 class Statsd:
-    """Counts what the instances report."""
+    """A StatsD server that sums the counters of the instances."""
 
     address: str
-    # Sums by the counter's name without instance.
+    # Sums by the counter's name without the instance's name.
     counters: Counter[str]
 
     def __init__(self) -> None:
@@ -358,14 +379,14 @@
     ) -> None:
         self._socket.close()
 
-    def counted(self, expected: Mapping[str, int]) -> bool:
-        """Take what has come in, and tell whether these counters have these sums."""
+    def has_counts(self, expected: Mapping[str, int]) -> bool:
+        """Read the received datagrams and return whether these counters have these sums."""
         with suppress(BlockingIOError):
             while True:
-                self._take(self._socket.recv(65536).decode())
+                self._add_datagram(self._socket.recv(65536).decode())
         return all(self.counters[name] == count for name, count in expected.items())
 
-    def _take(self, datagram: str) -> None:
+    def _add_datagram(self, datagram: str) -> None:
         for line in datagram.splitlines():
             name, _, value = line.partition(":")
             if value.endswith("|c"):
@@ -373,20 +394,18 @@
 
 
 def test_bad_input_is_logged_and_counted_and_changes_nothing(tmp_path: Path) -> None:
-    # Somebody appends to the settings stream what is no record, a change of a path that does not
-    # exist and a snapshot whose hash is wrong, and sends noise to the peer port. An instance that
-    # stopped at one of them would follow no later change; one that loaded the snapshot would serve
-    # by no settings at all. All are refused, logged and counted, and the next change is accepted.
+    # Guards against an instance that stops at bad input or loads it: a malformed record, a change
+    # of an unknown path, a snapshot with a wrong hash, and invalid datagrams on the peer port.
     cluster = SettingsCluster(DEPLOYMENT, tmp_path)
     with Statsd() as statsd, cluster.reporting_to(statsd.address):
-        cluster.wait_met()
+        cluster.wait_all_live()
         before = cluster.entries(ENTRY_1)
         cluster.append(
-            {"type": "chnage", "path": PATH},
+            {"type": "chnage", "path": LIMIT_PATH},
             settings_record("/no/such/path", limit(1), "unknown-path"),
-            _emptied(cluster.listing(ENTRY_1)["offset"]),
+            _empty_snapshot(cluster.settings_dump(ENTRY_1)["offset"]),
         )
-        _send_noise(cluster.instances[ENTRY_1])
+        _send_invalid_datagrams(cluster.instances[ENTRY_1])
 
         for name in (ENTRY_1, ENTRY_2):
             cluster.wait_logged(name, "settings_malformed")
@@ -400,14 +419,14 @@
             "settings.snapshot_mismatched": 2,
             "peer.bad_frame": 2,
         }
-        wait_until(partial(statsd.counted, expected), f"{expected} counted", SEEN_S)
+        wait_until(partial(statsd.has_counts, expected), f"{expected} counted", EVENT_TIMEOUT_S)
         assert cluster.put(ENTRY_2, limit(20)).body["verdict"] == "accepted"
         entry_3 = cluster.add_instance(2).name
         assert cluster.entries(entry_3) == cluster.entries(ENTRY_2)
 
 
-def _emptied(offset: int) -> dict[str, Any]:
-    """Build a snapshot that holds nothing, with a hash that fits nothing."""
+def _empty_snapshot(offset: int) -> dict[str, Any]:
+    """Return an empty snapshot with a wrong hash."""
     return {
         "type": "snapshot",
         "offset": offset,
@@ -417,7 +436,7 @@
     }
 
 
-def _send_noise(instance: Instance) -> None:
+def _send_invalid_datagrams(instance: Instance) -> None:
     host, _, port = (instance.listed.peer_address or "").rpartition(":")
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
         for data in (b"\x00", b"GET / HTTP/1.1\r\n\r\n"):
--- a/tests/failures/test_straggler.py
+++ b/tests/failures/test_straggler.py
@@ -1,4 +1,4 @@
-"""An engine that becomes slow: what runs there goes on elsewhere, and its callers see no seam."""
+"""An engine that becomes slow: its answers are continued by other engines."""
 
 from __future__ import annotations
 
@@ -8,48 +8,47 @@
 import pytest
 
 from tests.failures.cluster import SMALL
-from tests.failures.fault_cluster import chats, small
+from tests.failures.fault_cluster import chat_callers, small
 from turmericweir_standins.procs import wait_until
 
-# Promised time between tokens, ms; an engine's step takes 6 ms. Wide, because an engine process
-# that is not scheduled for longer than that, twice in a row, has its answers moved as it should.
-GAP_MS: Final = 400
-# Makes a step 0.9 s: above the promise by as large a factor as 20 is with 65 ms.
+# Target for the time between tokens. Prevents moves on a busy machine, where an engine process may
+# not be scheduled for some time.
+TOKEN_GAP_TARGET_MS: Final = 400
+# Makes a step of the engine clearly longer than GAP_MS.
 SLOW_FACTOR: Final = 150.0
 
 
 @pytest.mark.parametrize("policy", ["counts", "credits"])
 def test_answers_leave_a_slow_engine(tmp_path: Path, policy: str) -> None:
-    # Callers were promised a pace. One of three engines becomes far slower than that while it
-    # answers some of them; its connections and reports are well. Those answers go on at the others
-    # after the last token that each caller has, once each, and the slow engine stops making tokens
-    # for them. The callers get whole answers, each token once.
-    quick = {**SMALL.classes["quick"], "token_gap_target_ms": GAP_MS}
+    # Guards against answers that stay on an engine that has become far slower than the target,
+    # though its connections and reports are healthy. They are moved once each, without a lost or
+    # doubled token, and the slow engine stops generating them.
+    quick = {**SMALL.classes["quick"], "token_gap_target_ms": TOKEN_GAP_TARGET_MS}
     classes = {**SMALL.classes, "quick": quick}
     deployment = small(engines=3, instances=1, classes=classes, policy=policy)
-    with chats(deployment, tmp_path) as callers:
+    with chat_callers(deployment, tmp_path) as callers:
         cluster = callers.cluster
         sent = [callers.send(f"question {number} [len=900]") for number in range(9)]
 
-        def judged() -> bool:
-            """Tell whether the pace of each engine is known: one alone is not called slow."""
+        def has_all_paces() -> bool:
+            """Return whether the pace of each engine is known; slowness is relative to others."""
             paces = cluster.instances["entry-1"].state()["stragglers"]["by_server"]
             return len(paces) == 3 and min(each["samples"] for each in paces.values()) >= 4
 
-        wait_until(judged, "the pace of three engines")
-        cluster.behave("lm-1", slow_factor=SLOW_FACTOR)
+        wait_until(has_all_paces, "the pace of three engines is known")
+        cluster.set_server_behaviour("lm-1", slow_factor=SLOW_FACTOR)
         answers = [each.result() for each in sent]
-        assert [each.is_whole() for each in answers] == [True] * 9
+        assert [each.is_complete() for each in answers] == [True] * 9
         received = cluster.records("received")
         moved = [each for each in received if each["from_token"] > 0]
-        # Those that waited for a slot there too: they begin as the first ones leave.
-        victims = {
+        # Includes requests that waited for a slot on the slow engine.
+        slow_request_ids = {
             each["request_id"]
             for each in received
             if each["server"] == "lm-1" and each["from_token"] == 0
         }
-        assert victims
-        assert sorted(each["request_id"] for each in moved) == sorted(victims)
+        assert slow_request_ids
+        assert sorted(each["request_id"] for each in moved) == sorted(slow_request_ids)
         assert "lm-1" not in {each["server"] for each in moved}
         stopped = [each for each in cluster.records("ended") if each["server"] == "lm-1"]
         assert {each["outcome"] for each in stopped} <= {"aborted", "cancelled"}
