--- a/packages/turmericweir-standins/turmericweir_standins/__init__.py
+++ b/packages/turmericweir-standins/turmericweir_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform, the backend servers, the network's faults and the callers in tests."""
+"""Stand-ins for the platform, backend servers, network faults and callers, used in tests."""
--- a/packages/turmericweir-standins/turmericweir_standins/asgi.py
+++ b/packages/turmericweir-standins/turmericweir_standins/asgi.py
@@ -1,7 +1,7 @@
-"""The few pieces of ASGI that the stand-ins share: a request, its body, and JSON answers.
+"""Small ASGI helpers that the stand-ins share: a request, its body, and JSON answers.
 
-The stand-ins are plain ASGI callables, since a framework would cost more per token than the
-engine model itself.
+The stand-ins are plain ASGI callables, since a framework would cost more processor time per token
+than the engine model itself.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 
 
 class ClientDisconnectedError(Exception):
-    """Signal that the client went away before its whole request was read."""
+    """Signal that the client disconnected before its whole request was read."""
 
 
 @dataclass(slots=True)
 class Request:
-    """One HTTP request of which the headers were read."""
+    """One HTTP request; its headers were read."""
 
     method: str
     path: str
-    # Query parameters; the last one of a name wins.
+    # Query parameters; of repeated names the last one counts.
     query: dict[str, str]
     # Header values by lower-case name.
     headers: dict[str, str]
-    # Address of the client's end, which tells its connection from others.
+    # Address of the client, which identifies its connection.
     client: tuple[str, int] | None
     receive: Receive
 
@@ -51,13 +51,13 @@
                 return b"".join(parts)
 
     async def disconnected(self) -> None:
-        """Wait until the client is gone; call it only after the body was read."""
+        """Wait until the client has disconnected; to be called only after the body was read."""
         while (await self.receive())["type"] != "http.disconnect":
             pass
 
 
 def request_of(scope: Scope, receive: Receive) -> Request:
-    """Take what the stand-ins need out of an ASGI scope."""
+    """Return the request of an ASGI scope."""
     headers = {name.decode("latin-1"): value.decode("latin-1") for name, value in scope["headers"]}
     query = dict(parse_qsl(scope["query_string"].decode("latin-1"), keep_blank_values=True))
     client = scope.get("client")
@@ -82,6 +82,6 @@
 
 async def send_start(send: Send, status: int, content_type: str, headers: Headers = ()) -> None:
     """Send the status line and the headers."""
-    named = (("content-type", content_type), *headers)
-    raw = [(name.lower().encode("latin-1"), value.encode("latin-1")) for name, value in named]
+    all_headers = (("content-type", content_type), *headers)
+    raw = [(name.lower().encode("latin-1"), value.encode("latin-1")) for name, value in all_headers]
     await send({"type": "http.response.start", "status": status, "headers": raw})
--- a/packages/turmericweir-standins/turmericweir_standins/behaviour.py
+++ b/packages/turmericweir-standins/turmericweir_standins/behaviour.py
@@ -1,7 +1,7 @@
-"""The table of behaviours of a stand-in and the two test-only endpoints that show and change it.
+"""The table of a stand-in's behaviours and the test-only endpoint that shows and changes it.
 
-A stand-in derives its table from `BehaviourTable`, hands it to `Controls`, and reads
-`controls.table` afresh whenever it decides something, so that a change counts from then on.
+A stand-in derives its table from `BehaviourTable` and passes it to `Controls`. It reads
+`controls.table` at each decision; a change is in force at once.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class BehaviourTable(BaseModel):
-    """The base of each stand-in's table; a misspelt name is an error and not a silent no-op."""
+    """The base of each stand-in's table; an unknown name is an error."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -32,9 +32,9 @@
 
     # The table in force; replaced as a whole by each merge.
     table: TableT
-    # Called after each merge, for a stand-in that must act at once.
+    # Called after each merge.
     _on_change: Callable[[TableT], None] | None
-    # Set by the next merge; each merge replaces it.
+    # Set and replaced by each merge.
     _merged: anyio.Event
 
     def __init__(self, table: TableT, on_change: Callable[[TableT], None] | None = None) -> None:
@@ -43,17 +43,17 @@
         self._merged = anyio.Event()
 
     def merge(self, changes: dict[str, object]) -> TableT:
-        """Put the changed entries in force and keep all others."""
+        """Replace the given entries of the table and return the new table."""
         self.table = type(self.table).model_validate(self.table.model_dump() | changes)
         if self._on_change is not None:
             self._on_change(self.table)
-        merged, self._merged = self._merged, anyio.Event()
-        merged.set()
+        merged_event, self._merged = self._merged, anyio.Event()
+        merged_event.set()
         return self.table
 
-    async def wait_until(self, holds: Callable[[TableT], bool]) -> None:
-        """Wait until the table in force is such that this holds."""
-        while not holds(self.table):
+    async def wait_until(self, condition: Callable[[TableT], bool]) -> None:
+        """Wait until the table fulfils a condition."""
+        while not condition(self.table):
             await self._merged.wait()
 
     async def handle(self, request: Request, send: Send) -> bool:
--- a/packages/turmericweir-standins/turmericweir_standins/bench_backend.py
+++ b/packages/turmericweir-standins/turmericweir_standins/bench_backend.py
@@ -1,8 +1,7 @@
-"""A backend server that costs next to nothing, for `bench_overhead`.
+"""A backend server with minimal processing cost, for `bench_overhead`.
 
-It streams chunks at a steady pace, each with the time at which it was written, so that the client
-can tell how long a chunk was on its way. To any other path but the load report it answers at once.
-The engine stand-in does neither: it makes its tokens by the step and says nothing of when.
+It streams chunks at a constant pace. Each chunk contains the time at which it was written, from
+which the client computes the latency. All other paths are answered at once.
 """
 
 from __future__ import annotations
@@ -28,16 +27,16 @@
 
 MODEL: Final = "bench"
 SLOTS: Final = 1024
-_CHUNK: Final = (
+_CHUNK_FORMAT: Final = (
     b'data: {"id":"%s","object":"chat.completion.chunk","model":"bench",'
     b'"choices":[{"index":0,"delta":{"content":"at=%.6f "},"finish_reason":%s}]}\n\n'
 )
 _DONE: Final = b"data: [DONE]\n\n"
-_SMALL: Final = b'{"size":8,"left":12}'
+_SMALL_BODY: Final = b'{"size":8,"left":12}'
 
 
 class BenchBackend:
-    """Serve as an engine and as a plain service at once."""
+    """A backend server that is both an engine and a plain service."""
 
     _name: str
     # Number of the last load report.
@@ -59,9 +58,9 @@
                 await send_json(send, 200, {"cancelled": False, "tokens": 0})
             else:
                 await request.body()
-                headers = (("content-length", str(len(_SMALL))), *_echo(request))
+                headers = (("content-length", str(len(_SMALL_BODY))), *_id_headers(request))
                 await send_start(send, 200, "application/json", headers)
-                await send({"type": "http.response.body", "body": _SMALL})
+                await send({"type": "http.response.body", "body": _SMALL_BODY})
         except ClientDisconnectedError:
             return
 
@@ -90,18 +89,18 @@
         pace_s = body["bench_pace_ms"] / 1000
         count = body["max_tokens"]
         request_id = request.headers.get("x-request-id", "").encode("ascii")
-        await send_start(send, 200, "text/event-stream", _echo(request))
-        due = anyio.current_time()
+        await send_start(send, 200, "text/event-stream", _id_headers(request))
+        next_chunk_at = anyio.current_time()
         for number in range(count):
-            due += pace_s
-            await anyio.sleep_until(due)
+            next_chunk_at += pace_s
+            await anyio.sleep_until(next_chunk_at)
             reason = b'"stop"' if number == count - 1 else b"null"
-            chunk = _CHUNK % (request_id, time.monotonic(), reason)
+            chunk = _CHUNK_FORMAT % (request_id, time.monotonic(), reason)
             await send({"type": "http.response.body", "body": chunk, "more_body": True})
         await send({"type": "http.response.body", "body": _DONE})
 
 
-def _echo(request: Request) -> tuple[tuple[str, str], ...]:
+def _id_headers(request: Request) -> tuple[tuple[str, str], ...]:
     names = ("x-request-id", "x-attempt-id")
     return tuple((name, request.headers[name]) for name in names if name in request.headers)
 
@@ -110,7 +109,7 @@
 @click.option("--name", default="bench", show_default=True, help="Name in reports.")
 @click.option("--address", default="127.0.0.1:0", show_default=True, help="ip:port to listen on.")
 def main(name: str, address: str) -> None:
-    """Run a cheap backend server for the measurement of overhead."""
+    """Run a minimal backend server for the measurement of overhead."""
     anyio.run(serve, BenchBackend(name), name, address)
 
 
--- a/packages/turmericweir-standins/turmericweir_standins/bench_client.py
+++ b/packages/turmericweir-standins/turmericweir_standins/bench_client.py
@@ -1,7 +1,7 @@
-"""The client of `bench_overhead`: one raw connection, as cheap as it can be made.
+"""The client of `bench_overhead`: one connection with minimal processing cost.
 
-httpcore on this side would cost more than the pass-through that is to be measured, and the times
-would be those of the client.
+httpcore would cost more processor time than the measured pass-through and would distort the
+latencies.
 """
 
 from __future__ import annotations
@@ -19,9 +19,9 @@
 
 
 class BenchConnection(asyncio.Protocol):
-    """One connection that carries one call at a time."""
+    """One connection with one call at a time."""
 
-    # How long each chunk of a stream was on its way; appended to.
+    # Receives the latency of each chunk of a stream.
     _delays: list[float] | None
     _address: str
     _transport: asyncio.Transport | None
@@ -54,35 +54,35 @@
             self._transport.close()
 
     async def call(self, request: bytes) -> int:
-        """Send a request, wait for the whole answer and return its status."""
+        """Send a request, wait for the complete answer and return its status."""
         assert self._transport is not None
         self._ended = anyio.Event()
         self._parser = httptools.HttpResponseParser(self)
         self._transport.write(request)
         await self._ended.wait()
         if self._lost:
-            raise ConnectionError(f"{self._address} closed the connection within a call")
+            raise ConnectionError(f"{self._address} closed the connection during a call")
         return int(self._parser.get_status_code())
 
-    # What the event loop reports.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         self._transport = cast(asyncio.Transport, transport)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what came."""
+        """Parse the received bytes."""
         self._parser.feed_data(data)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """End the call that waits."""
+        """End the present call with an error."""
         self._lost = True
         self._ended.set()
 
-    # What the parser reports.
+    # Callbacks of the parser.
 
     def on_body(self, body: bytes) -> None:
-        """Note how long the chunks in it were on their way."""
+        """Record the latency of the chunks."""
         if self._delays is None:
             return
         now = time.monotonic()
@@ -90,5 +90,5 @@
             self._delays.append(now - float(written_at))
 
     def on_message_complete(self) -> None:
-        """End the call."""
+        """End the present call."""
         self._ended.set()
--- a/packages/turmericweir-standins/turmericweir_standins/bench_overhead.py
+++ b/packages/turmericweir-standins/turmericweir_standins/bench_overhead.py
@@ -1,14 +1,13 @@
-"""Measure what the daemon adds to a request: `make bench-overhead`.
+"""Measure the overhead of the daemon per request: `make bench-overhead`.
 
-The daemon and a bare pass-through (`bench_passthrough`) stand side by side before the same backend
-servers and are measured in turn, several times over: small plain calls, 20 in parallel, and the
-chunks of many open streams. Processor time is that of the measured process alone. What a chunk or
-call costs the daemon holds its share of everything else that the process does meanwhile, such as
-probes and heartbeats. Ratios are taken within a repetition, and their medians are reported, so that
-a machine that is busier in one repetition than in the next does not show up as overhead.
+The daemon and a bare pass-through (`bench_passthrough`) use the same backend servers and are
+measured alternately, in several repetitions: small plain calls in parallel, and the chunks of many
+open streams. Processor time is that of the measured process and includes its periodic work, such as
+probes and heartbeats. Ratios are computed within a repetition and their medians are reported, which
+reduces the influence of other load on the machine.
 
-The chunks are also measured with a few streams at the same total pace. A cost that grows with the
-number of connections makes a chunk dearer with many streams than with few.
+The chunks are also measured with fewer streams at the same total pace, which reveals a cost that
+grows with the number of connections.
 """
 
 from __future__ import annotations
@@ -36,15 +35,15 @@
 OUT: Final = Path("build/overhead.json")
 CUSTOMER: Final = "bench"
 SERVICE: Final = "bench-service"
-ENGINES: Final = 3
-PARALLEL: Final = 20
-STREAMS: Final = 225
-FEW_STREAMS: Final = 45
-# Chunks a second over all streams, whatever their number.
+ENGINE_COUNT: Final = 3
+PARALLEL_CALLS: Final = 20
+STREAM_COUNT: Final = 225
+FEW_STREAM_COUNT: Final = 45
+# Chunks per second over all streams.
 CHUNKS_PER_S: Final = 3000.0
-# Streams are given this long to open before their chunks count.
+# Time for opening the streams, in which chunks are not counted.
 OPENING_S: Final = 1.5
-CPU_GOAL: Final = 1.5
+CPU_RATIO_MAX: Final = 1.5
 
 BENCH: Final = Deployment(
     name="bench",
@@ -62,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """One of the two that are compared."""
+    """One of the two compared processes."""
 
     name: str
     address: str
@@ -71,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cost:
-    """What one call or chunk cost: processor time of the target and median time on its way."""
+    """The cost of one call or chunk: processor time of the target and median latency."""
 
     cpu_s: float
     latency_s: float
@@ -79,19 +78,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Repetition:
-    """The costs of the daemon and the pass-through for one kind of work, measured in turn."""
+    """The costs of the daemon and of the pass-through in one repetition."""
 
     daemon: Cost
     bare: Cost
 
     @property
     def cpu_ratio(self) -> float:
-        """How many times the pass-through's processor time the daemon takes."""
+        """The daemon's processor time divided by that of the pass-through."""
         return self.daemon.cpu_s / self.bare.cpu_s
 
     @property
     def latency_ratio(self) -> float:
-        """How many times the pass-through's latency the daemon has."""
+        """The daemon's latency divided by that of the pass-through."""
         return self.daemon.latency_s / self.bare.latency_s
 
 
@@ -117,50 +116,50 @@
 
 
 async def measure_plain(target: Target, calls: int) -> Cost:
-    """Make many small calls, so many in parallel, each on a connection that is kept."""
+    """Make many small calls in parallel on persistent connections."""
     request = _plain_request(target)
     times: list[float] = []
 
-    async def call_again_and_again(count: int) -> None:
+    async def make_calls(count: int) -> None:
         async with BenchConnection(target.address) as conn:
-            # The first call opens connections, here and at the target.
+            # The first call opens the connections and is not measured.
             await conn.call(request)
             for _ in range(count):
-                begun = time.monotonic()
+                started_at = time.monotonic()
                 await conn.call(request)
-                times.append(time.monotonic() - begun)
+                times.append(time.monotonic() - started_at)
 
     before = process_cpu_s(target.pid)
     async with anyio.create_task_group() as tasks:
-        for _ in range(PARALLEL):
-            tasks.start_soon(call_again_and_again, calls // PARALLEL)
-    used = process_cpu_s(target.pid) - before
-    return Cost(used / (len(times) + PARALLEL), statistics.median(times))
+        for _ in range(PARALLEL_CALLS):
+            tasks.start_soon(make_calls, calls // PARALLEL_CALLS)
+    cpu_s = process_cpu_s(target.pid) - before
+    return Cost(cpu_s / (len(times) + PARALLEL_CALLS), statistics.median(times))
 
 
 async def measure_chunks(target: Target, streams: int, seconds: float) -> Cost:
-    """Keep so many streams open and take their chunks for some seconds."""
+    """Read the chunks of open streams for some seconds."""
     pace_s = streams / CHUNKS_PER_S
     chunks = round((OPENING_S + seconds + 1.0) / pace_s)
     request = _stream_request(target, pace_s * 1000, chunks)
     delays: list[float] = []
 
-    async def follow(number: int) -> None:
-        # Spread over one period, as streams of separate callers are.
+    async def read_stream(number: int) -> None:
+        # The streams start spread over one period, like those of independent callers.
         await anyio.sleep(pace_s * number / streams)
         async with BenchConnection(target.address, delays) as conn:
             await conn.call(request)
 
     async with anyio.create_task_group() as tasks:
         for number in range(streams):
-            tasks.start_soon(follow, number)
+            tasks.start_soon(read_stream, number)
         await anyio.sleep(OPENING_S)
         delays.clear()
         before = process_cpu_s(target.pid)
         await anyio.sleep(seconds)
-        used = process_cpu_s(target.pid) - before
-        counted = delays.copy()
-    return Cost(used / len(counted), statistics.median(counted))
+        cpu_s = process_cpu_s(target.pid) - before
+        measured_delays = delays.copy()
+    return Cost(cpu_s / len(measured_delays), statistics.median(measured_delays))
 
 
 # --- the run ---
@@ -168,7 +167,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """How much is measured."""
+    """The extent of the measurement."""
 
     repeats: int
     calls: int
@@ -182,7 +181,7 @@
     measure(bare)
     repetitions = []
     for number in range(plan.repeats):
-        # Who goes first changes, so that a trend of the machine favours neither.
+        # The order alternates; a trend of the machine's load does not favour either one.
         if number % 2:
             cost = measure(daemon)
             repetitions.append(Repetition(cost, measure(bare)))
@@ -197,14 +196,14 @@
     latency = [each.latency_ratio for each in repetitions]
     daemon_ms = statistics.median(each.daemon.cpu_s for each in repetitions) * 1000
     bare_ms = statistics.median(each.bare.cpu_s for each in repetitions) * 1000
-    daemon_late = statistics.median(each.daemon.latency_s for each in repetitions) * 1000
-    bare_late = statistics.median(each.bare.latency_s for each in repetitions) * 1000
+    daemon_latency_ms = statistics.median(each.daemon.latency_s for each in repetitions) * 1000
+    bare_latency_ms = statistics.median(each.bare.latency_s for each in repetitions) * 1000
     click.echo(
         f"{title}: processor {statistics.median(cpu):.2f} times ({min(cpu):.2f} to {max(cpu):.2f};"
         f" {daemon_ms:.3f} ms against {bare_ms:.3f} ms),"
         f" latency {statistics.median(latency):.2f} times"
         f" ({min(latency):.2f} to {max(latency):.2f};"
-        f" {daemon_late:.2f} ms against {bare_late:.2f} ms)"
+        f" {daemon_latency_ms:.2f} ms against {bare_latency_ms:.2f} ms)"
     )
     return {
         "cpu_ratio": round(statistics.median(cpu), 3),
@@ -217,15 +216,15 @@
         cost_few = statistics.median(getattr(each, name).cpu_s for each in few)
         cost_many = statistics.median(getattr(each, name).cpu_s for each in many)
         click.echo(
-            f"{name}: a chunk at {STREAMS} streams costs {cost_many / cost_few:.2f} times"
-            f" that at {FEW_STREAMS} ({cost_many * 1000:.3f} ms, {cost_few * 1000:.3f} ms)"
+            f"{name}: a chunk at {STREAM_COUNT} streams costs {cost_many / cost_few:.2f} times"
+            f" that at {FEW_STREAM_COUNT} ({cost_many * 1000:.3f} ms, {cost_few * 1000:.3f} ms)"
         )
 
 
 def measure_all(plan: Plan, daemon: Target, bare: Target) -> dict[str, dict[str, float]]:
-    """Measure everything and print it; return what is written to the file."""
+    """Measure and print everything; return the values for the file."""
     plain = _repeat(plan, daemon, bare, lambda each: anyio.run(measure_plain, each, plan.calls))
-    plain_value = _show(f"plain call, {PARALLEL} in parallel", plain)
+    plain_value = _show(f"plain call, {PARALLEL_CALLS} in parallel", plain)
 
     def chunks(streams: int) -> list[Repetition]:
         return _repeat(
@@ -235,16 +234,16 @@
             lambda each: anyio.run(measure_chunks, each, streams, plan.seconds),
         )
 
-    many = chunks(STREAMS)
-    chunk_value = _show(f"chunk, {STREAMS} streams", many)
-    few = chunks(FEW_STREAMS)
-    _show(f"chunk, {FEW_STREAMS} streams", few)
+    many = chunks(STREAM_COUNT)
+    chunk_value = _show(f"chunk, {STREAM_COUNT} streams", many)
+    few = chunks(FEW_STREAM_COUNT)
+    _show(f"chunk, {FEW_STREAM_COUNT} streams", few)
     _show_growth(few, many)
     return {"plain_call": plain_value, "chunk": chunk_value}
 
 
 def _start_backends(stack: contextlib.ExitStack, directory: Path) -> list[Process]:
-    names = [*(f"bench-model-{number + 1}" for number in range(ENGINES)), SERVICE]
+    names = [*(f"bench-model-{number + 1}" for number in range(ENGINE_COUNT)), SERVICE]
     return [
         stack.enter_context(
             standin("bench_backend", f"--name={name}", directory=directory, name=name)
@@ -266,7 +265,7 @@
     return standin("bench_passthrough", *engines, f"--service={service}", directory=directory)
 
 
-async def _answers(target: Target) -> bool:
+async def _is_answering(target: Target) -> bool:
     async with BenchConnection(target.address) as conn:
         plain = await conn.call(_plain_request(target))
         streamed = await conn.call(_stream_request(target, 1.0, 2))
@@ -275,8 +274,8 @@
 
 @click.command()
 @click.option("--repeat", "repeats", default=5, show_default=True, help="Repetitions of each.")
-@click.option("--calls", default=4000, show_default=True, help="Plain calls in a repetition.")
-@click.option("--seconds", default=4.0, show_default=True, help="Seconds of chunks in one.")
+@click.option("--calls", default=4000, show_default=True, help="Plain calls per repetition.")
+@click.option("--seconds", default=4.0, show_default=True, help="Seconds of chunks per repetition.")
 @click.option("--out", type=click.Path(path_type=Path), default=OUT, help="File for the ratios.")
 def main(repeats: int, calls: int, seconds: float, out: Path) -> None:
     """Compare the daemon's processor time and latency with a bare pass-through's."""
@@ -292,13 +291,17 @@
         daemon = Target("daemon", instance.address, instance.process.pid)
         bare = Target("pass-through", bare_process.address, bare_process.pid)
         for target in (daemon, bare):
-            wait_until(functools.partial(anyio.run, _answers, target), f"{target.name} answers")
+            wait_until(
+                functools.partial(anyio.run, _is_answering, target), f"{target.name} answers"
+            )
         value = measure_all(plan, daemon, bare)
     out.parent.mkdir(parents=True, exist_ok=True)
     out.write_bytes(orjson.dumps(value, option=orjson.OPT_INDENT_2) + b"\n")
     worst = max(each["cpu_ratio"] for each in value.values())
-    verdict = "met" if worst <= CPU_GOAL else "MISSED"
-    click.echo(f"goal, at most {CPU_GOAL} times the processor time: {verdict}; written to {out}")
+    verdict = "met" if worst <= CPU_RATIO_MAX else "MISSED"
+    click.echo(
+        f"goal, at most {CPU_RATIO_MAX} times the processor time: {verdict}; written to {out}"
+    )
 
 
 if __name__ == "__main__":
--- a/packages/turmericweir-standins/turmericweir_standins/bench_passthrough.py
+++ b/packages/turmericweir-standins/turmericweir_standins/bench_passthrough.py
@@ -1,8 +1,8 @@
-"""The bare pass-through that the daemon's overhead is measured against.
+"""The bare pass-through to which the daemon's overhead is compared.
 
-It is what remains of a router when every decision is left out, on the same two libraries: an ASGI
-app on uvicorn, and for each server a small list of idle httpcore connections. A completion goes to
-the engines in turn and is passed on chunk by chunk; any other path goes to the plain service.
+It is a router without decisions on the same libraries as the daemon: an ASGI app on uvicorn with a
+pool of idle httpcore connections for each server. Completions go to the engines in turn and are
+forwarded chunk by chunk; all other paths go to the plain service.
 """
 
 from __future__ import annotations
@@ -27,11 +27,11 @@
 
 IDLE_MAX: Final = 64
 _COMPLETIONS: Final = "/v1/chat/completions"
-_PASSED: Final = frozenset({b"content-type", b"content-length"})
+_FORWARDED_HEADERS: Final = frozenset({b"content-type", b"content-length"})
 
 
 class PassThrough:
-    """Pass requests on to servers that the command line names."""
+    """Forward requests to fixed servers."""
 
     # Addresses of the engines, in turn.
     _engines: itertools.cycle[str]
@@ -46,20 +46,20 @@
         self._idle = defaultdict(list)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Pass one request on."""
+        """Forward one request."""
         request = request_of(scope, receive)
         try:
             body = await request.body()
         except ClientDisconnectedError:
             return
         address = next(self._engines) if request.path == _COMPLETIONS else self._service
-        conn = self._take(address)
+        conn = self._acquire(address)
         try:
             await _exchange(conn, _request(address, request, body), send)
         finally:
-            await self._give_back(address, conn)
+            await self._release(address, conn)
 
-    def _take(self, address: str) -> httpcore.AsyncHTTPConnection:
+    def _acquire(self, address: str) -> httpcore.AsyncHTTPConnection:
         idle = self._idle[address]
         while idle:
             conn = idle.pop()
@@ -68,7 +68,7 @@
         host, _, port = address.rpartition(":")
         return httpcore.AsyncHTTPConnection(httpcore.Origin(b"http", host.encode(), int(port)))
 
-    async def _give_back(self, address: str, conn: httpcore.AsyncHTTPConnection) -> None:
+    async def _release(self, address: str, conn: httpcore.AsyncHTTPConnection) -> None:
         idle = self._idle[address]
         if conn.is_idle() and len(idle) < IDLE_MAX:
             idle.append(conn)
@@ -96,8 +96,10 @@
     response = await conn.handle_async_request(request)
     try:
         headers = [(name.lower(), value) for name, value in response.headers]
-        passed = [each for each in headers if each[0] in _PASSED]
-        await send({"type": "http.response.start", "status": response.status, "headers": passed})
+        forwarded_headers = [each for each in headers if each[0] in _FORWARDED_HEADERS]
+        await send(
+            {"type": "http.response.start", "status": response.status, "headers": forwarded_headers}
+        )
         async for chunk in response.aiter_stream():
             await send({"type": "http.response.body", "body": chunk, "more_body": True})
         await send({"type": "http.response.body", "body": b""})
@@ -111,7 +113,7 @@
 @click.option("--engine", "engines", multiple=True, required=True, help="ip:port of an engine.")
 @click.option("--service", required=True, help="ip:port of the plain service.")
 def main(address: str, engines: tuple[str, ...], service: str) -> None:
-    """Pass requests on and decide nothing."""
+    """Forward requests without any decision."""
     anyio.run(serve, PassThrough(engines, service), "passthrough", address)
 
 
--- a/packages/turmericweir-standins/turmericweir_standins/bench_server.py
+++ b/packages/turmericweir-standins/turmericweir_standins/bench_server.py
@@ -1,8 +1,7 @@
-"""How the servers of `bench_overhead` listen: plain uvicorn, until SIGTERM.
+"""The uvicorn server of `bench_overhead`'s processes; it runs until SIGTERM.
 
-uvicorn opens the socket itself here. A socket that is made without naming its protocol goes
-without TCP_NODELAY in asyncio, and each answer whose head and body are written apart then waits
-some 40 ms for the other end's delayed acknowledgement.
+uvicorn opens the socket, which sets TCP_NODELAY. Prevents a delay of answers whose head and body
+are written separately, until the peer's delayed acknowledgement.
 """
 
 from __future__ import annotations
@@ -19,7 +18,7 @@
 
 
 class _Server(uvicorn.Server):
-    """Announces its address once it listens, and leaves signals to `serve`."""
+    """A uvicorn server that prints its READY line and leaves signals to `serve`."""
 
     _name: str
 
@@ -35,7 +34,7 @@
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave the process's signal handlers as they are."""
+        """Leave the signal handlers of the process unchanged."""
         yield
 
 
--- a/packages/turmericweir-standins/turmericweir_standins/callers.py
+++ b/packages/turmericweir-standins/turmericweir_standins/callers.py
@@ -1,12 +1,12 @@
 """Open-loop load callers, as a library and as `python -m turmericweir_standins.callers`.
 
-`Callers` sends a workload (`callers_workload`) through a list of entry addresses
-(`callers_conn`), checks every answer against the truth (`callers_check`) and gives one result for
-each call (`callers_result`). It sends each call at its planned time whatever became of the earlier
-ones, never sends one twice, and hangs up when the caller's patience is over.
+`Callers` sends a workload (`callers_workload`) through a list of entry addresses (`callers_conn`),
+compares every answer with the expected one (`callers_check`) and returns one result for each call
+(`callers_result`). It sends each call at its planned time regardless of earlier calls, never sends
+a call twice, and disconnects when the caller's maximum waiting time has passed.
 
-As a program it prints `READY callers -` when it begins to send, and at the end one line `RESULT`
-with the summary as JSON.
+The program prints `READY callers -` when it begins to send, and at the end one line `RESULT` with
+the summary as JSON.
 """
 
 from __future__ import annotations
@@ -56,13 +56,13 @@
 RESULT_WORD: Final = "RESULT"
 REQUEST_ID_HEADER: Final = "turmericweir-request-id"
 OUTCOME_HEADER: Final = "turmericweir-outcome"
-# Stands in the outcome header of a stream, of which the last event tells the outcome.
+# Value of the outcome header of a stream; the outcome is in its last event.
 IN_STREAM: Final = "in-stream"
 DEADLINE_HEADER: Final = "Turmericweir-Deadline-Ms"
 EVENT_STREAM: Final = "text/event-stream"
 GAVE_UP: Final = "gave up"
 CONNECT_TIMEOUT_S: Final = 2.0
-# After these the call may have been received.
+# Errors after which the call may have been received.
 _LOST_ANSWER: Final = (
     httpcore.NetworkError,
     httpcore.ProtocolError,
@@ -71,15 +71,15 @@
 
 
 class _Exchange:
-    """One call from sending to the end of its answer."""
+    """One call, from its sending to the end of its answer."""
 
     _call: PlannedCall
     _run_id: str
     result: CallResult
     _now: Callable[[], float]
-    # When the plan wanted it sent, on the loop's clock.
+    # Planned time of sending, on the event loop's clock.
     _planned_at: float
-    # When the last token came, from the planned time.
+    # Time of the last token, since the planned time.
     _last_token_s: float
 
     def __init__(self, call: PlannedCall, run_id: str, started_at: float) -> None:
@@ -98,17 +98,17 @@
             self.result.key = idempotency_key(call, run_id)
 
     async def run(self, entries: Sequence[Entry]) -> None:
-        """Send the call to the first entry that can be connected to, and read its answer."""
+        """Send the call to the first entry that accepts the connection, and read its answer."""
         result = self.result
         result.late_s = self._elapsed_s()
-        with anyio.move_on_after(self._call.traffic.patience_s) as patience:
+        with anyio.move_on_after(self._call.traffic.patience_s) as wait_scope:
             await self._try_entries(entries)
-        if patience.cancelled_caught:
+        if wait_scope.cancelled_caught:
             result.error = GAVE_UP
         result.total_s = self._elapsed_s()
 
     def _elapsed_s(self) -> float:
-        # The running loop's clock, as `anyio.current_time` is, but cheap enough for each token.
+        # The clock of the event loop; `anyio.current_time` would be too slow for each token.
         return self._now() - self._planned_at
 
     async def _try_entries(self, entries: Sequence[Entry]) -> None:
@@ -117,13 +117,13 @@
             try:
                 await self._send(entry)
             except (httpcore.ConnectError, httpcore.ConnectTimeout) as exc:
-                # Nothing of the call was sent, so a balancer would try the next entry.
+                # Nothing was sent; a load balancer would try the next entry.
                 self.result.error = type(exc).__name__
                 continue
             except _LOST_ANSWER as exc:
                 self.result.error = type(exc).__name__
             except (ValueError, LookupError, TypeError) as exc:
-                # Some event is no JSON, or not of the form that the protocol has.
+                # An event is not JSON or does not follow the protocol.
                 self.result.error = type(exc).__name__
                 self.result.check = Check.MALFORMED
             return
@@ -131,8 +131,8 @@
     async def _send(self, entry: Entry) -> None:
         self.result.error = ""
         request = self._request(entry)
-        # A kept connection may be closed by the other end just as the call goes out on it. A call
-        # that must not be repeated could then not be told from one that ran.
+        # Prevents a call with a key from being lost on an idle connection that the other end closes
+        # at the same time; it would be unknown whether the call ran.
         async with entry.connection(fresh=self._call.traffic.keyed) as conn:
             response = await conn.handle_async_request(request)
             try:
@@ -189,36 +189,36 @@
             await self._read_stream(response)
             return
         self.result.outcome = "" if outcome == IN_STREAM else outcome
-        self._check_whole(await response.aread())
+        self._check_body(await response.aread())
 
     async def _read_stream(self, response: httpcore.Response) -> None:
         decoder = ChunkDecoder()
         reader = EventReader()
         text = StreamText()
 
-        def take(data: bytes) -> bool:
-            at_s = self._elapsed_s()
+        def handle_data(data: bytes) -> bool:
+            received_s = self._elapsed_s()
             for event in reader.feed(decoder.feed(data)):
-                if text.take(event):
-                    self._note_token(at_s)
+                if text.add(event):
+                    self._record_token(received_s)
             return decoder.ended
 
         stream = response.extensions["network_stream"]
         assert isinstance(stream, CallerStream)
         try:
-            await stream.read_body(take)
+            await stream.read_body(handle_data)
         finally:
-            self._take_stream(text)
+            self._record_stream(text)
 
-    def _note_token(self, at_s: float) -> None:
+    def _record_token(self, received_s: float) -> None:
         result = self.result
         if result.first_token_s is None:
-            result.first_token_s = at_s
+            result.first_token_s = received_s
         else:
-            result.gaps_s.append(at_s - self._last_token_s)
-        self._last_token_s = at_s
+            result.gaps_s.append(received_s - self._last_token_s)
+        self._last_token_s = received_s
 
-    def _take_stream(self, text: StreamText) -> None:
+    def _record_stream(self, text: StreamText) -> None:
         result = self.result
         result.tokens = len(text.tokens)
         result.done = text.done
@@ -227,7 +227,7 @@
             result.reason = str(text.outcome.get("reason", ""))
         result.check = self._check_tokens("".join(text.tokens), text.finish_reason)
 
-    def _check_whole(self, data: bytes) -> None:
+    def _check_body(self, data: bytes) -> None:
         result = self.result
         try:
             value = orjson.loads(data)
@@ -240,9 +240,9 @@
         else:
             self._check_completion(value)
 
-    def _check_completion(self, value: object) -> None:
+    def _check_completion(self, completion: object) -> None:
         try:
-            choice = value["choices"][0]  # type: ignore[index]
+            choice = completion["choices"][0]  # type: ignore[index]
             text = choice["message"]["content"]
             finish_reason = choice["finish_reason"]
         except (KeyError, IndexError, TypeError):
@@ -258,13 +258,13 @@
 
 
 class Callers:
-    """Send a workload and gather its results."""
+    """Send a workload and collect the results."""
 
-    # May be changed during a run, as a balancer notices instances come and go.
+    # Its addresses may be changed during a run.
     balancer: Balancer
-    # The results so far, in the order in which the calls ended.
+    # The results until now, in the order in which the calls ended.
     results: list[CallResult]
-    # Tells the keys of this run from those of others.
+    # Part of the idempotency keys; makes them unique to this run.
     run_id: str
     _workload: Workload
     _recorder: Recorder | None
@@ -288,7 +288,7 @@
         self._on_result = on_result
 
     async def run(self) -> list[CallResult]:
-        """Send every call of the plan at its time and wait for all answers."""
+        """Send every call at its planned time and wait for all answers."""
         calls = plan(self._workload)
         started_at = anyio.current_time()
         async with anyio.create_task_group() as tasks:
@@ -336,9 +336,9 @@
     "--balance",
     type=click.Choice([each.value for each in Balance]),
     default=Balance.ROUND_ROBIN.value,
-    help="How an entry is picked for each call.",
+    help="How an entry is selected for each call.",
 )
-@click.option("--record", type=click.Path(), default=None, help="File for one line a result.")
+@click.option("--record", type=click.Path(), default=None, help="File for one line per result.")
 @click.option(
     "--out",
     type=click.Path(dir_okay=False, path_type=Path),
@@ -356,10 +356,10 @@
     workload = parse_workload(workload_path.read_bytes())
     started_at = time.monotonic()
     results = anyio.run(_run_program, workload, entries, Balance(balance), record)
-    taken_s = time.monotonic() - started_at
+    elapsed_s = time.monotonic() - started_at
     if out is not None:
-        out.write_bytes(results_json(results, taken_s))
-    report: Mapping[str, object] = asdict(summarise(results, taken_s))
+        out.write_bytes(results_json(results, elapsed_s))
+    report: Mapping[str, object] = asdict(summarise(results, elapsed_s))
     print(f"{RESULT_WORD} {orjson.dumps(report).decode()}", flush=True)
 
 
--- a/packages/turmericweir-standins/turmericweir_standins/callers_conn.py
+++ b/packages/turmericweir-standins/turmericweir_standins/callers_conn.py
@@ -1,8 +1,8 @@
-"""The callers' connections: a list of entry addresses as a balancer would use it.
+"""The callers' connections and a simple load balancer over entry addresses.
 
-Each entry has a small list of idle connections; a busy one is never shared, and connections beyond
-the list are closed after their call. A call goes to another entry only when its connection could
-not be made, which proves that nothing of it was sent; the callers never send a call twice.
+Each entry has a small pool of idle connections; busy connections are not shared, and surplus ones
+are closed after their call. A call uses another entry only if its connection could not be opened,
+since nothing of it was sent then.
 """
 
 from __future__ import annotations
@@ -17,14 +17,14 @@
 
 from turmericweir_standins.callers_net import CallerBackend
 
-# Shorter than a server keeps idle connections, so that the callers are the ones who close them.
+# Shorter than the keep-alive time of servers: the callers close idle connections first.
 IDLE_EXPIRY_S: Final = 2.0
 IDLE_MAX: Final = 16
 _BACKEND: Final = CallerBackend()
 
 
 class Balance(enum.StrEnum):
-    """How the balancer picks an entry for a call."""
+    """How the balancer selects an entry for a call."""
 
     ROUND_ROBIN = "round-robin"
     RANDOM = "random"
@@ -36,7 +36,7 @@
     # `ip:port`.
     address: str
     _origin: httpcore.Origin
-    # The connection that was used last is last, so that surplus ones expire.
+    # Idle connections, the most recently used last; surplus ones expire.
     _idle: list[httpcore.AsyncHTTPConnection]
     _idle_max: int
 
@@ -56,7 +56,7 @@
 
     @asynccontextmanager
     async def connection(self, fresh: bool) -> AsyncIterator[httpcore.AsyncHTTPConnection]:
-        """Lend a connection, an idle one unless a fresh one is asked for."""
+        """Provide a connection for one call: an idle one, or a new one if `fresh` is set."""
         conn = None if fresh else await self._take_idle()
         if conn is None:
             conn = httpcore.AsyncHTTPConnection(
@@ -85,13 +85,13 @@
 
 
 class Balancer:
-    """Pick an entry for each call."""
+    """Select an entry for each call."""
 
     _entries: list[Entry]
     _balance: Balance
     _random: random.Random
-    # Counts the calls for round robin.
-    _turn: int
+    # Number of calls, for round robin.
+    _call_count: int
     _idle_max: int
 
     def __init__(
@@ -101,7 +101,7 @@
         self._entries = [Entry(address, idle_max) for address in addresses]
         self._balance = balance
         self._random = random.Random(f"{seed}/balancer")
-        self._turn = 0
+        self._call_count = 0
 
     @property
     def addresses(self) -> list[str]:
@@ -109,23 +109,24 @@
         return [entry.address for entry in self._entries]
 
     async def set_addresses(self, addresses: Sequence[str]) -> None:
-        """Use these addresses for new calls, as when the balancer notices a change."""
+        """Use these addresses for new calls."""
         removed = [entry for entry in self._entries if entry.address not in addresses]
-        kept = {entry.address: entry for entry in self._entries}
+        entries_by_address = {entry.address: entry for entry in self._entries}
         self._entries = [
-            kept.get(address) or Entry(address, self._idle_max) for address in addresses
+            entries_by_address.get(address) or Entry(address, self._idle_max)
+            for address in addresses
         ]
         for entry in removed:
             await entry.close()
 
     def pick(self) -> list[Entry]:
-        """Return all entries in the order in which a call tries to connect to them."""
+        """Return all entries in the order in which a call tries them."""
         count = len(self._entries)
         if self._balance is Balance.RANDOM:
             first = self._random.randrange(count)
         else:
-            first = self._turn % count
-            self._turn += 1
+            first = self._call_count % count
+            self._call_count += 1
         return self._entries[first:] + self._entries[:first]
 
     async def close(self) -> None:
--- a/packages/turmericweir-standins/turmericweir_standins/callers_net.py
+++ b/packages/turmericweir-standins/turmericweir_standins/callers_net.py
@@ -1,10 +1,9 @@
-"""The callers' sockets, as a network backend of httpcore with a short way for event streams.
+"""The callers' sockets: a network backend of httpcore with a fast path for event streams.
 
-httpcore parses each chunk of a body in Python, at a cost that lets one process follow some hundred
-tokens a second for each of a hundred streams and no more; the callers would then measure
-themselves. So a stream hands httpcore the head of an answer and nothing beyond it, and `read_body`
-passes the bytes of a streamed body to its reader straight from the socket, where each is also
-timed. All other answers go through httpcore as usual.
+httpcore parses each chunk of a body in Python, which would make the callers the bottleneck of a
+measurement. The backend passes only the head of a streamed answer to httpcore; `read_body` passes
+the bytes of the body directly from the socket to the reader. All other answers are read by
+httpcore.
 """
 
 from __future__ import annotations
@@ -19,17 +18,17 @@
 import httptools
 
 _HEAD_END: Final = b"\r\n\r\n"
-# Shared by all sockets: what is read into it is taken out before the loop reads again.
+# Receive buffer of all sockets; its content is copied before the loop reads again.
 _RECEIVED: Final = memoryview(bytearray(65_536))
-# Lets the parser begin at the body.
+# A response head that makes the parser accept a chunked body.
 _CHUNKED_HEAD: Final = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
-# Takes bytes of a body; returns True at its end.
+# Receives bytes of a body; returns True at its end.
 BodySink = Callable[[bytes], bool]
 
 
 class ChunkDecoder:
-    """Take the chunked encoding off a body."""
+    """Decode the chunked transfer encoding of a body."""
 
     # Whether the body has ended.
     ended: bool
@@ -43,7 +42,7 @@
         self._parser.feed_data(_CHUNKED_HEAD)
 
     def feed(self, data: bytes) -> bytes:
-        """Take bytes and return what they hold of the body."""
+        """Add encoded bytes and return the decoded bytes of the body."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as exc:
@@ -52,29 +51,29 @@
         self._parts.clear()
         return body
 
-    # The parser calls these two.
+    # Callbacks of the parser.
 
     def on_body(self, body: bytes) -> None:
-        """Take a piece of the body."""
+        """Add a piece of the body."""
         self._parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Take note of the end."""
+        """Record the end of the body."""
         self.ended = True
 
 
 class CallerStream(httpcore.AsyncNetworkStream):
-    """One connection; the calls on it bound their time as a whole, so no timeout counts here."""
+    """One connection; timeouts are ignored, since the callers limit the duration of each call."""
 
     _socket: _Socket
 
     def __init__(self, sock: _Socket) -> None:
         self._socket = sock
 
-    # The timeouts are httpcore's interface, hence the exemptions from the rule against them.
+    # The timeout parameters belong to httpcore's interface.
 
     async def read(self, max_bytes: int, timeout: float | None = None) -> bytes:  # noqa: ASYNC109
-        """Return the next bytes; a head comes alone."""
+        """Return the next bytes; a head is returned without bytes of the body."""
         sock = self._socket
         while not sock.readable:
             await sock.wait()
@@ -94,39 +93,38 @@
         server_hostname: str | None = None,
         timeout: float | None = None,  # noqa: ASYNC109
     ) -> httpcore.AsyncNetworkStream:
-        """Refuse: the callers speak plain HTTP."""
+        """Refuse TLS, since the callers use plain HTTP."""
         raise NotImplementedError
 
-    # Any: httpcore asks for values of various types by name.
+    # Any: the type of the value depends on its name.
     def get_extra_info(self, info: str) -> Any:
-        """Tell whether the other end has closed an idle connection."""
+        """Return whether an idle connection is readable, which means that it was closed."""
         return self._socket.ended or self._socket.readable if info == "is_readable" else None
 
     async def read_body(self, sink: BodySink) -> None:
-        """Pass all bytes after the head to the sink, until it has the whole body."""
+        """Pass all bytes after the head to the sink until the body is complete."""
         await self._socket.drain_to(sink)
 
 
 class _Socket(asyncio.BufferedProtocol):
-    """The socket of a stream, on the event loop's own protocol.
+    """The socket of a stream, as a protocol of the event loop.
 
-    A buffered one: for the other kind the loop allocates 256 KiB for each read, which costs several
-    times as much as reading a token.
+    It is a buffered protocol, since the loop allocates a large buffer for each read of a plain one.
     """
 
-    # Whether nothing more will come.
+    # Whether the other end has closed the connection.
     ended: bool
     _transport: asyncio.Transport | None
     _buffer: bytearray
     # Whether the next bytes are the head of an answer.
     _in_head: bool
-    # Set when anything changes, then replaced.
+    # Set and replaced at each change.
     _changed: anyio.Event
-    # Where the bytes go instead of the buffer.
+    # The receiver of the bytes instead of the buffer.
     _sink: BodySink | None
-    # Whether the sink has the whole body.
+    # Whether the sink has the complete body.
     _sink_done: bool
-    # Why the connection or the sink failed.
+    # The error of the connection or of the sink.
     _failure: Exception | None
 
     def __init__(self) -> None:
@@ -139,7 +137,7 @@
         self._sink_done = False
         self._failure = None
 
-    # What the event loop reports.
+    # Callbacks of the event loop.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.Transport, transport)
@@ -165,21 +163,21 @@
             self._failure = httpcore.ReadError(str(exc))
         self._wake()
 
-    # What the stream asks for.
+    # Calls of the stream.
 
     @property
     def readable(self) -> bool:
-        """Whether `take` has something to return, if only the end."""
+        """Whether `take` can return bytes or the end of the connection."""
         if self.ended:
             return True
         return _HEAD_END in self._buffer if self._in_head else bool(self._buffer)
 
     async def wait(self) -> None:
-        """Wait until something changes."""
+        """Wait for the next change."""
         await self._changed.wait()
 
     def take(self, max_bytes: int) -> bytes:
-        """Return bytes that came; none at the end of the connection."""
+        """Return received bytes; none at the end of the connection."""
         if not self._buffer and self._failure is not None:
             raise self._failure
         size = max_bytes
@@ -191,7 +189,7 @@
         return data
 
     def send(self, data: bytes) -> None:
-        """Send the bytes; the next that come are the head of the answer."""
+        """Send the bytes; the next received bytes are the head of the answer."""
         if self._transport is None or self._transport.is_closing():
             raise httpcore.WriteError("the connection is closed")
         self._in_head = True
@@ -203,7 +201,7 @@
             self._transport.close()
 
     async def drain_to(self, sink: BodySink) -> None:
-        """Pass what came and what comes to the sink."""
+        """Pass the buffered and all later bytes to the sink."""
         data = bytes(self._buffer)
         self._buffer.clear()
         self._sink = sink
@@ -220,7 +218,7 @@
         try:
             self._sink_done = sink(data)
         except Exception as exc:
-            # Raised here it would end in the event loop's log; the caller's task has to see it.
+            # Raised by `drain_to` in the caller's task instead of in the event loop.
             self._failure = exc
         if self._sink_done or self._failure is not None:
             self._wake()
@@ -231,7 +229,7 @@
 
 
 class CallerBackend(httpcore.AsyncNetworkBackend):
-    """Make the callers' connections."""
+    """Open the callers' connections."""
 
     async def connect_tcp(
         self,
@@ -241,7 +239,7 @@
         local_address: str | None = None,
         socket_options: Iterable[httpcore.SOCKET_OPTION] | None = None,
     ) -> httpcore.AsyncNetworkStream:
-        """Connect."""
+        """Open a connection."""
         loop = asyncio.get_running_loop()
         try:
             with anyio.fail_after(timeout):
@@ -253,5 +251,5 @@
         return CallerStream(sock)
 
     async def sleep(self, seconds: float) -> None:
-        """Sleep."""
+        """Sleep for some seconds."""
         await anyio.sleep(seconds)
--- a/packages/turmericweir-standins/turmericweir_standins/callers_result.py
+++ b/packages/turmericweir-standins/turmericweir_standins/callers_result.py
@@ -1,8 +1,8 @@
-"""What the load callers found: one result for each call, and what they amount to by class.
+"""The results of the load callers: one for each call, and their summary by class.
 
-Times run from the moment at which the plan wanted a call sent, not from when it was sent: a caller
-that is held up would otherwise hide the delay that it suffered. `late_s` tells how much of a time
-is the callers' own doing; a run in which it is not small measured the callers.
+Times are measured from the planned time of a call. Prevents coordinated omission: a delayed caller
+would otherwise hide its delay. `late_s` is the delay caused by the callers themselves; if it is not
+small, the run has measured the callers.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class CallResult:
-    """What became of one call."""
+    """The result of one call."""
 
     traffic: str
     number: int
@@ -31,66 +31,66 @@
     entry: str = ""
     # The idempotency key; None for a call without one.
     key: str | None = None
-    # What the answer named; empty when no answer began.
+    # The request id of the answer; empty without an answer.
     request_id: str = ""
-    # None when no answer began.
+    # The HTTP status; None without an answer.
     status: int | None = None
-    # The outcome and its reason as told; empty when the caller was told none.
+    # The reported outcome and its reason; empty if none was reported.
     outcome: str = ""
     reason: str = ""
     check: Check = Check.NONE
     # Whether a stream ended with [DONE].
     done: bool = False
-    # Why the caller has no whole HTTP answer; empty when it has one.
+    # Why the HTTP answer is incomplete; empty for a complete one.
     error: str = ""
     tokens: int = 0
-    # When it was planned and, after that, when it was sent, began and ended. Seconds.
+    # The planned time, and the times of sending, of the first token and of the end after it.
     planned_s: float = 0.0
     late_s: float = 0.0
     first_token_s: float | None = None
     total_s: float = 0.0
     # Times between the tokens of a streamed answer.
     gaps_s: list[float] = field(default_factory=list)
-    # The target of its class; None where there is none.
+    # The target of its class; None without a target.
     target_s: float | None = None
 
     @property
-    def good(self) -> bool:
-        """Whether the caller has the whole answer and was told so."""
-        whole = self.check in (Check.WHOLE, Check.CAPPED)
-        return self.outcome == COMPLETED and whole and not self.error
+    def is_good(self) -> bool:
+        """Whether the answer is complete and was reported as completed."""
+        is_complete = self.check in (Check.WHOLE, Check.CAPPED)
+        return self.outcome == COMPLETED and is_complete and not self.error
 
     @property
-    def in_time(self) -> bool:
+    def is_in_time(self) -> bool:
         """Whether the answer is good and met the target of its class."""
-        if not self.good:
+        if not self.is_good:
             return False
         if self.target_s is None:
             return True
-        taken_s = self.total_s if self.first_token_s is None else self.first_token_s
-        return taken_s <= self.target_s
+        latency_s = self.total_s if self.first_token_s is None else self.first_token_s
+        return latency_s <= self.target_s
 
     def violations(self) -> list[str]:
-        """Return what a caller must never see and this one saw."""
-        found = []
+        """Return the violations of the router's promises in this result."""
+        violations = []
         if self.check in CORRUPT:
-            found.append(f"answer is {self.check}")
-        # A server's own error is passed on as its completed answer, with nothing to compare.
+            violations.append(f"answer is {self.check}")
+        # A server's error is forwarded as a completed answer; there is nothing to compare.
         succeeded = self.status is not None and self.status < FIRST_ERROR_STATUS
-        if self.outcome == COMPLETED and succeeded and not self.error and not self.good:
-            found.append(f"told completed, but the answer is {self.check}")
+        if self.outcome == COMPLETED and succeeded and not self.error and not self.is_good:
+            violations.append(f"reported completed, but the answer is {self.check}")
         if self.outcome == NOT_RUN and self.tokens:
-            found.append("told not_run after tokens had come")
+            violations.append("reported not_run after tokens had come")
         if self.done and self.outcome != COMPLETED:
-            found.append(f"[DONE] with outcome {self.outcome!r}")
+            violations.append(f"[DONE] with outcome {self.outcome!r}")
         if self.status is not None and not self.error and self.outcome not in OUTCOMES:
-            found.append(f"whole answer of status {self.status} with outcome {self.outcome!r}")
-        return found
+            violations.append(f"whole answer of status {self.status} with outcome {self.outcome!r}")
+        return violations
 
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """How some times are spread; all None where there are none."""
+    """The distribution of some times; all None without values."""
 
     p50: float | None
     p95: float | None
@@ -100,16 +100,16 @@
 
 @dataclass(frozen=True, slots=True)
 class ClassSummary:
-    """What the calls of one class amount to."""
+    """The summary of the calls of one class."""
 
     calls: int
-    # Calls by outcome; "none" where the caller was told none.
+    # Calls by outcome; "none" if none was reported.
     outcomes: dict[str, int]
     reasons: dict[str, int]
     errors: dict[str, int]
     # Share of all calls with a good answer in time; None without calls.
     attainment: float | None
-    # Good answers in time, a second.
+    # Good answers in time per second.
     goodput: float
     tokens: int
     first_token_s: Spread
@@ -119,13 +119,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Report:
-    """What a whole run amounts to."""
+    """The summary of a run."""
 
     duration_s: float
     classes: dict[str, ClassSummary]
-    # One line for each thing that no caller may see.
+    # One line for each violation.
     violations: list[str]
-    # How late the callers sent; see the module's text.
+    # Delay of sending by the callers; see the module's doc string.
     late_s: Spread
 
 
@@ -141,26 +141,26 @@
 
 
 def find_violations(results: Iterable[CallResult]) -> list[str]:
-    """Return everything that no caller may see, over all results."""
-    found: list[str] = []
-    seen: dict[str, str] = {}
+    """Return the violations of all results, including repeated request ids."""
+    violations: list[str] = []
+    call_by_request_id: dict[str, str] = {}
     for result in results:
         call = f"{result.traffic} {result.number} ({result.request_id or 'no id'})"
-        found.extend(f"{call}: {violation}" for violation in result.violations())
+        violations.extend(f"{call}: {each}" for each in result.violations())
         if not result.request_id:
             continue
-        if result.request_id in seen:
-            found.append(f"{call}: the request id of {seen[result.request_id]}")
-        seen[result.request_id] = call
-    return found
+        if result.request_id in call_by_request_id:
+            violations.append(f"{call}: the request id of {call_by_request_id[result.request_id]}")
+        call_by_request_id[result.request_id] = call
+    return violations
 
 
 def result_record(result: CallResult) -> dict[str, object]:
-    """Return a result as JSON holds it; its gaps between tokens are summed up."""
-    # Taken out first: `asdict` would copy each gap.
-    value = asdict(replace(result, gaps_s=[]))
-    value["gaps_s"] = asdict(spread_of(result.gaps_s))
-    return value
+    """Return the JSON form of a result, with the distribution of its gaps between tokens."""
+    # Removed first, since `asdict` would copy each gap.
+    record = asdict(replace(result, gaps_s=[]))
+    record["gaps_s"] = asdict(spread_of(result.gaps_s))
+    return record
 
 
 def spread_of(values: Iterable[float]) -> Spread:
@@ -177,8 +177,8 @@
 
 
 def _summarise_class(results: Sequence[CallResult], duration_s: float) -> ClassSummary:
-    in_time = sum(result.in_time for result in results)
-    good = [result for result in results if result.good]
+    in_time = sum(result.is_in_time for result in results)
+    good = [result for result in results if result.is_good]
     return ClassSummary(
         calls=len(results),
         outcomes=dict(Counter(result.outcome or "none" for result in results)),
--- a/packages/turmericweir-standins/turmericweir_standins/callers_workload.py
+++ b/packages/turmericweir-standins/turmericweir_standins/callers_workload.py
@@ -1,9 +1,9 @@
-"""What the load callers send, and when: a plan that the seed alone decides.
+"""The workload of the load callers: a plan of calls that depends only on the seed.
 
-Arrivals are open-loop: each class of traffic arrives as a Poisson process of its own rate, which
-bursts raise for a time, and a call is sent at its time however many earlier ones are unanswered.
-`plan` gives the arrivals; `prompt_of` and `plain_body` give what each call says. Each class draws
-from generators of its own, so that a change to one leaves the plan of the others as it was.
+Arrivals are open-loop: each class of traffic is a Poisson process with its own rate, which bursts
+increase for some time, and each call is sent at its time regardless of unanswered ones. `plan`
+returns the arrivals; `prompt_of` and `plain_body` return the contents. Each class has separate
+random generators; a change of one class does not affect the plan of the others.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
 
 
 class Kind(enum.StrEnum):
-    """What is called."""
+    """The kind of the target of a call."""
 
     MODEL = "model"
     PLAIN = "plain"
@@ -32,17 +32,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Burst:
-    """A time in which a class arrives faster."""
+    """A period in which the rate of a class is multiplied."""
 
     start_s: float
     length_s: float
     # Multiplies the rate of the class.
     factor: float
-    # Repeats the burst at this period; None for a single one.
+    # Time between repetitions of the burst; None for a single one.
     every_s: float | None = None
 
     def covers(self, at_s: float) -> bool:
-        """Tell whether the burst is on at this time."""
+        """Return whether the burst is active at this time."""
         since_s = at_s - self.start_s
         if since_s >= 0 and self.every_s is not None:
             since_s %= self.every_s
@@ -51,10 +51,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerLength:
-    """How many tokens the answers have: lognormal, within bounds."""
+    """The distribution of answer lengths in tokens: lognormal, within bounds."""
 
     median: float
-    # Standard deviation of the logarithm; 0 makes all answers the median long.
+    # Standard deviation of the logarithm; 0 gives all answers the median length.
     spread: float = 0.0
     least: int = 1
     most: int = 4000
@@ -64,40 +64,40 @@
 class Traffic:
     """One class of traffic."""
 
-    # What results are gathered by, such as the name of the service class.
+    # The name in the results, such as the name of the service class.
     name: str
     kind: Kind
-    # Calls a second, without bursts.
+    # Calls per second, without bursts.
     rate: float
-    # The bearer tokens of the customers that send it; one listed twice sends twice as much.
+    # The bearer tokens of the sending customers; a repeated one sends twice as much.
     tokens: tuple[str, ...]
     # The model; empty for plain calls.
     model: str = ""
-    # The path of plain calls; `{n}` becomes the call's number. Model calls have a fixed one.
+    # The path of plain calls; `{n}` is replaced by the call's number. Model calls have a fixed one.
     path: str = "/v1/chat/completions"
     method: str = "POST"
-    # Whether each plain call carries an idempotency key of its own.
+    # Whether each plain call has a unique idempotency key.
     keyed: bool = False
     # Whether answers of models are streamed.
     stream: bool = True
     bursts: tuple[Burst, ...] = ()
-    # Words of the prompt that all calls of the class begin with, and of those of its own.
+    # Words at the beginning of all prompts of the class, and words unique to each prompt.
     shared_words: int = 0
     prompt_words: int = 40
-    # None leaves the length to the engine.
+    # None for the length that the engine derives from the prompt.
     answer: AnswerLength | None = None
     max_tokens: int | None = None
-    # Sent as the caller's deadline; None leaves it to the service class.
+    # Sent as the caller's deadline; None for the default of the service class.
     deadline_s: float | None = None
-    # Time to the first token, or to the whole answer of a plain call, that counts as in time.
+    # Maximum time to the first token, or to the end of a plain call, that counts as in time.
     target_s: float | None = None
-    # How long the caller waits for the end of the answer before it hangs up.
+    # How long the caller waits for the end of the answer before it disconnects.
     patience_s: float = 120.0
 
 
 @dataclass(frozen=True, slots=True)
 class Workload:
-    """Everything that one run sends."""
+    """All traffic of one run."""
 
     traffic: tuple[Traffic, ...]
     duration_s: float
@@ -108,15 +108,15 @@
 class PlannedCall:
     """One call of the plan."""
 
-    # When it is sent, from the start of the run.
+    # Time of sending since the start of the run.
     at_s: float
-    # Its place among the calls of its class.
+    # Its position among the calls of its class.
     number: int
     traffic: Traffic
     token: str
-    # Length marker of the prompt; None for none.
+    # Length marker of the prompt; None for a prompt without one.
     answer_tokens: int | None
-    # Where in the text its own words start.
+    # Index in `_WORDS` of its first unique word.
     text_start: int
 
 
@@ -124,25 +124,25 @@
 
 
 def parse_workload(data: bytes) -> Workload:
-    """Read a workload from JSON."""
+    """Parse a workload from JSON."""
     return _WORKLOAD.validate_json(data)
 
 
 def plan(workload: Workload) -> list[PlannedCall]:
-    """Return all calls of the workload in the order in which they are sent."""
+    """Return all calls of the workload in the order of sending."""
     calls = [call for traffic in workload.traffic for call in _plan_class(workload, traffic)]
     return sorted(calls, key=lambda call: (call.at_s, call.traffic.name, call.number))
 
 
 def prompt_of(call: PlannedCall) -> list[ChatMessage]:
-    """Return the messages of a model call; no two calls of a run share them."""
+    """Return the messages of a model call; they are unique within a run."""
     traffic = call.traffic
     messages = []
     if traffic.shared_words:
         messages.append(ChatMessage(role="system", content=_text(0, traffic.shared_words)))
     marker = "" if call.answer_tokens is None else f" [len={call.answer_tokens}]"
-    own = _text(call.text_start, traffic.prompt_words)
-    content = f"{traffic.name} {call.number}: {own}{marker}"
+    unique_text = _text(call.text_start, traffic.prompt_words)
+    content = f"{traffic.name} {call.number}: {unique_text}{marker}"
     return [*messages, ChatMessage(role="user", content=content)]
 
 
@@ -157,7 +157,7 @@
 
 
 def _plan_class(workload: Workload, traffic: Traffic) -> Iterator[PlannedCall]:
-    # Times and contents are drawn apart, so that a longer answer moves no arrival.
+    # Separate generators: a change of the contents does not affect the arrival times.
     times = random.Random(f"{workload.seed}/{traffic.name}/times")
     contents = random.Random(f"{workload.seed}/{traffic.name}/contents")
     for number, at_s in enumerate(_arrivals(times, traffic, workload.duration_s)):
@@ -172,16 +172,16 @@
 
 
 def _arrivals(rng: random.Random, traffic: Traffic, duration_s: float) -> Iterator[float]:
-    """Draw at the highest rate that can occur, and keep each arrival with the share in force."""
+    """Yield the arrival times: drawn at the maximum rate and thinned to the present rate."""
     factors = [burst.factor for burst in traffic.bursts]
-    highest = traffic.rate * math.prod(factor for factor in factors if factor > 1)
-    if highest <= 0:
+    max_rate = traffic.rate * math.prod(factor for factor in factors if factor > 1)
+    if max_rate <= 0:
         return
-    at_s = rng.expovariate(highest)
+    at_s = rng.expovariate(max_rate)
     while at_s < duration_s:
-        if rng.random() * highest < _rate_at(traffic, at_s):
+        if rng.random() * max_rate < _rate_at(traffic, at_s):
             yield at_s
-        at_s += rng.expovariate(highest)
+        at_s += rng.expovariate(max_rate)
 
 
 def _rate_at(traffic: Traffic, at_s: float) -> float:
@@ -192,8 +192,8 @@
 def _answer_tokens(rng: random.Random, length: AnswerLength | None) -> int | None:
     if length is None:
         return None
-    drawn = length.median * math.exp(rng.gauss(0, 1) * length.spread)
-    return max(length.least, min(length.most, round(drawn)))
+    length_tokens = length.median * math.exp(rng.gauss(0, 1) * length.spread)
+    return max(length.least, min(length.most, round(length_tokens)))
 
 
 def _make_words() -> list[str]:
@@ -201,7 +201,7 @@
     return ["".join(rng.choices(_SYLLABLES, k=3)) for _ in range(WORD_COUNT)]
 
 
-# Prompts are cut out of one text: to draw each word anew would cost more than sending the call.
+# Prompts are parts of one text, since drawing each word would cost more than sending the call.
 _WORDS: Final = _make_words()
 
 
--- a/packages/turmericweir-standins/turmericweir_standins/demo.py
+++ b/packages/turmericweir-standins/turmericweir_standins/demo.py
@@ -1,8 +1,8 @@
-"""Show the whole path: callers, entry instances, backend servers and the platform's log.
+"""A demo of the whole system: callers, entry instances, backend servers and the platform's log.
 
-`make demo` starts one of today's deployments with small stand-ins, sends a handful of requests that
-end in each of the ways a caller meets, prints what came back and what operators see, and exits 0 if
-every request ended as it should. With `--keep` everything stays up until Ctrl-C.
+`make demo` starts a deployment with stand-ins, sends some requests with different outcomes, prints
+the answers and the operators' view, and exits with 0 if all outcomes are as expected. With `--keep`
+the processes run until Ctrl-C.
 """
 
 from __future__ import annotations
@@ -37,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Call:
-    """One request of the demo and how it is to end."""
+    """One request of the demo and its expected outcome."""
 
     title: str
     method: str
@@ -50,7 +50,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """What came back."""
+    """The answer to one request."""
 
     status: int
     outcome: str
@@ -114,7 +114,7 @@
 
 
 def send(address: str, call: Call) -> Answer:
-    """Send a call and read its whole answer."""
+    """Send a call and read its complete answer."""
     host, _, port = address.rpartition(":")
     conn = HTTPConnection(host, int(port), timeout=CALL_TIMEOUT_S)
     try:
@@ -123,7 +123,7 @@
         conn.request(call.method, call.path, body, headers)
         response = conn.getresponse()
         text = response.read().decode()
-        # A streamed answer tells its outcome at its end, since its head is sent before.
+        # A streamed answer has its outcome in the last event, since its head is sent earlier.
         outcome = _streamed_outcome(text) or response.getheader("Turmericweir-Outcome") or ""
         request_id = response.getheader("Turmericweir-Request-Id") or ""
         return Answer(response.status, outcome, request_id, text)
@@ -132,44 +132,46 @@
 
 
 def _streamed_outcome(text: str) -> str:
-    _, found, rest = text.partition("event: turmericweir.outcome\ndata: ")
-    return str(orjson.loads(rest.partition("\n")[0])["outcome"]) if found else ""
+    _, separator, rest = text.partition("event: turmericweir.outcome\ndata: ")
+    return str(orjson.loads(rest.partition("\n")[0])["outcome"]) if separator else ""
 
 
 def _show(call: Call, instance: Instance, answer: Answer) -> bool:
-    good = answer.outcome == call.outcome
-    mark = "ok " if good else "BAD"
+    is_expected = answer.outcome == call.outcome
+    mark = "ok " if is_expected else "BAD"
     first = answer.text.replace("\n", " ")[:90]
     click.echo(f"{mark} {call.title} via {instance.name}")
     click.echo(f"    {call.method} {call.path} -> {answer.status} {answer.outcome}")
     click.echo(f"    {answer.request_id}  {first}")
-    return good
+    return is_expected
 
 
-def _have_met(cluster: Cluster, entry: Instance) -> bool:
-    """Tell whether an instance has heard from every data centre."""
+def _has_all_reports(cluster: Cluster, entry: Instance) -> bool:
+    """Return whether an instance has the settings status of every data centre."""
     headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
     answer = call_json(entry.admin_address, "GET", "/settings/inforce?offset=0", headers=headers)
-    heard = {each["data_centre"] for each in answer.body["data_centres"] if _in_force(each)}
-    return heard == set(cluster.deployment.data_centres)
+    reporting_centres = {
+        each["data_centre"] for each in answer.body["data_centres"] if _is_in_force(each)
+    }
+    return reporting_centres == set(cluster.deployment.data_centres)
 
 
-def _in_force(centre: Mapping[str, object]) -> bool:
+def _is_in_force(centre: Mapping[str, object]) -> bool:
     return centre["reach"] == "in_force"
 
 
-def _operators_view(cluster: Cluster) -> None:
+def _show_operators_view(cluster: Cluster) -> None:
     entry = next(iter(cluster.instances.values()))
-    # The list of instances lags, so what operators see right after the start says little.
-    wait_until(lambda: _have_met(cluster, entry), "the instances have met")
+    # The list of instances lags; right after the start the operators' view is incomplete.
+    wait_until(lambda: _has_all_reports(cluster, entry), "all data centres report their settings")
     ctl = ["--admin", entry.admin_address, "--token", OPERATOR_TOKEN]
-    for words in (["status"], ["classes"], ["servers"]):
-        click.echo(f"\n$ turmericctl {' '.join(words)}")
-        argv = [sys.executable, "-m", "turmericctl.main", *ctl, *words]
+    for args in (["status"], ["classes"], ["servers"]):
+        click.echo(f"\n$ turmericctl {' '.join(args)}")
+        argv = [sys.executable, "-m", "turmericctl.main", *ctl, *args]
         subprocess.run(argv, check=True, timeout=CALL_TIMEOUT_S)
 
 
-def _addresses(cluster: Cluster) -> None:
+def _show_addresses(cluster: Cluster) -> None:
     click.echo("\naddresses")
     for instance in cluster.instances.values():
         click.echo(f"  {instance.name}: callers {instance.address}, admin {instance.admin_address}")
@@ -178,32 +180,32 @@
 
 
 def run(cluster: Cluster) -> bool:
-    """Send every call through the instances in turn; tell whether all ended as they should."""
+    """Send all calls through the instances in turn; return whether all outcomes are expected."""
     instances = list(cluster.instances.values())
-    good = True
+    all_expected = True
     for number, call in enumerate(CALLS):
         instance = instances[number % len(instances)]
-        good &= _show(call, instance, send(instance.address, call))
-    _operators_view(cluster)
-    _addresses(cluster)
-    return good
+        all_expected &= _show(call, instance, send(instance.address, call))
+    _show_operators_view(cluster)
+    _show_addresses(cluster)
+    return all_expected
 
 
 @click.command()
 @click.option("--keep", is_flag=True, help="Leave everything running until Ctrl-C.")
 def main(keep: bool) -> None:
     """Start a small deployment, send requests through it and show every outcome."""
-    # Without this, ending the demo by its process id would leave all that it started running.
+    # Prevents child processes that keep running when the demo gets SIGTERM.
     signal.signal(signal.SIGTERM, signal.default_int_handler)
     with tempfile.TemporaryDirectory(prefix="turmericweir-demo-") as directory:
         click.echo(f"starting {DEMO.name}: {DEMO.instances} instances")
         with Cluster(DEMO, Path(directory)) as cluster:
-            good = run(cluster)
+            all_expected = run(cluster)
             if keep:
                 click.echo("\nrunning; Ctrl-C ends it")
                 with contextlib.suppress(KeyboardInterrupt):
                     signal.pause()
-    sys.exit(0 if good else 1)
+    sys.exit(0 if all_expected else 1)
 
 
 if __name__ == "__main__":
--- a/packages/turmericweir-standins/turmericweir_standins/deployment.py
+++ b/packages/turmericweir-standins/turmericweir_standins/deployment.py
@@ -1,9 +1,8 @@
-"""Whole deployments as data, and the cluster of processes that a deployment describes.
+"""Deployments as data, and the cluster of processes that a deployment describes.
 
-`STITCHLINE` and `LIME_LEAF` have the sizes of today's two users; tests make smaller ones. A
+`STITCHLINE` and `LIME_LEAF` have the sizes of two real deployments; tests use smaller ones. A
 `Cluster` starts the platform, the backend servers and the entry instances of a deployment,
-publishes its settings and its list of instances, and ends everything when it is left. Who serves
-what, and what a request ends with, is for whoever drives the cluster.
+publishes its settings and its list of instances, and stops all processes on exit.
 """
 
 from __future__ import annotations
@@ -27,18 +26,18 @@
 
 
 def digest(token: str) -> str:
-    """Give the form in which settings hold a bearer token."""
+    """Return the hash of a bearer token that settings contain."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
 def token_of(customer: str) -> str:
-    """Give the bearer token that a deployment's customer uses."""
+    """Return the bearer token of a deployment's customer."""
     return f"token-{customer}"
 
 
 @dataclass(frozen=True, slots=True)
 class BackendGroup:
-    """The backend servers of one service, spread over the data centres in turn."""
+    """The backend servers of one service; they are placed in the data centres in turn."""
 
     service: str
     # "model" or "plain"
@@ -46,36 +45,36 @@
     count: int
     slots: int
     models: tuple[str, ...] = ()
-    # Further arguments of the stand-in.
+    # Additional command-line arguments of the stand-in.
     args: tuple[str, ...] = ()
-    # Rules of a plain service as settings write them.
+    # Rules of a plain service, in the form of the settings.
     rules: tuple[Mapping[str, Any], ...] = ()
     checks_fence: bool = True
 
 
 @dataclass(frozen=True, slots=True)
 class Deployment:
-    """What runs where, and the settings that operators have made."""
+    """The processes of a deployment, their data centres, and the settings."""
 
     name: str
     region: str
     data_centres: tuple[str, ...]
-    # Entry instances, spread over the data centres in turn.
+    # Number of entry instances; they are placed in the data centres in turn.
     instances: int
     groups: tuple[BackendGroup, ...]
-    # Written values of /classes/* by class name.
+    # Values of /classes/* by class name.
     classes: Mapping[str, Mapping[str, Any]]
-    # Class of each customer by target, by customer name.
+    # Classes by target, by customer name.
     customers: Mapping[str, Mapping[str, str]]
     policy: str = "credits"
-    # Further settings by path.
+    # Additional settings by path.
     settings: Mapping[str, Any] = field(default_factory=dict)
 
-    def written(self) -> dict[str, Any]:
-        """Give every setting by path, in an order in which each names only earlier ones."""
+    def all_settings(self) -> dict[str, Any]:
+        """Return all settings by path; each one refers only to earlier ones."""
         values: dict[str, Any] = {}
-        for name, written in self.classes.items():
-            values[f"/classes/{name}"] = dict(written)
+        for name, class_value in self.classes.items():
+            values[f"/classes/{name}"] = dict(class_value)
         for group in self.groups:
             values[f"/services/{group.service}"] = _service_value(group)
         for name, classes in self.customers.items():
@@ -97,7 +96,7 @@
 
 
 def settings_record(path: str, value: Any, change_id: str) -> dict[str, Any]:
-    """Build the log record by which a deployment's operator sets a path for the first time."""
+    """Return the log record with which an operator sets a path for the first time."""
     return {
         "type": "change",
         "change_id": change_id,
@@ -112,7 +111,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Listed:
-    """A process of the cluster as the platform's list shows it."""
+    """A process of the cluster with its fields of the platform's list."""
 
     name: str
     kind: str
@@ -122,7 +121,7 @@
     peer_address: str | None = None
 
     def entry(self, incarnation: str, state: str = "live") -> dict[str, Any]:
-        """Build the entry of the list."""
+        """Return the entry of the list."""
         return {
             "name": self.name,
             "kind": self.kind,
@@ -145,22 +144,22 @@
 
     @property
     def name(self) -> str:
-        """Its name in settings, list and logs."""
+        """The name in settings, list and logs."""
         return self.listed.name
 
     @property
     def address(self) -> str:
-        """Where callers reach it."""
+        """The address for callers."""
         return self.listed.address
 
-    # Any: the dump is whatever the state of the daemon is.
+    # Any: the state dump has no fixed type.
     def state(self) -> Any:
-        """Fetch its state dump."""
+        """Return the state dump of the instance."""
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         return call_json(self.admin_address, "GET", "/state", headers=headers).body
 
-    def ready(self) -> bool:
-        """Tell whether it says that it is ready to serve."""
+    def is_ready(self) -> bool:
+        """Return whether the instance reports that it is ready."""
         try:
             return call_json(self.admin_address, "GET", "/readyz").status == 200
         except OSError:
@@ -168,10 +167,10 @@
 
 
 class Cluster:
-    """The running processes of a deployment; everything is ended on exit."""
+    """The running processes of a deployment; all of them are stopped on exit."""
 
     deployment: Deployment
-    # Where records, logs and settings files go.
+    # Directory of records, logs and settings files.
     directory: Path
     platform: Process
     # Backend servers by name, with their entries in the list.
@@ -193,10 +192,10 @@
         self.servers = {}
         self.listed = {}
         self.instances = {}
-        # Core options by name, for every instance.
+        # Options of every instance, by name.
         self._options = dict(options or {})
         self._platform_args = platform_args
-        # Where instances reach the platform, if not directly: a proxy's address.
+        # Address of a proxy before the platform; None for a direct connection.
         self._platform_address = platform_address
         self._stack = contextlib.ExitStack()
 
@@ -217,7 +216,7 @@
         self._stop_all()
 
     def _stop_all(self) -> None:
-        """Tell all processes to end before any is awaited, since a graceful stop takes its time."""
+        """Stop all processes in parallel: terminate each one before the first is awaited."""
         instances = [each.process for each in self.instances.values()]
         for process in (*instances, *self.servers.values()):
             if process.running:
@@ -227,9 +226,9 @@
 
     def _start(self) -> None:
         self.directory.mkdir(parents=True, exist_ok=True)
-        self.platform = self._enter(self._platform_process())
+        self.platform = self._enter_process(self._platform_process())
         self._start_servers()
-        self.publish(self.deployment.written())
+        self.publish(self.deployment.all_settings())
         started = [self._make_instance(number) for number in range(self.deployment.instances)]
         for instance in started:
             self._stack.callback(instance.process.stop)
@@ -239,9 +238,9 @@
             self.instances[instance.name] = instance
             self.list_process(instance.listed)
         for instance in started:
-            wait_until(instance.ready, f"{instance.name} is ready")
+            wait_until(instance.is_ready, f"{instance.name} is ready")
 
-    def _enter(self, process: Process) -> Process:
+    def _enter_process(self, process: Process) -> Process:
         return self._stack.enter_context(process)
 
     # --- the platform ---
@@ -252,11 +251,11 @@
         return standin("platform", *args, directory=self.directory)
 
     def record_path(self, name: str) -> Path:
-        """Give the file in which a stand-in notes what it saw."""
+        """Return the path of a stand-in's record."""
         return self.directory / f"{name}.record.jsonl"
 
     def publish(self, values: Mapping[str, Any]) -> None:
-        """Append first values of settings paths to the platform's log."""
+        """Append the first values of settings paths to the platform's log."""
         records = [settings_record(path, value, f"boot-{path}") for path, value in values.items()]
         call_json(self.platform.address, "POST", "/log/settings/append", {"records": records})
 
@@ -271,7 +270,7 @@
         return self.deployment.data_centres[number % len(self.deployment.data_centres)]
 
     def _start_servers(self) -> None:
-        """Start all backend servers side by side, and list them as they get ready."""
+        """Start all backend servers in parallel and put each into the list when it is ready."""
         groups = self.deployment.groups
         processes = [
             self._make_server(group, number) for group in groups for number in range(group.count)
@@ -284,8 +283,8 @@
             self.list_process(self.listed[process.name])
 
     def add_server(self, group: BackendGroup, number: int) -> Process:
-        """Start one more backend server and put it into the list."""
-        process = self._enter(self._make_server(group, number))
+        """Start another backend server and put it into the list."""
+        process = self._enter_process(self._make_server(group, number))
         self.list_process(self.listed[process.name])
         return process
 
@@ -306,30 +305,32 @@
         return process
 
     def restart_server(self, name: str) -> Process:
-        """Start a backend server again, on its address, after its process has ended."""
-        ended = self.servers[name]
-        ended.wait()
-        process = self._enter(Process(ended.argv, name=name, directory=self.directory))
+        """Start a backend server again on the same address after its process has ended."""
+        stopped = self.servers[name]
+        stopped.wait()
+        process = self._enter_process(Process(stopped.argv, name=name, directory=self.directory))
         self.servers[name] = process
         return process
 
     # --- entry instances ---
 
     def add_instance(self, number: int) -> Instance:
-        """Start one more entry instance, wait until it is ready and put it into the list."""
+        """Start another entry instance, put it into the list and wait until it is ready."""
         instance = self._make_instance(number)
-        self._enter(instance.process)
+        self._enter_process(instance.process)
         self.instances[instance.name] = instance
         self.list_process(instance.listed)
-        wait_until(instance.ready, f"{instance.name} is ready")
+        wait_until(instance.is_ready, f"{instance.name} is ready")
         return instance
 
     def restart_instance(self, name: str) -> Instance:
-        """Start an entry instance again, on its addresses, after its process has ended."""
-        ended = self.instances[name]
-        ended.process.wait()
-        process = self._enter(Process(ended.process.argv, name=name, directory=self.directory))
-        self.instances[name] = Instance(ended.listed, ended.admin_address, process)
+        """Start an entry instance again on the same addresses after its process has ended."""
+        stopped = self.instances[name]
+        stopped.process.wait()
+        process = self._enter_process(
+            Process(stopped.process.argv, name=name, directory=self.directory)
+        )
+        self.instances[name] = Instance(stopped.listed, stopped.admin_address, process)
         return self.instances[name]
 
     def _make_instance(self, number: int) -> Instance:
@@ -362,7 +363,7 @@
         }
 
 
-# --- today's two users ---------------------------------------------------------------------
+# --- deployments of real sizes -------------------------------------------------------------
 
 _COUNTER_RULES: Final = (
     {"method": "POST", "path_prefix": "/reserve", "repeatable": False},
--- a/packages/turmericweir-standins/turmericweir_standins/engine.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine.py
@@ -1,12 +1,12 @@
 """A stand-in for a model engine: `python -m turmericweir_standins.engine --help`.
 
-It batches continuously, honours priorities, caches prefixes, resumes, cancels and moves KV cache as
-an engine does, but computes nothing: its answers are a function of the model and the prompt. It
-speaks the engine protocol of `docs/protocols.md`, and it fails on request.
+It implements continuous batching, priorities, prefix caching, resumes, cancellation and transfer of
+KV cache, but computes nothing: its answers are a function of the model and the prompt. It uses the
+engine protocol of `docs/protocols.md` and fails on request.
 
-The modules: `engine_answer` (what is generated), `engine_kv` and `engine_batch` (what runs, as a
-pure model), `engine_models` (orders), `engine_lag` (what is seen late), `engine_loop` (real time),
-`engine_wire` and `engine_app` (HTTP), `engine_record` (what tests check).
+The modules: `engine_answer` (generated answers), `engine_kv` and `engine_batch` (the batch, as a
+pure model), `engine_models` (orders), `engine_lag` (delayed reports and events), `engine_loop`
+(real time), `engine_wire` and `engine_app` (HTTP), `engine_record` (the record for tests).
 """
 
 from __future__ import annotations
--- a/packages/turmericweir-standins/turmericweir_standins/engine_answer.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_answer.py
@@ -1,15 +1,15 @@
-"""What an engine generates for a prompt: a function of the model and the prompt alone.
+"""The answer of an engine to a prompt, as a function of the model and the prompt.
 
 Token `i` of an answer is `"{h}.{i} "`, where `h` is the start of a hash over the model and the
-contents of the messages. So a test can tell from any token whose answer it belongs to and which
-place it has, and can verify an answer that several engines made piece by piece.
+contents of the messages. Each token identifies its answer and its position, which lets tests verify
+an answer that several engines generated in parts.
 
-The length is given by a marker `[len=N]` in the last user message, or else drawn from the hash.
-`max_tokens` and the engine's memory cap it.
+A marker `[len=N]` in the last user message sets the length; without one it is derived from the
+hash. `max_tokens` and the engine's memory limit it.
 
-A prompt's prefixes are the runs of its leading messages. The id of a run is a hash over the id of
-the run that is one message shorter, the role and the content of its last message, starting from
-the model. Whoever knows the messages can compute the ids, which the cache events name.
+The prefixes of a prompt are its sequences of leading messages. The id of a prefix is a hash over
+the id of the prefix that is one message shorter (for the first one, the model) and the role and
+content of its last message. The cache events name these ids.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """The whole answer to one prompt."""
+    """The complete answer to one prompt."""
 
-    # Starts every token.
+    # The beginning of every token.
     text_hash: str
     # Number of tokens.
     length: int
@@ -61,7 +61,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Prefix:
-    """One message's part of the prompt, named by everything up to its end."""
+    """One message of the prompt; its id covers the prompt up to its end."""
 
     prefix_id: str
     # Tokens of this message alone.
@@ -70,9 +70,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Prompt:
-    """What the batch needs to know of a prompt."""
+    """The properties of a prompt that the batch needs."""
 
-    # The runs of leading messages, shortest first; the last one is the whole prompt.
+    # The prefixes, shortest first; the last one is the whole prompt.
     prefixes: tuple[Prefix, ...]
     tokens: int
     # Whether the engine crashes at the first token.
@@ -93,25 +93,25 @@
     hex_digest = digest.hexdigest()
     length = _marked_length(messages)
     if length is None:
-        spread = MAX_LENGTH - MIN_LENGTH + 1
-        length = MIN_LENGTH + int(hex_digest[HASH_DIGITS : 2 * HASH_DIGITS], 16) % spread
+        length_range = MAX_LENGTH - MIN_LENGTH + 1
+        length = MIN_LENGTH + int(hex_digest[HASH_DIGITS : 2 * HASH_DIGITS], 16) % length_range
     return capped(Answer(hex_digest[:HASH_DIGITS], length, "stop"), max_tokens)
 
 
 def capped(answer: Answer, max_tokens: int | None) -> Answer:
-    """Return the answer cut off after this many tokens."""
+    """Return the answer, truncated after this many tokens."""
     if max_tokens is None or answer.length <= max_tokens:
         return answer
     return Answer(answer.text_hash, max_tokens, "length")
 
 
 def prompt_of(model: str, messages: Sequence[ChatMessage]) -> Prompt:
-    """Count a prompt's tokens and name its prefixes."""
+    """Return a prompt with its number of tokens and its prefixes."""
     prefixes: list[Prefix] = []
     prefix_id = model
     for message in messages:
-        chained = f"{prefix_id}\0{message.role}\0{message.content}"
-        prefix_id = hashlib.sha256(chained.encode()).hexdigest()[:PREFIX_DIGITS]
+        hash_input = f"{prefix_id}\0{message.role}\0{message.content}"
+        prefix_id = hashlib.sha256(hash_input.encode()).hexdigest()[:PREFIX_DIGITS]
         prefixes.append(Prefix(prefix_id, len(message.content.split())))
     return Prompt(
         prefixes=tuple(prefixes),
--- a/packages/turmericweir-standins/turmericweir_standins/engine_app.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_app.py
@@ -1,7 +1,7 @@
-"""The HTTP side of the engine stand-in: one ASGI app with a handler for each path.
+"""The HTTP interface of the engine stand-in: one ASGI app with a handler for each path.
 
-It parses, refuses and delivers; what runs when is the batch's affair. The faults that concern one
-answer (a silent or a cut stream) are made here, where the answer is sent.
+It parses requests, refuses them and sends answers; the batch schedules them. The faults of single
+answers (stalled and cut streams) are implemented here.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
     KvExportRequest,
     KvImportRequest,
     check_resume,
-    whole_answer,
+    complete_answer,
 )
 from turmericweir_standins.listener import Listener
 
@@ -55,20 +55,20 @@
 
 @dataclass(frozen=True, slots=True)
 class _Ids:
-    """What the router calls a request and this attempt at it."""
+    """The router's ids of a request and of this attempt."""
 
     request_id: str
     attempt_id: str
 
     @property
     def echo(self) -> HeaderPairs:
-        """The headers that every answer to the attempt carries."""
+        """The id headers of every answer to the attempt."""
         return (("x-request-id", self.request_id), ("x-attempt-id", self.attempt_id))
 
 
 @dataclass(frozen=True, slots=True)
 class _Rejection:
-    """An answer that takes the place of any work."""
+    """A refusal before any work."""
 
     status: int
     reason: str
@@ -80,9 +80,9 @@
 
     engine: Final[Engine]
     _listener: Listener
-    # Decides which requests fail by `error_rate`.
+    # Selects the requests that fail by `error_rate`.
     _random: random.Random
-    # Names requests that come without ids.
+    # Numbers the requests without an id.
     _unnamed: itertools.count[int]
     _handlers: dict[tuple[str, str], Handler]
 
@@ -107,7 +107,7 @@
         try:
             if await self.engine.controls.handle(request, send):
                 return
-            await self.engine.while_frozen()
+            await self.engine.wait_unfrozen()
             await self._dispatch(request, send)
         except ClientDisconnectedError:
             return
@@ -139,7 +139,7 @@
         try:
             async with anyio.create_task_group() as tasks:
                 tasks.start_soon(_cancel_on_disconnect, request, tasks.cancel_scope)
-                deliver = self._deliver_stream if body.stream else self._deliver_whole
+                deliver = self._deliver_stream if body.stream else self._deliver_complete
                 await deliver(request, send, stream, ids.echo)
                 tasks.cancel_scope.cancel()
         finally:
@@ -150,7 +150,7 @@
         return _Ids(request_id, request.headers.get("x-attempt-id", ""))
 
     def _rejection(self, model: str) -> _Rejection | None:
-        """Return how a request is turned away before any work, if it is."""
+        """Return the refusal of a request before any work, if there is one."""
         table = self.engine.controls.table
         if table.refuse_start:
             return _Rejection(503, "refuses to start", (NOT_STARTED,))
@@ -163,12 +163,12 @@
         return None
 
     def _sequence(self, body: CompletionRequest, ids: _Ids, priority: int) -> Sequence:
-        """Return what the batch is to run; raise BadRequestError if it can't."""
+        """Return the sequence for the batch; raise BadRequestError if it does not fit."""
         prompt = prompt_of(body.model, body.messages)
-        room = self.engine.options.batch.kv_tokens - prompt.tokens
-        if room <= 0:
+        available_tokens = self.engine.options.batch.kv_tokens - prompt.tokens
+        if available_tokens <= 0:
             raise BadRequestError(f"a prompt of {prompt.tokens} tokens does not fit the KV memory")
-        answer = capped(answer_of(body.model, body.messages, body.max_tokens), room)
+        answer = capped(answer_of(body.model, body.messages, body.max_tokens), available_tokens)
         start = 0
         if body.resume is not None:
             check_resume(body.resume, answer)
@@ -189,34 +189,36 @@
             case "cancelled":
                 await send({"type": "http.response.body", "body": CANCELLED})
             case _:
-                # The connection is gone; so is whoever could read an end.
+                # The connection is closed.
                 pass
 
-    async def _deliver_whole(
+    async def _deliver_complete(
         self, request: Request, send: Send, stream: TokenStream, echo: HeaderPairs
     ) -> None:
-        whole = [each async for emissions in self._tokens(request, stream) for each in emissions]
+        all_emissions = [
+            each async for emissions in self._tokens(request, stream) for each in emissions
+        ]
         match stream.outcome:
             case "finished":
-                await send_json(send, 200, whole_answer(stream.sequence, whole), echo)
+                await send_json(send, 200, complete_answer(stream.sequence, all_emissions), echo)
             case "cancelled":
                 await send_json(send, CLIENT_CLOSED_REQUEST, {"error": "cancelled"}, echo)
             case _:
-                # As for a stream.
+                # The connection is closed.
                 pass
 
     async def _tokens(self, request: Request, stream: TokenStream) -> AsyncIterator[list[Emission]]:
-        """Yield the tokens as they come, up to where a behaviour stalls or cuts the answer."""
+        """Yield the generated tokens until a behaviour stalls or cuts the answer."""
         delivered = 0
         while emissions := await stream.take():
-            limit = self._silent_after()
-            if limit is not None and delivered + len(emissions) >= limit:
-                yield emissions[: max(0, limit - delivered)]
-                await self._fall_silent(request)
+            token_limit = self._stop_limit()
+            if token_limit is not None and delivered + len(emissions) >= token_limit:
+                yield emissions[: max(0, token_limit - delivered)]
+                await self._stall_or_cut(request)
             delivered += len(emissions)
             yield emissions
 
-    def _silent_after(self) -> int | None:
+    def _stop_limit(self) -> int | None:
         table = self.engine.controls.table
         limits = [
             limit
@@ -225,8 +227,8 @@
         ]
         return min(limits, default=None)
 
-    async def _fall_silent(self, request: Request) -> None:
-        """Cut the connection if so told, then wait for the disconnection to end the handler."""
+    async def _stall_or_cut(self, request: Request) -> None:
+        """Cut the connection if configured, then wait until the disconnection ends the handler."""
         table = self.engine.controls.table
         stalls = table.stall_after_tokens
         cuts = table.cut_after_tokens
@@ -236,7 +238,7 @@
             self._listener.drop(request.client)
         await anyio.sleep_forever()
 
-    # The other calls.
+    # Other calls.
 
     async def _cancel(self, request: Request, send: Send) -> None:
         body = await _parse(request, CancelRequest)
@@ -256,7 +258,7 @@
     async def _order(self, request: Request, send: Send) -> None:
         order = await _parse(request, Order)
         try:
-            state = self.engine.obey(order)
+            state = self.engine.execute(order)
         except StaleFenceError as exc:
             await send_json(send, 409, {"fence": exc.fence})
             return
--- a/packages/turmericweir-standins/turmericweir_standins/engine_batch.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_batch.py
@@ -1,18 +1,18 @@
-"""Continuous batching as a pure model: what runs, what waits, and what a step emits.
+"""Continuous batching as a pure model: running and waiting sequences and the tokens of each step.
 
-The caller passes the time in and holds the clock. One step is two calls: `begin` fills the batch
-and says how long the step takes; `end`, after that time, emits one token for every sequence that
-decodes. Between the two, sequences may be submitted, aborted or cancelled.
+The caller passes the time as an argument. A step consists of two calls: `begin` fills the batch and
+returns the duration of the step; `end`, after that time, emits one token for every decoding
+sequence. Between the two, sequences may be submitted, aborted or cancelled.
 
 Scheduling: the waiting sequences are ordered by priority (lower is more urgent), then by arrival.
-`begin` starts them in that order while slots and KV memory last. When the first of them does not
-fit, the least urgent running sequence is preempted for it, if that one is strictly less urgent.
-The preempted one goes back to its place among the waiting; its KV stays behind as an idle entry,
-and if memory runs short that entry is evicted and the sequence is prefilled anew. A sequence that
-outgrows the memory preempts the least urgent one too, which may be itself.
+`begin` starts them in this order while slots and KV memory are available. When the first of them
+does not fit, the least urgent running sequence is preempted, if it is strictly less urgent. A
+preempted sequence returns to its position among the waiting ones; its KV remains as an idle entry.
+If this entry is evicted, the sequence is prefilled again. A sequence that exceeds the memory also
+preempts the least urgent one, which may be the sequence itself.
 
 Prefill: a sequence first occupies its slot for `ceil(tokens / 512)` steps, for the tokens that
-neither its own idle KV nor the prefix cache covers, and emits its first token in the step after.
+neither its idle KV nor the prefix cache covers, and emits its first token in the following step.
 """
 
 from __future__ import annotations
@@ -25,19 +25,19 @@
 from turmericweir_standins.engine_kv import IdleKv, KvMemory
 
 PREFILL_TOKENS_PER_STEP: Final = 512
-# How long the KV of a sequence whose client went away waits for a resume.
+# How long the KV of a sequence is kept for a resume after its client has disconnected.
 KV_RETENTION_S: Final = 5.0
 
 
 @dataclass(frozen=True, slots=True)
 class BatchConfig:
-    """The size and the speed of one engine."""
+    """The size and speed of one engine."""
 
     slots: int = 16
     kv_tokens: int = 65536
     # Duration of a step with one running sequence.
     step_s: float = 0.006
-    # By which part of `step_s` each further running sequence lengthens the step.
+    # The share of `step_s` that each additional running sequence adds to the step.
     slope: float = 0.02
 
 
@@ -51,13 +51,13 @@
     priority: int
     prompt: Prompt
     answer: Answer
-    # The first token to send; the client has those before it.
+    # The first token to send; the client already has the earlier ones.
     start: int = 0
     # The next token to generate.
     position: int = field(init=False)
-    # Order of arrival, which breaks ties of priority; set at submission.
+    # Order of arrival among sequences of equal priority; set at submission.
     arrival: int = field(init=False, default=0)
-    # Steps of prefill still to do.
+    # Remaining steps of prefill.
     prefill_steps: int = field(init=False, default=0)
     # KV tokens held while it runs.
     kv_tokens: int = field(init=False, default=0)
@@ -76,13 +76,13 @@
 
     @property
     def generated(self) -> int:
-        """How many tokens this attempt generated, whether they were delivered or not."""
+        """The number of tokens that this attempt generated, delivered or not."""
         return self.position - self.start
 
 
 @dataclass(frozen=True, slots=True)
 class Emission:
-    """One token of one sequence; the text is empty when a resume had none left to send."""
+    """One token of one sequence; the text is empty if a resume had no token left to send."""
 
     sequence: Sequence
     text: str
@@ -91,14 +91,14 @@
 
 @dataclass(slots=True)
 class StepResult:
-    """What one step did."""
+    """The result of one step."""
 
     emissions: list[Emission] = field(default_factory=list)
     # Sequences that entered the batch for the first time since the last step.
     started: list[Sequence] = field(default_factory=list)
     # Sequences that were preempted since the last step.
     preempted: list[Sequence] = field(default_factory=list)
-    # The sequence that makes the engine crash; nothing of this step was delivered then.
+    # The sequence that crashes the engine; the tokens of this step are then not delivered.
     crashed_by: Sequence | None = None
 
 
@@ -109,12 +109,12 @@
     kv: KvMemory
     # Sequences in the batch.
     running: list[Sequence]
-    # Sequences that wait, most urgent first.
+    # Waiting sequences, most urgent first.
     waiting: list[Sequence]
-    # What scheduling did since the last `end`.
+    # Sequences started and preempted since the last `end`.
     _started: list[Sequence]
     _preempted: list[Sequence]
-    # Sequences submitted so far.
+    # Number of submitted sequences.
     _arrivals: int
 
     def __init__(self, config: BatchConfig) -> None:
@@ -127,34 +127,34 @@
         self._arrivals = 0
 
     def submit(self, sequence: Sequence) -> None:
-        """Put a new sequence among the waiting."""
+        """Add a new sequence to the waiting ones."""
         self._arrivals += 1
         sequence.arrival = self._arrivals
-        self._wait(sequence)
+        self._add_waiting(sequence)
 
     def abort(self, sequence: Sequence, now: float) -> None:
-        """Stop a sequence whose client went away; its KV stays for a while for a resume."""
+        """Stop a sequence whose client disconnected; its KV is kept for a resume."""
         if sequence in self.running:
             self.running.remove(sequence)
             self._park(sequence, now + KV_RETENTION_S)
             return
-        self._forget_waiting(sequence)
+        self._remove_waiting(sequence)
         kv = self.kv.drop_idle(sequence.request_id)
         if kv is not None:
             limited = IdleKv(kv.prompt_id, kv.tokens, now + KV_RETENTION_S)
             self.kv.import_idle(sequence.request_id, limited)
 
     def cancel(self, sequence: Sequence) -> None:
-        """Stop a sequence for good and free its KV."""
+        """Stop a sequence and free its KV."""
         if sequence in self.running:
             self.running.remove(sequence)
             self.kv.release(sequence.kv_tokens)
             return
-        self._forget_waiting(sequence)
+        self._remove_waiting(sequence)
         self.kv.drop_idle(sequence.request_id)
 
     def begin(self, now: float) -> float | None:
-        """Fill the batch; return the duration of the step, or None when there is nothing to run."""
+        """Fill the batch; return the duration of the step, or None if no sequence runs."""
         self.kv.expire(now)
         while self.waiting and self._start_first():
             pass
@@ -165,14 +165,14 @@
     def end(self) -> StepResult:
         """Finish the step that `begin` started."""
         result = StepResult()
-        # The most urgent grow first, so that a shortage of memory hits the least urgent.
+        # The most urgent sequences grow first; a shortage of memory affects the least urgent ones.
         for sequence in sorted(self.running, key=lambda each: each.urgency):
             if sequence not in self.running:
                 continue
             if sequence.prefill_steps > 0:
                 self._prefill(sequence)
                 continue
-            if not self._can_go_on(sequence):
+            if not self._can_continue(sequence):
                 continue
             if sequence.prompt.crashes:
                 result.crashed_by = sequence
@@ -184,7 +184,7 @@
         return result
 
     def find(self, request_id: str, attempt_id: str) -> list[Sequence]:
-        """Return the sequences of an attempt that run or wait."""
+        """Return the running and waiting sequences of an attempt."""
         return [
             sequence
             for sequence in (*self.running, *self.waiting)
@@ -192,7 +192,7 @@
         ]
 
     def export_kv(self, request_id: str) -> IdleKv | None:
-        """Return a copy of the KV that a request holds here, running or not."""
+        """Return a copy of a request's KV, running or idle."""
         for sequence in self.running:
             if sequence.request_id == request_id and sequence.prefill_steps == 0:
                 return IdleKv(sequence.prompt.prompt_id, sequence.kv_tokens)
@@ -201,20 +201,20 @@
     # Scheduling.
 
     def _start_first(self) -> bool:
-        """Start the first waiting sequence, preempting if need be; False if it must wait."""
+        """Start the first waiting sequence, with preemption if needed; False if it must wait."""
         sequence = self.waiting[0]
         tokens = sequence.prompt.tokens + sequence.position
         if not self._can_fit(sequence, tokens):
             return False
         while len(self.running) >= self.config.slots or not self.kv.can_hold(tokens):
             self._preempt(max(self.running, key=lambda each: each.urgency))
-        # A preempted one may not come before the one that it was preempted for.
+        # Preempted sequences are less urgent; the first waiting sequence is still this one.
         del self.waiting[0]
         self._start(sequence, tokens)
         return True
 
     def _can_fit(self, sequence: Sequence, tokens: int) -> bool:
-        """Tell whether preempting all that is less urgent would make enough room."""
+        """Return whether a sequence would fit after preempting all less urgent ones."""
         victims = [each for each in self.running if each.priority > sequence.priority]
         if len(self.running) - len(victims) >= self.config.slots:
             return False
@@ -241,25 +241,25 @@
         self._park(sequence)
         sequence.preemptions += 1
         self._preempted.append(sequence)
-        self._wait(sequence)
+        self._add_waiting(sequence)
 
-    def _park(self, sequence: Sequence, expires: float | None = None) -> None:
+    def _park(self, sequence: Sequence, expires_at: float | None = None) -> None:
         """Leave the KV of a sequence that no longer runs as an idle entry."""
         if sequence.prefill_steps > 0:
-            # A half-done prefill is of no use to anyone.
+            # An incomplete prefill can't be used.
             self.kv.release(sequence.kv_tokens)
         else:
             prompt_id = sequence.prompt.prompt_id
             idle = IdleKv(prompt_id, sequence.kv_tokens)
-            if expires is not None:
-                idle = IdleKv(prompt_id, sequence.kv_tokens, expires)
+            if expires_at is not None:
+                idle = IdleKv(prompt_id, sequence.kv_tokens, expires_at)
             self.kv.park(sequence.request_id, idle)
         sequence.kv_tokens = 0
 
-    def _wait(self, sequence: Sequence) -> None:
+    def _add_waiting(self, sequence: Sequence) -> None:
         bisect.insort(self.waiting, sequence, key=lambda each: each.urgency)
 
-    def _forget_waiting(self, sequence: Sequence) -> None:
+    def _remove_waiting(self, sequence: Sequence) -> None:
         if sequence in self.waiting:
             self.waiting.remove(sequence)
 
@@ -270,13 +270,13 @@
         if sequence.prefill_steps == 0:
             self.kv.store_prefixes(sequence.prompt.prefixes)
 
-    def _can_go_on(self, sequence: Sequence) -> bool:
-        # A resume with no token left to send needs no memory and, in a memory that it fills to the
-        # last token, could never get any.
+    def _can_continue(self, sequence: Sequence) -> bool:
+        # A resume without a token left to send needs no memory. Prevents an endless wait if the
+        # sequence fills the whole memory.
         return sequence.position >= sequence.answer.length or self._grow(sequence)
 
     def _grow(self, sequence: Sequence) -> bool:
-        """Make room for one more token; False if the sequence itself was preempted for it."""
+        """Make room for another token; False if the sequence itself was preempted."""
         while not self.kv.acquire(1):
             victim = max(self.running, key=lambda each: each.urgency)
             self._preempt(victim)
--- a/packages/turmericweir-standins/turmericweir_standins/engine_kv.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_kv.py
@@ -1,13 +1,12 @@
-"""The KV memory of one engine: a budget of tokens that three kinds of holders share.
+"""The KV memory of one engine: a budget of tokens for three kinds of content.
 
-- *Active* sequences hold their prompt and what they have generated. They are never evicted here;
-  the batch preempts one when memory is short.
-- *Idle* entries are what a preempted, disconnected or imported request left behind, by request id.
-- *Cached* prefixes speed up later prompts.
+- *Active* sequences use tokens for their prompt and their generated text. They are not evicted; the
+  batch preempts one when memory is short.
+- *Idle* entries belong to preempted, disconnected or imported requests, by request id.
+- *Cached* prefixes shorten the prefill of later prompts.
 
-Room is made by evicting cached prefixes first, least recently used first, and then idle entries,
-oldest first. A prefix that is cached and also held by a sequence is counted twice; a real engine
-shares it.
+Cached prefixes are evicted first, least recently used first, then idle entries, oldest first. A
+prefix that is cached and also used by a sequence is counted twice; a real engine shares it.
 """
 
 from __future__ import annotations
@@ -33,28 +32,28 @@
 
 @dataclass(frozen=True, slots=True)
 class IdleKv:
-    """The KV of a request that does not run at the moment."""
+    """The KV of a request that does not run at present."""
 
-    # Which prompt it was computed for; it is useless for any other.
+    # The prompt that it was computed for; it can't be used for another one.
     prompt_id: str
     tokens: int
-    # When it is dropped; infinity for a request that still waits.
-    expires: float = math.inf
+    # When it is dropped; infinity for a waiting request.
+    expires_at: float = math.inf
 
 
 class KvMemory:
     """Account for the KV tokens of one engine."""
 
     total: int
-    # Tokens that active sequences hold.
+    # Tokens of active sequences.
     active: int
-    # What idle requests left, oldest first.
+    # Idle entries by request id, oldest first.
     _idle: OrderedDict[str, IdleKv]
     _idle_tokens: int
     # Tokens by prefix id, least recently used first.
     _cached: OrderedDict[str, int]
     _cached_tokens: int
-    # What changed in the cache since it was last drained.
+    # Changes of the cache since the last `drain_changes`.
     _changes: list[CacheChange]
 
     def __init__(self, total: int) -> None:
@@ -68,15 +67,15 @@
 
     @property
     def used(self) -> int:
-        """Tokens held by anyone."""
+        """All tokens in use."""
         return self.active + self._idle_tokens + self._cached_tokens
 
     def can_hold(self, tokens: int) -> bool:
-        """Tell whether room for this many more active tokens can be made by evicting."""
+        """Return whether this many more active tokens fit after evictions."""
         return self.active + tokens <= self.total
 
     def acquire(self, tokens: int) -> bool:
-        """Take tokens for an active sequence, evicting what is needed; False if short."""
+        """Allocate tokens for an active sequence, with evictions; False if they do not fit."""
         if not self.can_hold(tokens):
             return False
         if self.used + tokens > self.total:
@@ -86,7 +85,7 @@
         return True
 
     def release(self, tokens: int) -> None:
-        """Give back an active sequence's tokens."""
+        """Free tokens of an active sequence."""
         self.active -= tokens
 
     def park(self, request_id: str, kv: IdleKv) -> None:
@@ -96,7 +95,7 @@
         self._add_idle(request_id, kv)
 
     def import_idle(self, request_id: str, kv: IdleKv) -> bool:
-        """Add an idle entry from elsewhere; False if there is no room for it."""
+        """Add an idle entry of another engine; False if it does not fit."""
         if not self.can_hold(kv.tokens):
             return False
         self.drop_idle(request_id)
@@ -107,36 +106,37 @@
         return True
 
     def idle(self, request_id: str) -> IdleKv | None:
-        """Look up an idle entry."""
+        """Return an idle entry."""
         return self._idle.get(request_id)
 
     def drop_idle(self, request_id: str) -> IdleKv | None:
-        """Take an idle entry out and return it."""
+        """Remove an idle entry and return it."""
         kv = self._idle.pop(request_id, None)
         if kv is not None:
             self._idle_tokens -= kv.tokens
         return kv
 
     def expire(self, now: float) -> None:
-        """Drop the idle entries whose time is over."""
-        expired = [request_id for request_id, kv in self._idle.items() if kv.expires <= now]
+        """Drop the expired idle entries."""
+        expired = [request_id for request_id, kv in self._idle.items() if kv.expires_at <= now]
         for request_id in expired:
             self.drop_idle(request_id)
 
     def cached_tokens(self, prefixes: Sequence[Prefix]) -> int:
-        """Return how many leading tokens of a prompt the cache holds, and mark them as used."""
-        found: list[Prefix] = []
+        """Return the number of leading tokens of a prompt in the cache; mark them as used."""
+        cached_prefixes: list[Prefix] = []
         for prefix in prefixes:
             if prefix.prefix_id not in self._cached:
                 break
-            found.append(prefix)
-        # The shortest run is touched last: evicting it first would make the longer ones useless.
-        for prefix in reversed(found):
+            cached_prefixes.append(prefix)
+        # The shortest prefix is marked last. Prevents its eviction before the longer ones, which
+        # can't be used without it.
+        for prefix in reversed(cached_prefixes):
             self._cached.move_to_end(prefix.prefix_id)
-        return sum(prefix.tokens for prefix in found)
+        return sum(prefix.tokens for prefix in cached_prefixes)
 
     def store_prefixes(self, prefixes: Sequence[Prefix]) -> None:
-        """Cache a prompt's prefixes as far as memory allows without touching idle entries."""
+        """Cache a prompt's prefixes as far as they fit without evicting idle entries."""
         for prefix in prefixes:
             if prefix.prefix_id in self._cached:
                 continue
@@ -149,7 +149,7 @@
         self.cached_tokens(prefixes)
 
     def drain_changes(self) -> list[CacheChange]:
-        """Return the cache's changes since the last call."""
+        """Return the changes of the cache since the last call."""
         changes, self._changes = self._changes, []
         return changes
 
@@ -159,8 +159,8 @@
 
     def _evict_cached(self, tokens: int) -> None:
         while self._cached and self.used + tokens > self.total:
-            prefix_id, held = self._cached.popitem(last=False)
-            self._cached_tokens -= held
+            prefix_id, tokens_held = self._cached.popitem(last=False)
+            self._cached_tokens -= tokens_held
             self._changes.append(CacheChange("evicted", prefix_id))
 
     def _evict_idle(self, tokens: int) -> None:
--- a/packages/turmericweir-standins/turmericweir_standins/engine_lag.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_lag.py
@@ -1,6 +1,6 @@
-"""What an engine lets others see late: its load reports and its cache events.
+"""The delayed outputs of an engine: its load reports and its cache events.
 
-Both keep their own history and are asked with the present time, so they are as pure as the batch.
+Both classes keep their history and take the present time as an argument, without a clock.
 """
 
 from __future__ import annotations
@@ -12,9 +12,9 @@
 
 from turmericweir_standins.engine_kv import CacheChange, CacheChangeKind
 
-# Older events are forgotten; whoever asks for them sees a gap.
-KEPT_EVENTS: Final = 4_000
-EVENTS_PER_ANSWER: Final = 1_000
+# Older events are dropped; a reader that asks for them sees a gap.
+EVENTS_KEPT_MAX: Final = 4_000
+EVENTS_PER_ANSWER_MAX: Final = 1_000
 
 
 @dataclass(frozen=True, slots=True)
@@ -23,7 +23,7 @@
 
     name: str
     incarnation: str
-    # Counts the observations of one incarnation.
+    # The number of the report within one incarnation.
     seq: int
     running: int
     waiting: int
@@ -34,16 +34,16 @@
     models: list[str]
     role: str
     leaving: bool
-    # The highest fencing number accepted; always 0 where the engine does not check them.
+    # The highest accepted fencing number; 0 if the engine does not check them.
     fence: int
     loading: list[str]
 
 
 class LaggedReports:
-    """Show each load report only some time after it was true."""
+    """Return each load report only after a delay."""
 
     lag_s: Final[float]
-    # Reports by the time of their observation; the first one is the one to show.
+    # Reports with the time of their observation; the first one is the visible one.
     _history: deque[tuple[float, LoadReport]]
     _seq: int
 
@@ -53,17 +53,17 @@
         self._seq = 0
 
     def observe(self, now: float, report: Callable[[int], LoadReport]) -> None:
-        """Take in the present state; the function gets the report's sequence number."""
+        """Add a report of the present state; the function gets the report's sequence number."""
         self._seq += 1
         self._history.append((now, report(self._seq)))
-        self._forget(now)
+        self._drop_old(now)
 
     def read(self, now: float) -> LoadReport:
-        """Return the newest report that is at least `lag_s` old, or the oldest one there is."""
-        self._forget(now)
+        """Return the newest report that is at least `lag_s` old, or else the oldest one."""
+        self._drop_old(now)
         return self._history[0][1]
 
-    def _forget(self, now: float) -> None:
+    def _drop_old(self, now: float) -> None:
         while len(self._history) > 1 and self._history[1][0] <= now - self.lag_s:
             self._history.popleft()
 
@@ -78,39 +78,39 @@
 
 
 class CacheLog:
-    """Number the cache's changes, show them late, and lose every n-th of them."""
+    """Number the changes of the cache, return them after a delay, and lose every n-th one."""
 
     lag_s: Final[float]
-    # Every how many events one is lost; 0 for none.
+    # One event is lost in each group of this size; 0 for no losses.
     gap_every: Final[int]
-    # Events by the time at which they happened; None in the place of a lost one.
+    # Events with their time and number; None in place of a lost one.
     _events: deque[tuple[float, int, CacheEvent | None]]
     _seq: int
 
     def __init__(self, lag_s: float, gap_every: int) -> None:
         self.lag_s = lag_s
         self.gap_every = gap_every
-        self._events = deque(maxlen=KEPT_EVENTS)
+        self._events = deque(maxlen=EVENTS_KEPT_MAX)
         self._seq = 0
 
     def append(self, now: float, change: CacheChange) -> None:
-        """Number one change."""
+        """Add one change."""
         self._seq += 1
-        lost = self.gap_every > 0 and self._seq % self.gap_every == 0
-        event = None if lost else CacheEvent(self._seq, change.kind, change.prefix_id)
+        is_lost = self.gap_every > 0 and self._seq % self.gap_every == 0
+        event = None if is_lost else CacheEvent(self._seq, change.kind, change.prefix_id)
         self._events.append((now, self._seq, event))
 
     def read(self, now: float, after: int) -> tuple[list[CacheEvent], int]:
-        """Return the visible events after a number, and the number to ask from next time.
+        """Return the visible events after a number, and the number for the next call.
 
-        A number smaller than the one asked for means that the numbering began anew.
+        A returned number that is smaller than `after` means that the numbering has restarted.
         """
         newest = 0
-        found: list[CacheEvent] = []
-        for happened, seq, event in self._events:
-            if happened > now - self.lag_s or len(found) >= EVENTS_PER_ANSWER:
+        events: list[CacheEvent] = []
+        for happened_at, seq, event in self._events:
+            if happened_at > now - self.lag_s or len(events) >= EVENTS_PER_ANSWER_MAX:
                 break
             newest = seq
             if seq > after and event is not None:
-                found.append(event)
-        return found, newest
+                events.append(event)
+        return events, newest
--- a/packages/turmericweir-standins/turmericweir_standins/engine_loop.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_loop.py
@@ -1,8 +1,8 @@
-"""One engine in real time: it drives the batch and hands out what the batch generates.
+"""One engine in real time: it runs the steps of the batch and distributes the generated tokens.
 
-`Engine` owns everything that a crash forgets. `run` makes the steps; the HTTP side submits
-sequences and reads their `TokenStream`s. All of it runs on one loop, so no call here is ever
-interleaved with a step.
+`Engine` owns all state that a crash resets. `run` makes the steps; the HTTP interface submits
+sequences and reads their `TokenStream`s. Everything runs on one event loop, and no call interrupts
+a step.
 """
 
 from __future__ import annotations
@@ -28,10 +28,10 @@
 
 
 class TokenStream:
-    """What the batch generated for one sequence and its reader has not taken yet."""
+    """The generated tokens of one sequence that its reader has not taken yet."""
 
     sequence: Final[Sequence]
-    # How the sequence ended; None while it runs or waits.
+    # The outcome of the sequence; None while it runs or waits.
     outcome: EndOutcome | None
     _pending: list[Emission]
     _changed: anyio.Event
@@ -48,12 +48,12 @@
         self._changed.set()
 
     def end(self, outcome: EndOutcome) -> None:
-        """Say that no more tokens will come."""
+        """End the stream with an outcome."""
         self.outcome = outcome
         self._changed.set()
 
     async def take(self) -> list[Emission]:
-        """Wait for tokens and return all there are; an empty list once the stream has ended."""
+        """Wait for tokens and return all pending ones; an empty list after the end."""
         while not self._pending and self.outcome is None:
             await self._changed.wait()
             self._changed = anyio.Event()
@@ -67,7 +67,7 @@
     options: Final[EngineOptions]
     controls: Final[Controls[EngineBehaviour]]
     record: Final[EngineRecord]
-    # New with each start, also after a crash.
+    # Changes with each start, also after a crash.
     incarnation: str
     batch: Batch
     models: ModelTable
@@ -93,12 +93,12 @@
         self.record = record
         self._listener = listener
         self._wake = anyio.Event()
-        self._forget_everything()
+        self._reset()
 
-    # What the HTTP side asks for.
+    # Calls of the HTTP interface.
 
     def submit(self, sequence: Sequence) -> TokenStream:
-        """Let a sequence wait for the batch."""
+        """Submit a sequence to the batch and return its stream."""
         stream = TokenStream(sequence)
         self._streams[sequence] = stream
         self.batch.submit(sequence)
@@ -107,29 +107,29 @@
         return stream
 
     def abandon(self, stream: TokenStream) -> None:
-        """Abort the stream's sequence if it has not ended; its reader went away."""
+        """Abort the stream's sequence if it has not ended; its reader has disconnected."""
         if stream.sequence in self._streams:
             self.batch.abort(stream.sequence, anyio.current_time())
             self._end(stream.sequence, "aborted")
             self.observe()
 
     def has_streams(self) -> bool:
-        """Tell whether any sequence runs or waits."""
+        """Return whether any sequence runs or waits."""
         return bool(self._streams)
 
     def cancel(self, request_id: str, attempt_id: str) -> int | None:
-        """Cancel an attempt; return the tokens it generated, or None if it is not here."""
-        found = self.batch.find(request_id, attempt_id)
-        for sequence in found:
+        """Cancel an attempt; return the tokens it generated, or None for an unknown attempt."""
+        sequences = self.batch.find(request_id, attempt_id)
+        for sequence in sequences:
             self.batch.cancel(sequence)
             self._end(sequence, "cancelled")
         self.observe()
-        return sum(sequence.generated for sequence in found) if found else None
+        return sum(sequence.generated for sequence in sequences) if sequences else None
 
-    def obey(self, order: Order) -> OrderState:
-        """Carry out an order; raise StaleFenceError if its number is old."""
+    def execute(self, order: Order) -> OrderState:
+        """Execute an order; raise StaleFenceError if its fencing number is stale."""
         try:
-            state = self.models.obey(order, anyio.current_time())
+            state = self.models.execute(order, anyio.current_time())
         except StaleFenceError as exc:
             self.record.order(order, "refused", exc.fence)
             raise
@@ -138,12 +138,12 @@
         return state
 
     def import_kv(self, request_id: str, prompt_id: str, tokens: int) -> bool:
-        """Keep KV from another engine for a resume; False if there is no room."""
+        """Store KV of another engine for a resume; False if it does not fit."""
         kv = IdleKv(prompt_id, tokens, anyio.current_time() + KV_RETENTION_S)
         return self.batch.kv.import_idle(request_id, kv)
 
     def load_report(self) -> LoadReport:
-        """Return the load report that may be seen now."""
+        """Return the load report that is visible at present."""
         if self.options.report_lag_s == 0:
             self.observe()
         return self._reports.read(anyio.current_time())
@@ -153,41 +153,42 @@
         self._log_cache_changes()
         return self._cache_log
 
-    async def while_frozen(self) -> None:
-        """Return once the engine is not frozen."""
+    async def wait_unfrozen(self) -> None:
+        """Wait until the engine is not frozen."""
         await self.controls.wait_until(lambda table: not table.frozen)
 
     # Steps.
 
     async def run(self) -> None:
-        """Make steps for ever."""
+        """Make steps until cancelled."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._observe_regularly)
             tasks.start_soon(self._record_progress)
             await self._make_steps()
 
     async def _make_steps(self) -> None:
-        due = anyio.current_time()
+        step_ends_at = anyio.current_time()
         while True:
-            await self.while_frozen()
+            await self.wait_unfrozen()
             duration = self.batch.begin(anyio.current_time())
             if duration is None:
                 self._wake = anyio.Event()
                 await self._wake.wait()
-                due = anyio.current_time()
+                step_ends_at = anyio.current_time()
                 continue
             self._step_s = duration * self.controls.table.slow_factor
-            due = self._next_due(due, anyio.current_time())
-            await anyio.sleep_until(due)
+            step_ends_at = self._next_step_end(step_ends_at, anyio.current_time())
+            await anyio.sleep_until(step_ends_at)
             self._deliver(self.batch.end())
 
-    def _next_due(self, last_due: float, now: float) -> float:
-        """Return when the step ends.
+    def _next_step_end(self, last_ends_at: float, now: float) -> float:
+        """Return the time at which the step ends.
 
-        Timers fire late. Counting from when the last step was due keeps the mean pace exact; only
-        an engine that is more than a step late counts from now, so that it makes no burst.
+        Steps are timed from the planned end of the last one, since timers fire late; this keeps the
+        mean pace exact. Prevents a burst of steps after a delay of more than one step, which is
+        timed from the present.
         """
-        start = last_due if now - last_due < self._step_s else now
+        start = last_ends_at if now - last_ends_at < self._step_s else now
         return start + self._step_s
 
     def _deliver(self, result: StepResult) -> None:
@@ -216,16 +217,16 @@
         for sequence in streams:
             self.record.ended(sequence, "crashed")
         if self.options.crash_mode is CrashMode.EXIT:
-            # As a real crash, it flushes and closes nothing.
+            # Like a real crash, this flushes and closes nothing.
             os._exit(CRASH_EXIT_CODE)
-        # The connections go first: a handler that ends on an open connection would make uvicorn
-        # answer it, and a crashed engine answers nothing.
+        # The connections are closed first. Prevents uvicorn from answering a request whose handler
+        # ends while its connection is open.
         self._listener.vanish(self.options.down_s)
-        self._forget_everything()
+        self._reset()
         for stream in streams.values():
             stream.end("crashed")
 
-    def _forget_everything(self) -> None:
+    def _reset(self) -> None:
         options = self.options
         self.incarnation = uuid.uuid4().hex
         self.batch = Batch(options.batch)
@@ -234,13 +235,13 @@
         self._cache_log = CacheLog(options.cache_lag_s, options.cache_gap_every)
         self._streams = {}
         self._step_s = options.batch.step_s
-        self.record.life_began(self.incarnation)
+        self.record.incarnation_started(self.incarnation)
         self._reports.observe(anyio.current_time(), self._report)
 
-    # What others see of it.
+    # Reports and events.
 
     def observe(self) -> None:
-        """Take the present state into the load reports and the cache events."""
+        """Add the present state to the load reports and the cache events."""
         self._log_cache_changes()
         if not self.controls.table.report_frozen:
             self._reports.observe(anyio.current_time(), self._report)
@@ -251,7 +252,7 @@
             self._cache_log.append(now, change)
 
     async def _observe_regularly(self) -> None:
-        """Notice also what changes by time alone, such as the end of a load."""
+        """Report changes that only time causes, such as the end of a load."""
         while True:
             await anyio.sleep(OBSERVE_INTERVAL_S)
             self.batch.kv.expire(anyio.current_time())
--- a/packages/turmericweir-standins/turmericweir_standins/engine_options.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_options.py
@@ -1,4 +1,4 @@
-"""All that can be set on an engine stand-in: its options for a life, its behaviours at any time."""
+"""The options of an engine stand-in, fixed at its start, and its behaviours, changed by tests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
     # The process ends at once.
     EXIT = "exit"
-    # The process stays, drops all connections and comes back empty as a new incarnation.
+    # The process drops all connections and state and returns as a new incarnation.
     RESTART = "restart"
 
 
@@ -25,18 +25,18 @@
     """The options of an engine, from its command line."""
 
     name: str
-    # Labels of the models that are loaded from the start.
+    # Labels of the models that are loaded at the start.
     models: tuple[str, ...]
     batch: BatchConfig = field(default_factory=BatchConfig)
-    # Whether orders with an old fencing number are refused.
+    # Whether orders with a stale fencing number are refused.
     check_fence: bool = True
     # How long loading a model takes.
     load_s: float = 1.0
-    # How old a load report is when it is shown.
+    # Delay of load reports.
     report_lag_s: float = 0.0
-    # How old a cache event is when it is shown.
+    # Delay of cache events.
     cache_lag_s: float = 0.0
-    # Every how many cache events one is lost; 0 for none.
+    # One cache event is lost in each group of this size; 0 for no losses.
     cache_gap_every: int = 0
     crash_mode: CrashMode = CrashMode.RESTART
     # How long the address refuses connections after a crash in mode RESTART.
@@ -48,21 +48,21 @@
 class EngineBehaviour(BehaviourTable):
     """The behaviours that a test can change while the engine runs; a crash does not reset them."""
 
-    # Every step takes this many times as long.
+    # Multiplies the duration of every step.
     slow_factor: float = Field(default=1.0, gt=0)
-    # New requests are refused and the report says so; what runs is finished.
+    # New requests are refused and the report shows it; running requests are completed.
     leaving: bool = False
-    # Requests are accepted and nothing is answered; no step is made.
+    # Requests are accepted but not answered; no step is made.
     frozen: bool = False
     # New requests are refused before they start.
     refuse_start: bool = False
-    # Part of the requests that get a bare 500, which proves nothing about the work done.
+    # Share of the requests that get a bare 500, which does not show whether work was done.
     error_rate: float = Field(default=0.0, ge=0, le=1)
-    # An answer goes silent after this many tokens while its connection stays open.
+    # An answer stalls after this many tokens while its connection stays open.
     stall_after_tokens: int | None = Field(default=None, ge=0)
     # The connection of an answer is closed after this many tokens.
     cut_after_tokens: int | None = Field(default=None, ge=0)
-    # Only the next answer is cut; then `cut_after_tokens` is unset.
+    # Only the next answer is cut; `cut_after_tokens` is then unset.
     cut_once: bool = False
-    # The load report stays as it is.
+    # The load report is not updated.
     report_frozen: bool = False
--- a/packages/turmericweir-standins/turmericweir_standins/engine_record.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_record.py
@@ -1,9 +1,9 @@
-"""What an engine writes into its record, and how a test counts tokens in it.
+"""The events in an engine's record, and the count of tokens in it.
 
-`received` is written before any work, `started` with the first step; `refused` or `ended` closes
-each request. `ended` carries the tokens that were generated, delivered or not. `progress` repeats
-the counts of all that runs, so that the record of an engine that was killed lacks no more than one
-interval's tokens.
+`received` is written before any work, `started` with the first step; `refused` or `ended` is the
+last event of each request. `ended` contains the number of generated tokens, delivered or not.
+`progress` repeats the counts of all unfinished requests; the record of a killed engine lacks at
+most the tokens of one interval.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
         self._name = name
         self._recorder = recorder
 
-    def life_began(self, incarnation: str) -> None:
-        """Note a start or a restart."""
+    def incarnation_started(self, incarnation: str) -> None:
+        """Record a start or a restart."""
         self._write("life", incarnation=incarnation)
 
     def received(self, sequence: Sequence, stream: bool) -> None:
-        """Note a request that was accepted."""
+        """Record a request that was accepted."""
         self._write(
             "received",
             **_ids(sequence),
@@ -46,19 +46,19 @@
         )
 
     def refused(self, request_id: str, attempt_id: str, reason: str) -> None:
-        """Note a request that was refused before any work."""
+        """Record a request that was refused before any work."""
         self._write("refused", request_id=request_id, attempt_id=attempt_id, reason=reason)
 
     def started(self, sequence: Sequence) -> None:
-        """Note the first step of a sequence."""
+        """Record the first step of a sequence."""
         self._write("started", **_ids(sequence))
 
     def preempted(self, sequence: Sequence) -> None:
-        """Note that a sequence went back to waiting."""
+        """Record a preemption."""
         self._write("preempted", **_ids(sequence), tokens=sequence.generated)
 
     def ended(self, sequence: Sequence, outcome: EndOutcome) -> None:
-        """Note the end of a sequence."""
+        """Record the end of a sequence."""
         self._write(
             "ended",
             **_ids(sequence),
@@ -68,25 +68,25 @@
         )
 
     def progress(self, sequences: Iterable[Sequence]) -> None:
-        """Note how far everything is that has not ended."""
+        """Record the generated tokens of all unfinished sequences."""
         counts = [[each.request_id, each.attempt_id, each.generated] for each in sequences]
         if counts:
             self._write("progress", tokens=counts)
 
     def crashed(self, by: Sequence) -> None:
-        """Note a crash and the sequence that made it."""
+        """Record a crash and the sequence that caused it."""
         self._write("crash", **_ids(by))
 
     def order(self, order: Order, state: str, fence: int) -> None:
-        """Note an order and what became of it."""
+        """Record an order and its result."""
         self._write("order", order=order.model_dump(), state=state, engine_fence=fence)
 
     def kv_moved(self, request_id: str, event: Literal["kv_exported", "kv_imported"]) -> None:
-        """Note an export or import of KV."""
+        """Record an export or import of KV."""
         self._write(event, request_id=request_id)
 
     def behaviour(self, table: dict[str, object]) -> None:
-        """Note a change of behaviours, so that tests can tell what came before and after."""
+        """Record a change of behaviours."""
         self._write("behaviour", table=table)
 
     def _write(self, event: str, **fields: object) -> None:
@@ -95,7 +95,7 @@
 
 # Any: as in `read_records`.
 def tokens_by_attempt(records: Iterable[dict[str, Any]]) -> dict[tuple[str, str], int]:
-    """Count the tokens that were generated for each (request id, attempt id)."""
+    """Return the number of generated tokens for each (request id, attempt id)."""
     ended: dict[tuple[str, str], int] = {}
     unfinished: dict[tuple[str, str], int] = {}
     for record in records:
--- a/packages/turmericweir-standins/turmericweir_standins/engine_wire.py
+++ b/packages/turmericweir-standins/turmericweir_standins/engine_wire.py
@@ -1,7 +1,7 @@
-"""The bodies of the engine's protocol: what a completion request holds, and how answers look.
+"""The bodies of the engine protocol: requests and answers.
 
-Chunks of a stream are assembled from constant pieces: an engine sends thousands a second, and the
-texts of its tokens need no escaping.
+Chunks of a stream are assembled from constant pieces, which is much faster than encoding JSON; the
+texts of the tokens need no escaping.
 """
 
 from __future__ import annotations
@@ -19,18 +19,18 @@
 
 
 class BadRequestError(Exception):
-    """Report a request that can't be run as it is; it gets a 400."""
+    """Report an invalid request; it gets a 400."""
 
 
 class Resume(BaseModel):
-    """Which part of the answer the client has."""
+    """The part of the answer that the client already has."""
 
     from_token: int = Field(ge=0)
     text: str
 
 
 class CompletionRequest(BaseModel):
-    """The body of a completion request; fields that the stand-in does not know are ignored."""
+    """The body of a completion request; unknown fields are ignored."""
 
     model: str
     messages: list[ChatMessage] = Field(min_length=1)
@@ -60,7 +60,7 @@
 
 
 class ExportedKv(BaseModel):
-    """What the text of exported KV says."""
+    """The content of exported KV."""
 
     prompt_id: str
     tokens: int = Field(ge=0)
@@ -69,7 +69,7 @@
 class ChunkWriter:
     """Write the chunks of one streamed answer."""
 
-    # What comes before the text of each token.
+    # The bytes before the text of each token.
     _head: bytes
 
     def __init__(self, sequence: Sequence) -> None:
@@ -88,7 +88,7 @@
         return self._head + emission.text.encode() + tail
 
 
-def whole_answer(sequence: Sequence, emissions: list[Emission]) -> dict[str, object]:
+def complete_answer(sequence: Sequence, emissions: list[Emission]) -> dict[str, object]:
     """Return the body of an answer that is not streamed."""
     content = "".join(emission.text for emission in emissions)
     generated = sequence.generated
@@ -111,10 +111,10 @@
 
 
 def check_resume(resume: Resume, answer: Answer) -> None:
-    """Raise BadRequestError unless the client has what the answer begins with.
+    """Raise BadRequestError unless the client has the beginning of the answer.
 
-    A real engine would go on from any text. Refusing a wrong one makes a router that lost, doubled
-    or mixed up tokens fail at once and in plain words.
+    A real engine would continue any text. The refusal reveals a router that lost, doubled or mixed
+    up tokens.
     """
     if resume.from_token > answer.length:
         raise BadRequestError(f"resume from token {resume.from_token} of {answer.length}")
--- a/packages/turmericweir-standins/turmericweir_standins/listener.py
+++ b/packages/turmericweir-standins/turmericweir_standins/listener.py
@@ -1,7 +1,7 @@
-"""Serve one ASGI app on one address, with the faults that only the socket's owner can make.
+"""Serve one ASGI app on one address, with faults at the level of the socket.
 
-uvicorn answers requests and offers no way to drop a connection in the middle of an answer, or to
-vanish for a while and come back on the same address. `Listener` adds both.
+`Listener` adds to uvicorn two faults: dropping a connection in the middle of an answer, and closing
+the address for some time before it listens again.
 """
 
 from __future__ import annotations
@@ -17,8 +17,8 @@
 
 from turmericweir_standins.asgi import Receive, Scope, Send
 
-# An idle connection is kept far longer than a router keeps one, so that it is never the stand-in
-# that closes a connection just as a request goes out on it.
+# Longer than a router keeps an idle connection. Prevents a stand-in from closing a connection while
+# a request is being sent on it.
 KEEP_ALIVE_S: Final = 600
 BACKLOG: Final = 1024
 
@@ -26,34 +26,34 @@
 
 
 class _Server(uvicorn.Server):
-    """A uvicorn server that tells when it listens and leaves signals to `Listener`."""
+    """A uvicorn server that reports when it listens and leaves signals to `Listener`."""
 
-    # Called once the socket listens.
+    # Called when the socket listens.
     on_started: Callable[[], None]
 
     async def startup(self, sockets: list[socket.socket] | None = None) -> None:
-        """Start to listen, then tell so."""
+        """Start to listen, then call `on_started`."""
         await super().startup(sockets)
         self.on_started()
 
     @contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave the process's signal handlers as they are."""
+        """Leave the signal handlers of the process unchanged."""
         yield
 
     def close_connection(self, client: tuple[str, int]) -> None:
-        """Close the client's connection once what is buffered was sent."""
+        """Close the client's connection after its buffered data was sent."""
         for connection in self._connections():
             if connection.client == client:
                 connection.transport.close()
 
     def abort_connections(self) -> None:
-        """Close all connections without sending what is buffered."""
+        """Close all connections without sending their buffered data."""
         for connection in self._connections():
             connection.transport.abort()
 
     def stop_now(self) -> None:
-        """Refuse new connections from this moment on and end without waiting for answers."""
+        """Refuse new connections at once and stop without waiting for answers."""
         for server in self.servers:
             server.close()
         self.force_exit = True
@@ -65,18 +65,18 @@
 
 
 class Listener:
-    """Listen on an address until SIGTERM; print the READY line once it is open."""
+    """Listen on an address until SIGTERM; print the READY line when the socket listens."""
 
-    # What the READY line calls this process.
+    # The name in the READY line.
     name: str
     host: str
-    # The port in use; when 0 was asked for, the one that the system chose.
+    # The port in use; for port 0, the one that the system chose.
     port: int
-    # How long the listener stays away after `vanish`; None while it is not about to.
+    # How long the address stays closed after `vanish`; None if it was not called.
     _down_s: float | None
     _server: _Server | None
-    _stopping: bool
-    _announced: bool
+    _is_stopping: bool
+    _is_announced: bool
 
     def __init__(self, name: str, address: str) -> None:
         host, _, port = address.rpartition(":")
@@ -85,32 +85,32 @@
         self.port = int(port)
         self._down_s = None
         self._server = None
-        self._stopping = False
-        self._announced = False
+        self._is_stopping = False
+        self._is_announced = False
 
     async def run(self, app: App) -> None:
         """Serve the app until SIGTERM or SIGINT."""
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(self._stop_on_signal)
-            while not self._stopping:
+            while not self._is_stopping:
                 await self._serve_once(app)
             tasks.cancel_scope.cancel()
 
     def drop(self, client: tuple[str, int] | None) -> None:
-        """Close the connection of this client in the middle of whatever it carries."""
+        """Close the connection of this client, also in the middle of an answer."""
         if self._server is not None and client is not None:
             self._server.close_connection(client)
 
     def vanish(self, down_s: float) -> None:
-        """Close every connection, refuse new ones for this time, then listen again."""
+        """Close all connections, refuse new ones for some time, then listen again."""
         if self._server is not None:
             self._down_s = down_s
             self._server.stop_now()
             self._server.abort_connections()
 
     def stop(self) -> None:
-        """Stop for good."""
-        self._stopping = True
+        """Stop listening and end `run`."""
+        self._is_stopping = True
         if self._server is not None:
             self._server.stop_now()
 
@@ -129,28 +129,28 @@
             backlog=BACKLOG,
         )
         self._server = _Server(config)
-        self._server.on_started = self._announce
+        self._server.on_started = self._print_ready_line
         await self._server.serve(sockets=[sock])
         sock.close()
         self._server = None
-        if self._down_s is not None and not self._stopping:
+        if self._down_s is not None and not self._is_stopping:
             await anyio.sleep(self._down_s)
         self._down_s = None
 
     def _bind(self) -> socket.socket:
-        # asyncio sets TCP_NODELAY only where the protocol is named. Without it an answer whose head
-        # and body are written apart waits some 40 ms for the other end's delayed acknowledgement.
+        # asyncio sets TCP_NODELAY only if the protocol is given. Prevents a delay of answers whose
+        # head and body are written separately, until the peer's delayed acknowledgement.
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
-        # Without it a restart on the same address fails while old connections are in TIME_WAIT.
+        # Allows a restart on the same address while old connections are in TIME_WAIT.
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         sock.bind((self.host, self.port))
         self.port = sock.getsockname()[1]
         return sock
 
-    def _announce(self) -> None:
-        # A starter reads the line once; a return after `vanish` is no new start.
-        if not self._announced:
-            self._announced = True
+    def _print_ready_line(self) -> None:
+        # Only the first start is announced, not the return after `vanish`.
+        if not self._is_announced:
+            self._is_announced = True
             print(f"READY {self.name} {self.host}:{self.port}", flush=True)
 
     async def _stop_on_signal(self) -> None:
--- a/packages/turmericweir-standins/turmericweir_standins/measure.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure.py
@@ -1,9 +1,9 @@
-"""Measure the decisions under load and faults: `make measure`.
+"""Measure the policies under load and faults: `make measure`.
 
-Each scenario (`measure_scenarios`) runs with real processes under each policy (`measure_run`); the
-figures (`measure_figures`) are printed, written to `build/measure.json` and plotted. One cluster
-runs at a time. The processor shares in the busiest second are printed with each run: a run in which
-a daemon or the callers come near a whole core measured this machine and not the policy.
+Each scenario (`measure_scenarios`) runs with real processes under each policy (`measure_run`). The
+figures (`measure_figures`) are printed, written to `build/measure.json` and plotted. The processor
+shares of the busiest second are printed with each run: if a daemon or the callers use nearly a
+whole core, the run has measured the machine and not the policy.
 """
 
 from __future__ import annotations
@@ -33,26 +33,26 @@
 
 POLICIES: Final = ("baseline", "counts", "credits")
 OUT: Final = Path("build/measure.json")
-QUICK_SECONDS: Final = 8.0
-# Above this share of a core a process is taken to have held the run up.
+QUICK_LOAD_S: Final = 8.0
+# Above this share of a core a process may have limited the run.
 CPU_SHARE_MAX: Final = 0.85
-LINES_SHOWN: Final = 5
+LINES_SHOWN_MAX: Final = 5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """What is run."""
+    """The scenarios, policies and lengths of the runs."""
 
     scenarios: tuple[Scenario, ...]
     policies: tuple[str, ...]
     repeats: int
     seconds: float
-    # Where the files of each run stay; None for a place that is removed.
+    # Directory for the files of each run; None to remove them.
     keep: Path | None
 
 
 def run_all(plan: Plan, out: Path) -> list[Figures]:
-    """Run everything; the file is written anew after each row, so that an end midway loses none."""
+    """Run everything and return the rows; the file is rewritten after each row."""
     rows: list[Figures] = []
     for scenario in plan.scenarios:
         _show_load(scenario, plan.seconds)
@@ -68,17 +68,17 @@
     started_at = time.monotonic()
     directory = Path(tempfile.mkdtemp(prefix="turmericweir-measure-"))
     try:
-        seen = run_scenario(scenario, policy, plan.seconds, SEED + number, directory)
-        figures = figures_of(seen)
-        _show(seen, figures, time.monotonic() - started_at)
+        observation = run_scenario(scenario, policy, plan.seconds, SEED + number, directory)
+        figures = figures_of(observation)
+        _show(observation, figures, time.monotonic() - started_at)
     finally:
         if plan.keep is not None:
-            kept = plan.keep / f"{scenario.name}-{policy}-{number}"
-            shutil.rmtree(kept, ignore_errors=True)
-            shutil.copytree(directory, kept)
+            kept_directory = plan.keep / f"{scenario.name}-{policy}-{number}"
+            shutil.rmtree(kept_directory, ignore_errors=True)
+            shutil.copytree(directory, kept_directory)
         shutil.rmtree(directory, ignore_errors=True)
     if plan.keep is not None:
-        (kept / "states.json").write_bytes(orjson.dumps(dict(seen.states)))
+        (kept_directory / "states.json").write_bytes(orjson.dumps(dict(observation.states)))
     return figures
 
 
@@ -97,14 +97,16 @@
         f"\n== {scenario.name} ({scenario.deployment.name}, {scenario.engines} engines of"
         f" {scenario.capacity_tokens_s / scenario.engines:.0f} tokens/s)\n"
         f"   offered, as multiples of capacity by second:"
-        f" {' '.join(f'{each:.1f}' for each in load)}"
+        f" {' '.join(f'{value:.1f}' for value in load)}"
     )
 
 
-def _show(seen: Observation, figures: Figures, taken_s: float) -> None:
-    click.echo(f"-- {figures.scenario}, {figures.policy} ({taken_s:.0f} s)")
+def _show(observation: Observation, figures: Figures, duration_s: float) -> None:
+    click.echo(f"-- {figures.scenario}, {figures.policy} ({duration_s:.0f} s)")
     for name, attained in figures.attainment.items():
-        outcomes = ", ".join(f"{count} {told}" for told, count in outcomes_of(seen)[name].items())
+        outcomes = ", ".join(
+            f"{count} {outcome}" for outcome, count in outcomes_of(observation)[name].items()
+        )
         click.echo(
             f"   {name:13} attainment {attained:.3f}, longest wait"
             f" {figures.longest_wait_s[name]:.2f} s, shed {figures.shed[name]} ({outcomes})"
@@ -114,23 +116,26 @@
         f" {figures.goodput_tokens_s:.0f} tokens/s; wasted {figures.wasted_share:.2%};"
         f" lost {figures.lost}, doubled {figures.doubled}"
     )
-    crashes = sum(each["event"] == "crash" for each in seen.engine_records)
-    if crashes or seen.crashing_answers:
-        click.echo(f"   {crashes} crashes; answers: {', '.join(seen.crashing_answers)}")
-    for line in (*find_lost(seen)[:LINES_SHOWN], *find_doubled(seen)[:LINES_SHOWN]):
+    crashes = sum(each["event"] == "crash" for each in observation.engine_records)
+    if crashes or observation.crashing_answers:
+        click.echo(f"   {crashes} crashes; answers: {', '.join(observation.crashing_answers)}")
+    for line in (
+        *find_lost(observation)[:LINES_SHOWN_MAX],
+        *find_doubled(observation)[:LINES_SHOWN_MAX],
+    ):
         click.echo(f"   ! {line}")
-    _show_cpu(seen)
+    _show_cpu(observation)
 
 
-def _show_cpu(seen: Observation) -> None:
-    late = sorted(call["late_s"] for call in seen.calls)
-    shares = ", ".join(f"{kind} {share:.0%}" for kind, share in seen.cpu.by_kind.items())
+def _show_cpu(observation: Observation) -> None:
+    late_s = sorted(call["late_s"] for call in observation.calls)
+    shares = ", ".join(f"{kind} {share:.0%}" for kind, share in observation.cpu.by_kind.items())
     click.echo(
-        f"   busiest second: {shares}; together {seen.cpu.own:.1f} cores,"
-        f" all on the machine {seen.cpu.machine:.1f};"
-        f" callers late by {late[len(late) * 99 // 100] * 1000:.1f} ms in 1 of 100"
+        f"   busiest second: {shares}; together {observation.cpu.own:.1f} cores,"
+        f" all on the machine {observation.cpu.machine:.1f};"
+        f" callers late by {late_s[len(late_s) * 99 // 100] * 1000:.1f} ms in 1 of 100"
     )
-    for kind, share in seen.cpu.by_kind.items():
+    for kind, share in observation.cpu.by_kind.items():
         if share > CPU_SHARE_MAX:
             click.echo(f"   ! a {kind} took {share:.0%} of a core: the machine may show, too")
 
@@ -178,14 +183,22 @@
     type=click.Choice(POLICIES),
     help="Run only this one; may be repeated.",
 )
-@click.option("--repeat", "repeats", default=1, show_default=True, help="Runs, each of a new seed.")
-@click.option("--seconds", default=SECONDS, show_default=True, help="How long calls are sent.")
-@click.option("--quick", is_flag=True, help=f"Send calls for {QUICK_SECONDS:.0f} s only.")
 @click.option(
-    "--keep", type=click.Path(path_type=Path), default=None, help="Keep records and dumps here."
+    "--repeat", "repeats", default=1, show_default=True, help="Runs, each with a new seed."
+)
+@click.option(
+    "--seconds", default=SECONDS, show_default=True, help="Seconds in which calls are sent."
+)
+@click.option("--quick", is_flag=True, help=f"Send calls for {QUICK_LOAD_S:.0f} s only.")
+@click.option(
+    "--keep", type=click.Path(path_type=Path), default=None, help="Directory for records and dumps."
 )
 @click.option(
-    "--out", type=click.Path(path_type=Path), default=OUT, show_default=True, help="The figures."
+    "--out",
+    type=click.Path(path_type=Path),
+    default=OUT,
+    show_default=True,
+    help="File for the figures.",
 )
 def main(
     names: tuple[str, ...],
@@ -198,13 +211,13 @@
 ) -> None:
     """Run the scenarios under each policy and write the figures and a plot."""
     scenarios = tuple(each for each in SCENARIOS if not names or each.name in names)
-    chosen = tuple(each for each in POLICIES if not policies or each in policies)
-    plan = Plan(scenarios, chosen, repeats, QUICK_SECONDS if quick else seconds, keep)
+    selected_policies = tuple(each for each in POLICIES if not policies or each in policies)
+    plan = Plan(scenarios, selected_policies, repeats, QUICK_LOAD_S if quick else seconds, keep)
     rows = run_all(plan, out)
-    picture = out.with_suffix(".png")
-    plot(rows, picture)
+    plot_path = out.with_suffix(".png")
+    plot(rows, plot_path)
     _show_table(rows)
-    click.echo(f"\nwritten to {out} and {picture}")
+    click.echo(f"\nwritten to {out} and {plot_path}")
 
 
 if __name__ == "__main__":
--- a/packages/turmericweir-standins/turmericweir_standins/measure_control.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_control.py
@@ -1,17 +1,17 @@
-"""Measure what control costs: `make measure-control`, or `python -m` this module.
-
-It starts 2 to 64 real daemons with a platform and a few engines, leaves them alone for a while, and
-takes from each daemon the bytes of its control traffic (`turmericweir.traffic`, in its state dump)
-and from /proc its processor time and memory. Then it changes a setting a few times and takes from
-the daemons' logs when each of them had the change in force; once with the log in reach of all, and
-once with the log in reach of one only, so that the others have it from their peers. At one size it
-also times calls of a plain service with and without an idempotency key.
-
-Each row of `build/control.json` holds the figures of the worst instance. `bytes_s` counts what is
-sent and received together, with the headers of HTTP but not those of IP, TCP and UDP; `split` has
-it by kind, with the number of datagrams, so that those headers can be added. With load,
-`core_share` holds the work on callers' requests as well, so only the idle rows say what control
-costs. It is not a test, and not run in CI.
+"""Measure the cost of control traffic: `make measure-control`.
+
+It starts 2 to 64 real daemons with a platform and a few engines and measures, without load, the
+control traffic of each daemon (`turmericweir.traffic` in its state dump) and its processor time and
+memory from /proc. Then it changes a setting several times and reads from the daemons' logs when the
+change was in force: first while all instances reach the log, then while only one does and the
+others get the change from their peers. For one number of instances it also measures the latency of
+claims.
+
+Each row of `build/control.json` has the figures of the worst instance. `bytes_s` is the sum of sent
+and received bytes, with headers of HTTP but without those of IP, TCP and UDP; `split` has it by
+kind, and `messages_s` the numbers of datagrams for adding these headers. With load, `core_share`
+includes the work on callers' requests; only the idle rows show the cost of control. CI does not
+run it.
 """
 
 from __future__ import annotations
@@ -47,36 +47,35 @@
 # Instances and data centres of each run.
 RUNS: Final = ((2, 1), (8, 1), (16, 1), (32, 1), (64, 1), (64, 4))
 DATA_CENTRES: Final = STITCHLINE.data_centres
-# What starting leaves behind has gone after so long.
+# Time after the start until only steady traffic remains.
 SETTLE_S: Final = 15.0
 WINDOW_S: Final = 25.0
 CHANGES: Final = 3
-SEEN_S: Final = 60.0
-LOAD_PER_S: Final = 20.0
-# The number of instances at which calls are timed with and without a key, after all else; half of
-# the calls to each instance carry one.
-CLAIMS_AT: Final = 8
+EVENT_TIMEOUT_S: Final = 60.0
+LOAD_REQUESTS_PER_S: Final = 20.0
+# The number of instances with which the latency of claims is measured.
+CLAIM_INSTANCES: Final = 8
 CLAIM_CALLS_S: Final = 5.0
 CLAIM_WINDOW_S: Final = 20.0
-_MIB: Final = 1_048_576
-_PAGE: Final = 4096
+_MIB_BYTES: Final = 1_048_576
+_PAGE_BYTES: Final = 4096
 
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """What one instance used in a second."""
+    """The resources that one instance uses per second."""
 
     bytes_s: float
     core_share: float
     rss_mb: float
     split: dict[str, float]
     messages_s: dict[str, float]
-    # Bytes and frames of the datagrams and streams, by the type of the message.
+    # Bytes and frames by the type of the message.
     by_message: dict[str, tuple[float, float]]
 
 
 def deployment(instances: int, data_centres: int) -> Deployment:
-    """Make a deployment of that size with a few engines and plain servers."""
+    """Return a deployment with a few engines and plain servers."""
     groups = (
         BackendGroup("tailor-lm", "model", 4, 16, models=("tailor-lm",)),
         BackendGroup(
@@ -100,19 +99,21 @@
 
 
 def measure(instances: int, data_centres: int, directory: Path) -> list[dict[str, Any]]:
-    """Measure a cluster of one size, idle and with load."""
+    """Measure a cluster without and with load; return one row for each."""
     with Cluster(deployment(instances, data_centres), directory) as cluster:
-        _wait_met(cluster)
+        _wait_all_live(cluster)
         time.sleep(SETTLE_S)
         rows = []
         for load in ("idle", "light"):
-            usage = _usage_idle(cluster) if load == "idle" else _usage_loaded(cluster)
-            reached = _in_force(cluster, load, outage=False)
-            by_peers = _in_force(cluster, load, outage=True)
-            rows.append(_row(cluster, data_centres, load, usage, reached, by_peers))
-        if instances == CLAIMS_AT:
+            usage = (
+                _measure_idle_usage(cluster) if load == "idle" else _measure_loaded_usage(cluster)
+            )
+            log_delays_s = _measure_in_force_delays(cluster, load, outage=False)
+            peer_delays_s = _measure_in_force_delays(cluster, load, outage=True)
+            rows.append(_row(cluster, data_centres, load, usage, log_delays_s, peer_delays_s))
+        if instances == CLAIM_INSTANCES:
             rows[-1]["claim_ms_p50"] = claim_ms_p50(cluster, CLAIM_CALLS_S, CLAIM_WINDOW_S)
-        # All at once: each waits for the balancer before it ends.
+        # All in parallel: each one delays its end for the load balancer.
         for instance in cluster.instances.values():
             instance.process.terminate()
         return rows
@@ -123,25 +124,25 @@
     data_centres: int,
     load: str,
     usage: tuple[list[Usage], float],
-    reached: list[float],
-    by_peers: list[float],
+    log_delays_s: list[float],
+    peer_delays_s: list[float],
 ) -> dict[str, Any]:
-    used, machine_share = usage
-    worst = max(used, key=lambda it: it.bytes_s)
+    usages, machine_share = usage
+    worst = max(usages, key=lambda it: it.bytes_s)
     return {
         "instances": len(cluster.instances),
         "data_centres": data_centres,
         "load": load,
         "bytes_s": round(worst.bytes_s),
-        "bytes_s_median": round(statistics.median(it.bytes_s for it in used)),
-        "core_share": round(max(it.core_share for it in used), 4),
-        "core_share_median": round(statistics.median(it.core_share for it in used), 4),
-        "rss_mb": round(max(it.rss_mb for it in used), 1),
-        "in_force_s_median": round(statistics.median(reached), 3),
-        "in_force_s_worst": round(max(reached), 3),
-        "in_force_by_peers_s_median": round(statistics.median(by_peers), 3),
-        "in_force_by_peers_s_worst": round(max(by_peers), 3),
-        # Filled in at one size; figures by load and by the delay of the log: `measure_claims`.
+        "bytes_s_median": round(statistics.median(it.bytes_s for it in usages)),
+        "core_share": round(max(it.core_share for it in usages), 4),
+        "core_share_median": round(statistics.median(it.core_share for it in usages), 4),
+        "rss_mb": round(max(it.rss_mb for it in usages), 1),
+        "in_force_s_median": round(statistics.median(log_delays_s), 3),
+        "in_force_s_worst": round(max(log_delays_s), 3),
+        "in_force_by_peers_s_median": round(statistics.median(peer_delays_s), 3),
+        "in_force_by_peers_s_worst": round(max(peer_delays_s), 3),
+        # Set for one number of instances; `measure_claims` measures more cases.
         "claim_ms_p50": None,
         "split": {name: round(value) for name, value in worst.split.items()},
         "messages_s": {name: round(value, 2) for name, value in worst.messages_s.items()},
@@ -154,56 +155,62 @@
     }
 
 
-def _wait_met(cluster: Cluster) -> None:
+def _wait_all_live(cluster: Cluster) -> None:
     names = set(cluster.instances)
     for instance in cluster.instances.values():
-        wait_until(partial(_has_met, instance, names), f"{instance.name} has met all", SEEN_S)
+        wait_until(
+            partial(_lists_all_live, instance, names),
+            f"{instance.name} lists all as live",
+            EVENT_TIMEOUT_S,
+        )
 
 
-def _has_met(instance: Instance, names: set[str]) -> bool:
+def _lists_all_live(instance: Instance, names: set[str]) -> bool:
     return set(instance.state()["process"]["live_instances"]) == names
 
 
 # --- bytes, processor time, memory ---------------------------------------------------------------
 
 
-def _usage_idle(cluster: Cluster) -> tuple[list[Usage], float]:
-    return _usage(cluster)
+def _measure_idle_usage(cluster: Cluster) -> tuple[list[Usage], float]:
+    return _measure_usage(cluster)
 
 
-def _usage_loaded(cluster: Cluster) -> tuple[list[Usage], float]:
-    """Measure while callers send a few requests a second to all instances in turn."""
+def _measure_loaded_usage(cluster: Cluster) -> tuple[list[Usage], float]:
+    """Measure while callers send requests to all instances in turn."""
     with _callers(cluster) as callers:
         time.sleep(SETTLE_S / 5)
-        usage = _usage(cluster)
-        callers.wait(SEEN_S)
+        usage = _measure_usage(cluster)
+        callers.wait(EVENT_TIMEOUT_S)
     return usage
 
 
-def _usage(cluster: Cluster) -> tuple[list[Usage], float]:
-    # The dump itself costs processor time, so it is taken outside of what that is measured over.
+def _measure_usage(cluster: Cluster) -> tuple[list[Usage], float]:
+    # The state dump costs processor time and is read outside of the measured interval.
     before = {name: _traffic(it.state()) for name, it in cluster.instances.items()}
-    begun_at = time.monotonic()
+    started_at = time.monotonic()
     cpu_before = {name: process_cpu_s(it.process.pid) for name, it in cluster.instances.items()}
     busy_before = machine_busy_s()
     time.sleep(WINDOW_S)
-    seconds = time.monotonic() - begun_at
+    seconds = time.monotonic() - started_at
     cpu_after = {name: process_cpu_s(it.process.pid) for name, it in cluster.instances.items()}
     busy = machine_busy_s() - busy_before
-    used = []
+    usages = []
     for name, instance in cluster.instances.items():
         cpu_s = cpu_after[name] - cpu_before[name]
-        used.append(
-            _used(before[name], _traffic(instance.state()), cpu_s / seconds, instance.process)
+        usages.append(
+            _usage_between(
+                before[name], _traffic(instance.state()), cpu_s / seconds, instance.process
+            )
         )
-    return used, busy / seconds
+    return usages, busy / seconds
 
 
 @dataclass(frozen=True, slots=True)
-class Counted:
-    """The traffic of an instance up to some moment."""
+class TrafficCounters:
+    """The traffic counters of an instance at one time."""
 
-    at: float
+    counted_at: float
     size: dict[str, int]
     messages: dict[str, int]
     # Bytes and frames.
@@ -211,13 +218,13 @@
 
 
 # Any: a state dump.
-def _traffic(state: Any) -> Counted:
+def _traffic(state: Any) -> TrafficCounters:
     kinds = dict(state["process"]["traffic"])
     by_message = {name: _both_ways(it) for name, it in kinds.pop("by_message").items()}
-    counted = {name: _both_ways(it) for name, it in kinds.items()}
-    size = {name: size for name, (size, _) in counted.items()}
-    messages = {name: count for name, (_, count) in counted.items()}
-    return Counted(time.monotonic(), size, messages, by_message)
+    counts = {name: _both_ways(it) for name, it in kinds.items()}
+    size = {name: size for name, (size, _) in counts.items()}
+    messages = {name: count for name, (_, count) in counts.items()}
+    return TrafficCounters(time.monotonic(), size, messages, by_message)
 
 
 def _both_ways(kind: Any) -> tuple[int, int]:
@@ -225,8 +232,10 @@
     return sent["bytes"] + received["bytes"], sent["messages"] + received["messages"]
 
 
-def _used(before: Counted, after: Counted, core_share: float, process: Process) -> Usage:
-    seconds = after.at - before.at
+def _usage_between(
+    before: TrafficCounters, after: TrafficCounters, core_share: float, process: Process
+) -> Usage:
+    seconds = after.counted_at - before.counted_at
     split = {name: (after.size[name] - before.size[name]) / seconds for name in after.size}
     messages = {
         name: (after.messages[name] - before.messages[name]) / seconds for name in after.messages
@@ -241,7 +250,7 @@
 
 def _rss_mb(pid: int) -> float:
     pages = int(Path(f"/proc/{pid}/statm").read_text(encoding="ascii").split()[1])
-    return pages * _PAGE / _MIB
+    return pages * _PAGE_BYTES / _MIB_BYTES
 
 
 def _callers(cluster: Cluster) -> Process:
@@ -251,7 +260,7 @@
             {
                 "name": "fitting",
                 "kind": "model",
-                "rate": LOAD_PER_S,
+                "rate": LOAD_REQUESTS_PER_S,
                 "tokens": [token_of("desk-a"), token_of("desk-b")],
                 "model": "tailor-lm",
                 "max_tokens": 16,
@@ -274,11 +283,13 @@
 # --- settings in force ---------------------------------------------------------------------------
 
 
-def _in_force(cluster: Cluster, load: str, *, outage: bool) -> list[float]:
-    """Change a setting a few times; return the delay on every instance and for every change."""
+def _measure_in_force_delays(cluster: Cluster, load: str, *, outage: bool) -> list[float]:
+    """Change a setting several times; return the delay of each change on each instance."""
     names = list(cluster.instances)
-    cut = names[1:] if outage else []
-    call_json(cluster.platform.address, "POST", "/_standin/behaviour", {"cut_from": cut})
+    unreachable_names = names[1:] if outage else []
+    call_json(
+        cluster.platform.address, "POST", "/_standin/behaviour", {"cut_from": unreachable_names}
+    )
     delays: list[float] = []
     for number in range(CHANGES):
         change_id = f"measure-{load}-{int(outage)}-{number}"
@@ -286,19 +297,19 @@
         record = settings_record(f"/classes/{change_id}", value, change_id)
         call_json(cluster.platform.address, "POST", "/log/settings/append", {"records": [record]})
         appended_at = time.time()
-        delays += [_seen_at(cluster, name, change_id) - appended_at for name in names]
+        delays += [_in_force_at(cluster, name, change_id) - appended_at for name in names]
     call_json(cluster.platform.address, "POST", "/_standin/behaviour", {"cut_from": []})
     return [max(0.0, delay) for delay in delays]
 
 
-def _seen_at(cluster: Cluster, name: str, change_id: str) -> float:
+def _in_force_at(cluster: Cluster, name: str, change_id: str) -> float:
     """Return when an instance logged that a change is in force."""
     process = cluster.instances[name].process
-    wait_until(lambda: bool(_lines(process, change_id)), f"{name} has {change_id}", SEEN_S)
-    words = dict(
+    wait_until(lambda: bool(_lines(process, change_id)), f"{name} has {change_id}", EVENT_TIMEOUT_S)
+    log_fields = dict(
         word.split("=", 1) for word in _lines(process, change_id)[0].split() if "=" in word
     )
-    return datetime.fromisoformat(words["time"]).timestamp()
+    return datetime.fromisoformat(log_fields["time"]).timestamp()
 
 
 def _lines(process: Process, change_id: str) -> list[str]:
@@ -310,18 +321,22 @@
 
 
 def write_rows(rows: Sequence[dict[str, Any]], out: Path) -> None:
-    """Write the rows that there are so far."""
+    """Write all rows to the file."""
     out.parent.mkdir(parents=True, exist_ok=True)
     out.write_text(json.dumps(list(rows), indent=1) + "\n", encoding="utf-8")
 
 
 @click.command()
-@click.option("--out", type=click.Path(path_type=Path), default=OUT, help="Where the rows go.")
+@click.option("--out", type=click.Path(path_type=Path), default=OUT, help="File for the rows.")
 @click.option(
-    "--run", "runs", type=(int, int), multiple=True, help="Instances and data centres; repeatable."
+    "--run",
+    "runs",
+    type=(int, int),
+    multiple=True,
+    help="Instances and data centres; may be repeated.",
 )
 def main(out: Path, runs: tuple[tuple[int, int], ...]) -> None:
-    """Measure the cost of control at several sizes."""
+    """Measure the cost of control with several numbers of instances."""
     rows: list[dict[str, Any]] = []
     for instances, data_centres in runs or RUNS:
         with TemporaryDirectory(prefix="control-") as directory:
--- a/packages/turmericweir-standins/turmericweir_standins/measure_figures.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_figures.py
@@ -1,20 +1,20 @@
-"""What one run amounts to: attainment, goodput, wasted work, and what must never happen.
+"""The figures of one run: attainment, goodput, wasted work, and lost or doubled calls.
 
-Everything is judged by the callers' own results and the servers' own records; what the router says
-of itself is not asked.
+They are computed from the callers' results and the servers' records, not from reports of the
+router.
 
 - *Attainment*: the share of the offered calls that met the target of their class. A model call
-  meets it when the caller got the whole answer, the first token came within the target, and 95 in
-  100 gaps between tokens were within the gap target where the class has one; a plain call when its
-  whole answer came in time. Refused and failed calls count as missed.
-- *Goodput*: calls within target, and their tokens, over the time in which calls were sent. That
-  time is the same for all policies, so a policy gains nothing by finishing late.
-- *Wasted work*: tokens that engines generated and that reached no caller as part of a whole
-  answer, as a share of those generated.
-- *Lost*: calls whose callers were told no outcome, were told a wrong one (`completed` without the
-  whole answer, `not_run` though a server's record shows a start), counted once each.
-- *Doubled*: calls of one idempotency key that ran more than once, and answers that hold foreign,
-  missing or repeated tokens.
+  meets it if the answer is complete, the first token arrived within the target, and the 95th
+  percentile of the gaps between tokens is within the gap target, if the class has one; a plain call
+  if its complete answer arrived in time. Refused and failed calls count as missed.
+- *Goodput*: calls within their target, and their tokens, divided by the time in which calls were
+  sent. This time is the same for all policies.
+- *Wasted work*: the share of the generated tokens that did not reach a caller as part of a complete
+  answer.
+- *Lost*: calls without an outcome or with a false one (`completed` without the complete answer, or
+  `not_run` although a server's record shows a start), counted once each.
+- *Doubled*: idempotency keys that ran more than once, and answers with foreign, missing or repeated
+  tokens.
 """
 
 from __future__ import annotations
@@ -32,12 +32,12 @@
 from turmericweir_standins.measure_scenarios import class_of
 
 MS_PER_S: Final = 1000.0
-_WHOLE: Final = (Check.WHOLE, Check.CAPPED)
+_COMPLETE: Final = (Check.WHOLE, Check.CAPPED)
 
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """The figures of one run; the field names are those of the file."""
+    """The figures of one run; the fields are those of the file."""
 
     scenario: str
     policy: str
@@ -51,24 +51,28 @@
     longest_wait_s: dict[str, float]
 
 
-def figures_of(seen: Observation) -> Figures:
-    """Work out the figures of a run."""
+def figures_of(observation: Observation) -> Figures:
+    """Return the figures of a run."""
     by_class: defaultdict[str, list[Record]] = defaultdict(list)
-    for call in seen.calls:
+    for call in observation.calls:
         by_class[class_of(call["traffic"])].append(call)
-    met = {name: _met(seen, name, calls) for name, calls in by_class.items()}
-    good = [call for calls in met.values() for call in calls]
-    generated = sum(tokens_by_attempt(seen.engine_records).values())
-    delivered = sum(call["tokens"] for call in seen.calls if is_good(call))
+    calls_in_time = {
+        name: _calls_in_time(observation, name, calls) for name, calls in by_class.items()
+    }
+    good_calls = [call for calls in calls_in_time.values() for call in calls]
+    generated = sum(tokens_by_attempt(observation.engine_records).values())
+    delivered = sum(call["tokens"] for call in observation.calls if is_good(call))
     return Figures(
-        scenario=seen.scenario.name,
-        policy=seen.policy,
-        attainment={name: len(met[name]) / len(calls) for name, calls in sorted(by_class.items())},
-        goodput_requests_s=len(good) / seen.seconds,
-        goodput_tokens_s=sum(call["tokens"] for call in good) / seen.seconds,
+        scenario=observation.scenario.name,
+        policy=observation.policy,
+        attainment={
+            name: len(calls_in_time[name]) / len(calls) for name, calls in sorted(by_class.items())
+        },
+        goodput_requests_s=len(good_calls) / observation.seconds,
+        goodput_tokens_s=sum(call["tokens"] for call in good_calls) / observation.seconds,
         wasted_share=max(0.0, 1 - delivered / generated) if generated else 0.0,
-        lost=len(find_lost(seen)),
-        doubled=len(find_doubled(seen)),
+        lost=len(find_lost(observation)),
+        doubled=len(find_doubled(observation)),
         shed={
             name: sum(call["outcome"] == NOT_RUN for call in calls)
             for name, calls in sorted(by_class.items())
@@ -82,24 +86,24 @@
 # --- targets ---
 
 
-def _met(seen: Observation, name: str, calls: list[Record]) -> list[Record]:
-    written = seen.scenario.deployment.classes[name]
-    target_ms = written.get("first_token_target_ms") or written["latency_target_ms"]
-    gap_ms = written.get("token_gap_target_ms")
+def _calls_in_time(observation: Observation, name: str, calls: list[Record]) -> list[Record]:
+    class_settings = observation.scenario.deployment.classes[name]
+    target_ms = class_settings.get("first_token_target_ms") or class_settings["latency_target_ms"]
+    gap_ms = class_settings.get("token_gap_target_ms")
     gap_s = None if gap_ms is None else gap_ms / MS_PER_S
-    return [call for call in calls if _meets(call, target_ms / MS_PER_S, gap_s)]
+    return [call for call in calls if _is_in_time(call, target_ms / MS_PER_S, gap_s)]
 
 
-def _meets(call: Record, target_s: float, gap_s: float | None) -> bool:
+def _is_in_time(call: Record, target_s: float, gap_s: float | None) -> bool:
     if not is_good(call) or _wait_s(call) > target_s:
         return False
-    gap = call["gaps_s"]["p95"]
-    return gap_s is None or gap is None or bool(gap <= gap_s)
+    gap_p95_s = call["gaps_s"]["p95"]
+    return gap_s is None or gap_p95_s is None or bool(gap_p95_s <= gap_s)
 
 
 def is_good(call: Record) -> bool:
-    """Tell whether the caller has the whole answer and was told so."""
-    return call["outcome"] == COMPLETED and call["check"] in _WHOLE and not call["error"]
+    """Return whether the answer is complete and was reported as completed."""
+    return call["outcome"] == COMPLETED and call["check"] in _COMPLETE and not call["error"]
 
 
 def _wait_s(call: Record) -> float:
@@ -108,58 +112,58 @@
     return total if first is None else first
 
 
-# --- what must never happen ---
+# --- lost and doubled calls ---
 
 
-def find_lost(seen: Observation) -> list[str]:
-    """Return a line for each call of which its caller was not told the truth."""
-    started = _started(seen)
-    found = []
-    for call in seen.calls:
-        fault = _untrue(call, started)
+def find_lost(observation: Observation) -> list[str]:
+    """Return a line for each call without an outcome or with a false one."""
+    started = _started_ids(observation)
+    lines = []
+    for call in observation.calls:
+        fault = _outcome_fault(call, started)
         if fault:
-            found.append(f"{call['traffic']} {call['number']} ({call['request_id']}): {fault}")
-    return found
+            lines.append(f"{call['traffic']} {call['number']} ({call['request_id']}): {fault}")
+    return lines
 
 
-def _started(seen: Observation) -> set[str]:
-    engines = (each for each in seen.engine_records if each["event"] == "started")
-    plain = (each for each in seen.service_records if each["event"] == "run")
+def _started_ids(observation: Observation) -> set[str]:
+    engines = (each for each in observation.engine_records if each["event"] == "started")
+    plain = (each for each in observation.service_records if each["event"] == "run")
     return {each["request_id"] for each in (*engines, *plain)}
 
 
-def _untrue(call: Record, started: set[str]) -> str:
+def _outcome_fault(call: Record, started: set[str]) -> str:
     if call["check"] in CORRUPT:
-        # Counted among the doubled.
+        # Counted as doubled.
         return ""
     match call["outcome"]:
         case "":
-            return f"told no outcome: {call['error'] or call['status']}"
+            return f"no outcome reported: {call['error'] or call['status']}"
         case "completed" if call["status"] < 400 and not is_good(call):
-            return f"told completed, but the answer is {call['check']} {call['error']}"
+            return f"reported completed, but the answer is {call['check']} {call['error']}"
         case "not_run" if call["request_id"] in started:
-            return f"told not_run ({call['reason']}), but it was started"
+            return f"reported not_run ({call['reason']}), but it was started"
         case _:
             return ""
 
 
-def find_doubled(seen: Observation) -> list[str]:
-    """Return a line for each second run of a key and each answer that is not the caller's own."""
-    keys = Counter(each["key"] for each in seen.service_records if each["event"] == "run")
-    found = [f"key {key}: {runs} runs" for key, runs in keys.items() if key and runs > 1]
-    found += [
+def find_doubled(observation: Observation) -> list[str]:
+    """Return a line for each key that ran repeatedly and each corrupt answer."""
+    keys = Counter(each["key"] for each in observation.service_records if each["event"] == "run")
+    lines = [f"key {key}: {runs} runs" for key, runs in keys.items() if key and runs > 1]
+    lines += [
         f"{call['traffic']} {call['number']} ({call['request_id']}): answer is {call['check']}"
-        for call in seen.calls
+        for call in observation.calls
         if call["check"] in CORRUPT
     ]
-    return found
+    return lines
 
 
 # --- several runs ---
 
 
 def median_of(runs: list[Figures]) -> Figures:
-    """Return the medians of several runs; what must never happen is summed up instead."""
+    """Return the medians of several runs; lost and doubled calls are summed up instead."""
     first = runs[0]
     return Figures(
         scenario=first.scenario,
@@ -175,16 +179,16 @@
     )
 
 
-# Any: float or int, which Mapping does not let stand for each other.
+# Any: float or int values.
 def _medians(values: list[dict[str, Any]]) -> dict[str, float]:
     return {name: statistics.median(each[name] for each in values) for name in values[0]}
 
 
-def outcomes_of(seen: Observation) -> Mapping[str, Mapping[str, int]]:
-    """Count, for each class, the outcomes with their reasons."""
+def outcomes_of(observation: Observation) -> Mapping[str, Mapping[str, int]]:
+    """Return the number of calls by outcome and reason, for each class."""
     counts: defaultdict[str, Counter[str]] = defaultdict(Counter)
-    for call in seen.calls:
-        told = call["outcome"] or "none"
-        why = call["reason"] or call["error"]
-        counts[class_of(call["traffic"])][f"{told} {why}".strip()] += 1
+    for call in observation.calls:
+        outcome = call["outcome"] or "none"
+        reason = call["reason"] or call["error"]
+        counts[class_of(call["traffic"])][f"{outcome} {reason}".strip()] += 1
     return counts
