--- a/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
@@ -1,10 +1,9 @@
-"""Measure the limits of customers and teams: `python -m turmericweir_standins.measure_limits`.
+"""Simulate the limits of customers and teams: `python -m turmericweir_standins.measure_limits`.
 
-The reducers of many instances are stepped in memory, on a simulated clock and with a delay for each
-message, since only their decisions are measured and no machine runs 320 processes. Callers arrive
-at random at a random instance, as behind a balancer. For each scenario it prints how far admitted
-requests (or delivered tokens) exceeded the limit, how many were refused below the limit, and what
-the messages cost. It is not a test and runs in no CI.
+The reducers of up to some hundred instances run in memory, with a simulated clock and a delay for
+each message. Requests arrive as a Poisson process at random instances, as behind a load balancer.
+For each scenario the program prints how far admitted requests or delivered tokens exceeded the
+limit, the share of refused requests, and the message traffic. CI does not run it.
 """
 
 from __future__ import annotations
@@ -32,32 +31,32 @@
 from turmericweir_core.state.membership_state import Member, RemoteCentre
 from turmericweir_core.state.state import Identity, State
 
-# One way between two instances, as between data centres of a region, and its spread.
+# One-way delay between two instances, as between data centres of a region, and its jitter.
 DELAY_S: Final = 0.0015
 JITTER_S: Final = 0.001
-# Headers of IP and UDP.
+# Size of the headers of IP and UDP.
 HEADER_BYTES: Final = 28
 _CLASS: Final = ServiceClass("any", 0, target_s=1.0)
-_RUNS_S: Final = 2.0
-# Length of a run, and what of it is left out while shares settle.
+_REQUEST_S: Final = 2.0
+# Length of a run, and its beginning that is not counted while shares settle.
 RUN_S: Final = 60.0
 SETTLE_S: Final = 10.0
-SIZES: Final = (2, 8, 64)
+INSTANCE_COUNTS: Final = (2, 8, 64)
 CUSTOMER: Final = "bursar-large"
 
 
 @dataclass(slots=True)
 class Tally:
-    """What the callers of one customer met."""
+    """The results of the requests of one customer."""
 
     admitted: list[float] = field(default_factory=list)
     refused: list[float] = field(default_factory=list)
-    # When tokens were delivered, and how many.
+    # Times and numbers of delivered tokens.
     tokens: list[tuple[float, float]] = field(default_factory=list)
 
 
 class LimitWorld:
-    """Instances that share limits, with messages that take time."""
+    """A simulation of instances that share limits, with delayed messages."""
 
     def __init__(
         self,
@@ -79,15 +78,15 @@
         self.tallies = {name: Tally() for name in limits}
         self.messages = 0
         self.sent_bytes: dict[InstanceName, int] = {}
-        # Instances that take part no more, and the data centre that is cut off.
+        # Killed instances, and the partitioned data centre.
         self.dead: set[InstanceName] = set()
-        self.cut: str | None = None
+        self.partitioned_centre: str | None = None
         self._ids = itertools.count()
         self._order = itertools.count()
-        self._agenda: list[tuple[float, int, Callable[[], None]]] = []
+        self._scheduled: list[tuple[float, int, Callable[[], None]]] = []
         for number in range(instances):
             self._add(number)
-        self.introduce()
+        self.update_membership()
 
     def _add(self, number: int) -> None:
         name = InstanceName(f"entry-{number}")
@@ -98,23 +97,23 @@
         state.has_settings = True
         self.states[name] = state
         self.sent_bytes[name] = 0
-        self.at(self.now + self.rng.random() * self.options.tick_s, lambda: self._tick(name))
+        self.schedule(self.now + self.rng.random() * self.options.tick_s, lambda: self._tick(name))
 
-    # --- who sees whom ---------------------------------------------------------------------
+    # --- membership ------------------------------------------------------------------------
 
-    def introduce(self) -> None:
-        """Let every instance see those that live and can be reached."""
+    def update_membership(self) -> None:
+        """Update the membership view of every instance."""
         for state in self.states.values():
-            self._introduce_to(state)
+            self._update_membership_of(state)
 
-    def _introduce_to(self, state: State) -> None:
+    def _update_membership_of(self, state: State) -> None:
         for name, other in self.states.items():
             if name == state.me.name:
                 continue
             me = other.me
             member = Member(name, me.data_centre, me.peer_address, region="home")
-            near = me.data_centre == state.me.data_centre and name not in self.dead
-            member.heard_at = float("inf") if near else float("-inf")
+            is_reachable = me.data_centre == state.me.data_centre and name not in self.dead
+            member.heard_at = float("inf") if is_reachable else float("-inf")
             state.members.by_name[name] = member
         for centre in self.centres:
             if centre != state.me.data_centre:
@@ -123,50 +122,53 @@
     def _describe_centre(self, state: State, centre: str) -> None:
         names = {name for name, each in self.states.items() if each.me.data_centre == centre}
         roster = frozenset(names - self.dead)
-        apart = self.cut is not None and self.cut in (centre, state.me.data_centre)
+        is_partitioned = self.partitioned_centre is not None and self.partitioned_centre in (
+            centre,
+            state.me.data_centre,
+        )
         remote = state.members.centres.setdefault(centre, RemoteCentre(centre, "home"))
         remote.roster = roster
-        remote.heard_at = self.now if apart else float("inf")
+        remote.heard_at = self.now if is_partitioned else float("inf")
         remote.word = Word(
             centre, relay=0, seq=1, members_hash=0, live=len(roster), settings_offset=0
         )
 
     def kill(self, name: InstanceName) -> None:
-        """End an instance; the others notice after the time that heartbeats take."""
+        """Kill an instance; the others remove it after the failure detector's timeout."""
         self.dead.add(name)
-        self.at(self.now + self.options.suspect_s, self.introduce)
+        self.schedule(self.now + self.options.suspect_s, self.update_membership)
 
     def cut_off(self, centre: str) -> None:
-        """Cut a data centre off from all others."""
-        self.cut = centre
-        self.introduce()
+        """Partition a data centre from all others."""
+        self.partitioned_centre = centre
+        self.update_membership()
 
     def home_of(self, customer: str) -> InstanceName:
-        """Name the home of a customer, as the first instance sees it."""
+        """Return the home of a customer's limit, by the view of the first live instance."""
         state = next(each for name, each in self.states.items() if name not in self.dead)
         key = customer_key(customer)
         return state.rate_limits.held[key].home
 
     # --- time ------------------------------------------------------------------------------
 
-    def at(self, when: float, action: Callable[[], None]) -> None:
-        """Let something happen later."""
-        heapq.heappush(self._agenda, (when, next(self._order), action))
+    def schedule(self, at_s: float, action: Callable[[], None]) -> None:
+        """Schedule an action."""
+        heapq.heappush(self._scheduled, (at_s, next(self._order), action))
 
-    def run_until(self, when: float) -> None:
-        """Let time pass."""
-        while self._agenda and self._agenda[0][0] <= when:
-            self.now, _, action = heapq.heappop(self._agenda)
+    def run_until(self, until: float) -> None:
+        """Run all actions until a time."""
+        while self._scheduled and self._scheduled[0][0] <= until:
+            self.now, _, action = heapq.heappop(self._scheduled)
             action()
-        self.now = when
+        self.now = until
 
     def _tick(self, name: InstanceName) -> None:
         if name in self.dead:
             return
-        self._carry_out(name, limit.on_tick(self.states[name], self.now))
-        self.at(self.now + self.options.tick_s, lambda: self._tick(name))
+        self._execute(name, limit.on_tick(self.states[name], self.now))
+        self.schedule(self.now + self.options.tick_s, lambda: self._tick(name))
 
-    def _carry_out(self, name: InstanceName, effects: list[Effect]) -> None:
+    def _execute(self, name: InstanceName, effects: list[Effect]) -> None:
         for effect in effects:
             if isinstance(effect, SendDatagram):
                 self._send(name, effect)
@@ -174,14 +176,14 @@
     def _send(self, name: InstanceName, effect: SendDatagram) -> None:
         self.messages += 1
         self.sent_bytes[name] += _size(name, effect)
-        if effect.peer in self.dead or self._apart(name, effect.peer):
+        if effect.peer in self.dead or self._are_partitioned(name, effect.peer):
             return
         delay = DELAY_S + self.rng.random() * JITTER_S
-        self.at(self.now + delay, lambda: self._receive(name, effect))
+        self.schedule(self.now + delay, lambda: self._receive(name, effect))
 
-    def _apart(self, one: InstanceName, other: InstanceName) -> bool:
+    def _are_partitioned(self, one: InstanceName, other: InstanceName) -> bool:
         centres = {self.states[one].me.data_centre, self.states[other].me.data_centre}
-        return self.cut in centres and len(centres) > 1
+        return self.partitioned_centre in centres and len(centres) > 1
 
     def _receive(self, sender: InstanceName, effect: SendDatagram) -> None:
         if effect.peer in self.dead:
@@ -189,16 +191,16 @@
         state = self.states[effect.peer]
         match effect.message:
             case LimitAsk() as ask:
-                self._carry_out(effect.peer, limit.on_ask(state, self.now, sender, ask))
+                self._execute(effect.peer, limit.on_ask(state, self.now, sender, ask))
             case LimitGrant() as grant:
-                self._carry_out(effect.peer, limit.on_grant(state, self.now, sender, grant))
+                self._execute(effect.peer, limit.on_grant(state, self.now, sender, grant))
             case _:
-                raise AssertionError("the limits send nothing else")
+                raise AssertionError("unexpected message type")
 
     # --- callers ---------------------------------------------------------------------------
 
     def arrive(self, customer: str, name: InstanceName, *, tokens: int = 0) -> bool:
-        """Let a request arrive at an instance; a model answers it with so many tokens."""
+        """Submit a request to an instance and return whether it was admitted."""
         req = Request(
             request_id=RequestId(str(next(self._ids))),
             kind=Kind.MODEL if tokens else Kind.PLAIN,
@@ -215,7 +217,7 @@
             tally.refused.append(self.now)
             return False
         tally.admitted.append(self.now)
-        self.at(self.now + _RUNS_S, lambda: self._finish(state, req, tokens))
+        self.schedule(self.now + _REQUEST_S, lambda: self._finish(state, req, tokens))
         return True
 
     def _finish(self, state: State, req: Request, tokens: int) -> None:
@@ -233,16 +235,18 @@
         among: list[InstanceName] | None = None,
         mean_tokens: int = 0,
     ) -> None:
-        """Let requests arrive at random at this rate, each at a random instance."""
+        """Schedule requests with random arrival times at this rate, each at a random instance."""
         when = start + self.rng.expovariate(rate)
         if when < end:
-            self.at(when, lambda: self._offer_one(customer, rate, when, end, among, mean_tokens))
+            self.schedule(
+                when, lambda: self._offer_one(customer, rate, when, end, among, mean_tokens)
+            )
 
     def _offer_one(
         self,
         customer: str,
         rate: float,
-        when: float,
+        at_s: float,
         end: float,
         among: list[InstanceName] | None,
         mean_tokens: int,
@@ -252,7 +256,7 @@
         if mean_tokens:
             tokens = max(1, round(self.rng.lognormvariate(0.0, 0.7) * mean_tokens / 1.28))
         self.arrive(customer, self.rng.choice(names), tokens=tokens)
-        self.offer(customer, rate, when, end, among=among, mean_tokens=mean_tokens)
+        self.offer(customer, rate, at_s, end, among=among, mean_tokens=mean_tokens)
 
 
 def _size(name: InstanceName, effect: SendDatagram) -> int:
@@ -266,13 +270,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """What one run showed."""
+    """The figures of one run."""
 
     scenario: str
     instances: int
     # Admitted requests, or delivered tokens, as a share of limit times time.
     of_limit: float
-    # The most that any window admitted beyond limit times its length, in seconds of the limit.
+    # The largest excess over the limit in any window of this length, in seconds of the limit.
     worst_1s: float
     worst_10s: float
     refused_share: float
@@ -280,92 +284,92 @@
 
 
 def run_scenario(scenario: str, instances: int, rate: float, seed: int) -> Row:
-    """Run one scenario once."""
-    limit_set = Limit(tokens_s=rate) if scenario == "tokens" else Limit(requests_s=rate)
+    """Run one scenario and return its figures."""
+    limits = Limit(tokens_s=rate) if scenario == "tokens" else Limit(requests_s=rate)
     centres = 2 if scenario == "partition" else 1
-    world = LimitWorld(instances, {CUSTOMER: limit_set}, centres=centres, seed=seed)
+    world = LimitWorld(instances, {CUSTOMER: limits}, centres=centres, seed=seed)
     start = world.now
     end = start + RUN_S
     _offer(world, scenario, rate, start, end)
-    _disturb(world, scenario, start)
+    _schedule_fault(world, scenario, start)
     world.run_until(end)
-    return _row(world, scenario, instances, rate, start, end)
+    return _figures(world, scenario, instances, rate, start, end)
 
 
 def _offer(world: LimitWorld, scenario: str, rate: float, start: float, end: float) -> None:
     names = list(world.states)
-    half = names[: max(1, len(names) // 2)]
-    rest = names[len(half) :]
-    middle = (start + end) / 2
+    first_half = names[: max(1, len(names) // 2)]
+    second_half = names[len(first_half) :]
+    middle_at = (start + end) / 2
     match scenario:
         case "below":
             world.offer(CUSTOMER, 0.6 * rate, start, end)
         case "burst":
-            # Quiet first, so that every bucket is full; then far too much at once.
-            world.offer(CUSTOMER, 0.1 * rate, start, middle)
-            world.offer(CUSTOMER, 5.0 * rate, middle, end)
+            # A low rate first, which fills every bucket; then a burst.
+            world.offer(CUSTOMER, 0.1 * rate, start, middle_at)
+            world.offer(CUSTOMER, 5.0 * rate, middle_at, end)
         case "shift":
-            world.offer(CUSTOMER, 2.0 * rate, start, middle, among=half)
-            world.offer(CUSTOMER, 2.0 * rate, middle, end, among=rest)
+            world.offer(CUSTOMER, 2.0 * rate, start, middle_at, among=first_half)
+            world.offer(CUSTOMER, 2.0 * rate, middle_at, end, among=second_half)
         case "tokens":
             world.offer(CUSTOMER, 2.0 * rate / 200, start, end, mean_tokens=200)
         case _:
             world.offer(CUSTOMER, 2.0 * rate, start, end)
 
 
-def _disturb(world: LimitWorld, scenario: str, start: float) -> None:
-    middle = start + RUN_S / 2
+def _schedule_fault(world: LimitWorld, scenario: str, start: float) -> None:
+    middle_at = start + RUN_S / 2
     if scenario == "home_dies":
-        world.at(middle, lambda: world.kill(world.home_of(CUSTOMER)))
+        world.schedule(middle_at, lambda: world.kill(world.home_of(CUSTOMER)))
     if scenario == "partition":
-        world.at(middle, lambda: world.cut_off(world.centres[0]))
+        world.schedule(middle_at, lambda: world.cut_off(world.centres[0]))
 
 
-def _row(
+def _figures(
     world: LimitWorld, scenario: str, instances: int, rate: float, start: float, end: float
 ) -> Row:
     tally = world.tallies[CUSTOMER]
-    used = [(when, 1.0) for when in tally.admitted]
+    amounts = [(when, 1.0) for when in tally.admitted]
     if scenario == "tokens":
-        used = tally.tokens
-    settled = sum(amount for when, amount in used if when >= start + SETTLE_S)
-    asked = len(tally.admitted) + len(tally.refused)
+        amounts = tally.tokens
+    settled_amount = sum(amount for when, amount in amounts if when >= start + SETTLE_S)
+    request_count = len(tally.admitted) + len(tally.refused)
     busiest = max(world.sent_bytes.values()) / (end - start)
     return Row(
         scenario=scenario,
         instances=instances,
-        of_limit=settled / (rate * (end - start - SETTLE_S)),
-        worst_1s=_worst(used, rate, 1.0),
-        worst_10s=_worst(used, rate, 10.0),
-        refused_share=len(tally.refused) / max(1, asked),
+        of_limit=settled_amount / (rate * (end - start - SETTLE_S)),
+        worst_1s=_worst_excess_s(amounts, rate, 1.0),
+        worst_10s=_worst_excess_s(amounts, rate, 10.0),
+        refused_share=len(tally.refused) / max(1, request_count),
         bytes_s=busiest,
     )
 
 
-def _worst(used: list[tuple[float, float]], rate: float, window_s: float) -> float:
-    """Give the largest excess of any window, in seconds of the limit."""
-    worst = 0.0
+def _worst_excess_s(amounts: list[tuple[float, float]], rate: float, window_s: float) -> float:
+    """Return the largest excess of any window, in seconds of the limit."""
+    worst_excess_s = 0.0
     total = 0.0
-    first = 0
-    for when, amount in used:
+    window_start = 0
+    for when, amount in amounts:
         total += amount
-        while used[first][0] <= when - window_s:
-            total -= used[first][1]
-            first += 1
-        worst = max(worst, total / rate - window_s)
-    return worst
+        while amounts[window_start][0] <= when - window_s:
+            total -= amounts[window_start][1]
+            window_start += 1
+        worst_excess_s = max(worst_excess_s, total / rate - window_s)
+    return worst_excess_s
 
 
 def measure_traffic(instances: int, customers: int, rate_s: float, run_s: float) -> float:
-    """Give the bytes a second that the busiest instance sends at the size to design for."""
+    """Return the bytes per second that the busiest instance sends."""
     names = [f"customer-{number}" for number in range(customers)]
-    # Each customer at three quarters of its limit: near enough for shares to matter.
-    one = rate_s / customers
-    world = LimitWorld(instances, {name: Limit(requests_s=one / 0.75) for name in names})
+    # Each customer sends at three quarters of its limit, which requires exchanging shares.
+    customer_rate = rate_s / customers
+    world = LimitWorld(instances, {name: Limit(requests_s=customer_rate / 0.75) for name in names})
     start = world.now
     for name in names:
-        world.offer(name, one, start, start + run_s)
-    # The first asks of all pairs come once; what counts is the steady traffic.
+        world.offer(name, customer_rate, start, start + run_s)
+    # The first half is not counted: it contains the initial messages of all pairs.
     world.run_until(start + run_s / 2)
     before = dict(world.sent_bytes)
     world.run_until(start + run_s)
@@ -377,17 +381,17 @@
 
 
 @click.command()
-@click.option("--rate", default=40.0, show_default=True, help="Limit, requests a second.")
+@click.option("--rate", default=40.0, show_default=True, help="Limit, requests per second.")
 @click.option(
     "--runs", default=5, show_default=True, help="Runs of each scenario; the worst counts."
 )
 @click.option("--traffic/--no-traffic", default=True, help="Also measure 320 instances.")
 def main(rate: float, runs: int, traffic: bool) -> None:
-    """Print what the limits let through, and what they cost."""
-    heads = ("scenario", "instances", "of limit", "worst 1 s", "worst 10 s", "refused", "bytes/s")
-    print("  ".join(f"{head:>10}" for head in heads))
+    """Print the accuracy and the message traffic of the limits."""
+    headers = ("scenario", "instances", "of limit", "worst 1 s", "worst 10 s", "refused", "bytes/s")
+    print("  ".join(f"{head:>10}" for head in headers))
     for scenario in SCENARIOS:
-        for instances in SIZES:
+        for instances in INSTANCE_COUNTS:
             limit_rate = 200 * rate if scenario == "tokens" else rate
             rows = [run_scenario(scenario, instances, limit_rate, seed) for seed in range(runs)]
             _print(rows)
--- a/packages/turmericweir-standins/turmericweir_standins/measure_plot.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_plot.py
@@ -1,4 +1,4 @@
-"""The plot of `make measure`: for each scenario the attainment by class, goodput and waste."""
+"""The plot of `make measure`: attainment by class, goodput and wasted work of each scenario."""
 
 from __future__ import annotations
 
@@ -12,27 +12,39 @@
 
 from turmericweir_standins.measure_figures import Figures
 
-# No display is needed to write a file.
+# The backend that writes files without a display.
 mpl.use("Agg")
 
 COLOURS: Final = {"baseline": "#9a9a9a", "counts": "#4c8bb8", "credits": "#c8702a"}
-GOAL: Final = 0.99
+ATTAINMENT_GOAL: Final = 0.99
 _ROW_INCHES: Final = 1.9
 _WIDTH_INCHES: Final = 12.0
 
 
 def plot(rows: Sequence[Figures], path: Path) -> None:
-    """Draw all rows and write the picture."""
+    """Draw all rows and write the plot to a file."""
     scenarios = list(dict.fromkeys(row.scenario for row in rows))
     figure = Figure(figsize=(_WIDTH_INCHES, _ROW_INCHES * len(scenarios) + 0.6))
     grid = figure.subplots(
         len(scenarios), 3, squeeze=False, gridspec_kw={"width_ratios": [4, 1.3, 1.3]}
     )
     for axes, scenario in zip(grid, scenarios, strict=True):
-        own = [row for row in rows if row.scenario == scenario]
-        _draw_attainment(axes[0], scenario, own)
-        _draw_bars(axes[1], "goodput, tokens/s", "%.0f", own, [row.goodput_tokens_s for row in own])
-        _draw_bars(axes[2], "wasted, %", "%.2f", own, [row.wasted_share * 100 for row in own])
+        scenario_rows = [row for row in rows if row.scenario == scenario]
+        _draw_attainment(axes[0], scenario, scenario_rows)
+        _draw_bars(
+            axes[1],
+            "goodput, tokens/s",
+            "%.0f",
+            scenario_rows,
+            [row.goodput_tokens_s for row in scenario_rows],
+        )
+        _draw_bars(
+            axes[2],
+            "wasted, %",
+            "%.2f",
+            scenario_rows,
+            [row.wasted_share * 100 for row in scenario_rows],
+        )
     handles, labels = grid[0][0].get_legend_handles_labels()
     figure.legend(handles, labels, loc="upper right", ncols=len(labels), frameon=False)
     figure.tight_layout(rect=(0, 0, 1, 1 - 0.3 / figure.get_figheight()))
@@ -44,12 +56,12 @@
     names = list(rows[0].attainment)
     width = 0.8 / len(rows)
     for number, row in enumerate(rows):
-        places = [place + (number - (len(rows) - 1) / 2) * width for place in range(len(names))]
+        positions = [index + (number - (len(rows) - 1) / 2) * width for index in range(len(names))]
         heights = [row.attainment[name] for name in names]
         colour = COLOURS.get(row.policy)
-        bars = axes.bar(places, heights, width, label=row.policy, color=colour)
+        bars = axes.bar(positions, heights, width, label=row.policy, color=colour)
         axes.bar_label(bars, fmt="%.2f", fontsize=6)
-    axes.axhline(GOAL, color="black", linewidth=0.6, linestyle=":")
+    axes.axhline(ATTAINMENT_GOAL, color="black", linewidth=0.6, linestyle=":")
     axes.set_xticks(range(len(names)), names)
     axes.set_ylim(0, 1.15)
     axes.set_title(f"{scenario}: attainment", fontsize=9, loc="left")
--- a/packages/turmericweir-standins/turmericweir_standins/measure_run.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_run.py
@@ -1,8 +1,8 @@
-"""One run of one scenario under one policy: real processes, callers, and faults at their times.
+"""One run of one scenario under one policy: real processes, callers and faults.
 
-The callers are processes of their own, one for the urgent traffic and one for the rest, so that
-neither the other callers nor this process delay them. What was seen is gathered as `Observation`;
-what it amounts to is in `measure_figures`.
+The urgent traffic and all other traffic have separate caller processes. Prevents delays of urgent
+calls by other callers or by this process. The result is an `Observation`, from which
+`measure_figures` computes the figures.
 """
 
 from __future__ import annotations
@@ -47,23 +47,23 @@
 )
 from turmericweir_standins.record import read_records
 
-# Callers start up and make their plan before they say that they send.
+# Callers make their plan before they print the READY line.
 CALLERS_TIMEOUT_S: Final = 120.0
 CRASHING_CUSTOMER: Final = "marking-a"
-SAMPLE_S: Final = 1.0
+SAMPLE_INTERVAL_S: Final = 1.0
 OK: Final = 200
 _URGENT: Final = frozenset({"counter", "fitting", "homework", "booking"})
 
-# Any: a line of a record, whatever fields its event has.
+# Any: a line of a record; its fields depend on the event.
 Record = dict[str, Any]
 
 
 class MeasuredCluster(Cluster):
-    """A cluster whose servers are listed under the address of a fault proxy where there is one."""
+    """A cluster whose servers are listed with their address of the fault proxy, if there is one."""
 
-    # Control address of the proxy; None for none.
+    # Control address of the proxy; None without a proxy.
     proxy_address: str | None
-    # The address of each server's route through it, by server.
+    # The address of the route to each server, by server name.
     routes: dict[str, str]
 
     def __init__(
@@ -74,7 +74,7 @@
         self.routes = {}
 
     def list_process(self, listed: Listed, state: str = "live", incarnation: str = "1") -> None:
-        """Put a process into the list; a backend server under its route's address."""
+        """Put a process into the list; a backend server gets the address of its route."""
         if self.proxy_address is not None and listed.kind != "entry":
             listed = dataclasses.replace(listed, address=self._route(self.proxy_address, listed))
         super().list_process(listed, state, incarnation)
@@ -87,25 +87,25 @@
 
 @dataclass(frozen=True, slots=True)
 class CpuShares:
-    """Share of one core that processes took in their busiest second, and of all cores together."""
+    """Processor use in the busiest second."""
 
-    # The busiest process of each kind.
+    # Share of one core of the busiest process of each kind.
     by_kind: Mapping[str, float]
-    # All processes of the run together, and everything on the machine; in cores.
+    # Cores used by all processes of the run, and by all processes of the machine.
     own: float
     machine: float
 
 
 @dataclass(frozen=True, slots=True)
 class Observation:
-    """What one run showed."""
+    """The data collected in one run."""
 
     scenario: Scenario
     policy: str
     seconds: float
     # One result for each call, as `callers_result.result_record` writes it.
     calls: list[Record]
-    # Records of the engines and of the plain services, from the start of the load on.
+    # Records of the engines and of the plain services since the start of the load.
     engine_records: list[Record]
     service_records: list[Record]
     # Status and body of each answer to a crashing request.
@@ -116,7 +116,7 @@
 
 
 def measured_deployment(deployment: Deployment, policy: str) -> Deployment:
-    """Set the engines' pace, the lag of their reports and the policy."""
+    """Return the deployment with the measured step time, report lag and policy."""
     pace = (f"--step-ms={STEP_MS}", f"--slope={SLOPE}", f"--report-lag-ms={REPORT_LAG_MS}")
     groups = tuple(
         dataclasses.replace(group, args=(*group.args, *pace)) if group.kind == "model" else group
@@ -128,7 +128,7 @@
 def run_scenario(
     scenario: Scenario, policy: str, seconds: float, seed: int, directory: Path
 ) -> Observation:
-    """Run a scenario under a policy and return what was seen."""
+    """Run a scenario under a policy and return the collected data."""
     directory.mkdir(parents=True, exist_ok=True)
     with contextlib.ExitStack() as stack:
         proxy_address = None
@@ -136,8 +136,8 @@
             proxy_address = stack.enter_context(standin("proxy", directory=directory)).address
         deployment = measured_deployment(scenario.deployment, policy)
         cluster = stack.enter_context(MeasuredCluster(deployment, directory, proxy_address))
-        # Entered last and so left first: nothing is in flight then, and graceful stops, one after
-        # the other, would take longer than the run.
+        # Registered last and run first: kills the idle processes instead of stopping them
+        # gracefully, which would take longer than the run.
         stack.callback(_kill_all, cluster)
         warm_up(cluster, scenario)
         return ScenarioRun(scenario, policy, seconds, seed, cluster).measure()
@@ -150,14 +150,14 @@
 
 
 def warm_up(cluster: Cluster, scenario: Scenario) -> None:
-    """Wait until each instance has had an answer from each service."""
+    """Wait until each instance gets an answer from each service."""
     for traffic in scenario.traffic:
         for instance in cluster.instances.values():
-            answers = functools.partial(_answers, instance.address, traffic)
-            wait_until(answers, f"{instance.name} serves {traffic.name}")
+            is_answering = functools.partial(_is_answering, instance.address, traffic)
+            wait_until(is_answering, f"{instance.name} serves {traffic.name}")
 
 
-def _answers(address: str, traffic: Traffic) -> bool:
+def _is_answering(address: str, traffic: Traffic) -> bool:
     headers = {"Authorization": f"Bearer {traffic.tokens[0]}"}
     if traffic.kind is Kind.MODEL:
         messages = [{"role": "user", "content": "warm-up [len=2]"}]
@@ -168,14 +168,14 @@
 
 
 class ScenarioRun:
-    """The load, the faults and the readings of one run."""
+    """The load, the faults and the collected data of one run."""
 
     _scenario: Scenario
     _policy: str
     _seconds: float
     _seed: int
     _cluster: MeasuredCluster
-    # Lines of each record that were there before the load began.
+    # Number of lines in each record before the load.
     _lines_before: dict[str, int]
     _crashing_answers: list[str]
 
@@ -196,14 +196,14 @@
         self._lines_before = {name: len(self._records(name)) for name in cluster.servers}
 
     def measure(self) -> Observation:
-        """Send the load, let things fail, and gather what was seen."""
+        """Send the load, inject the faults, and return the collected data."""
         with self.callers() as callers:
             for process in callers:
                 process.wait_ready()
             sampler = _Sampler(self._kinds(callers), self._seconds)
             sampler.start()
             faults = [
-                threading.Thread(target=self._strike, args=(fault,), daemon=True)
+                threading.Thread(target=self._inject, args=(fault,), daemon=True)
                 for fault in self._scenario.faults
             ]
             for thread in faults:
@@ -229,14 +229,17 @@
 
     @contextlib.contextmanager
     def callers(self) -> Iterator[list[Process]]:
-        """Start the callers; they say that they are ready when they begin to send."""
+        """Start the callers; they are ready when they begin to send."""
         workload = self._scenario.workload(self._seconds, self._seed)
-        urgent = tuple(each for each in workload.traffic if _is_urgent(each))
-        rest = tuple(each for each in workload.traffic if not _is_urgent(each))
+        urgent_traffic = tuple(each for each in workload.traffic if _is_urgent(each))
+        other_traffic = tuple(each for each in workload.traffic if not _is_urgent(each))
         with contextlib.ExitStack() as stack:
             processes = [
                 self._make_callers(name, dataclasses.replace(workload, traffic=traffic))
-                for name, traffic in (("callers-urgent", urgent), ("callers-rest", rest))
+                for name, traffic in (
+                    ("callers-urgent", urgent_traffic),
+                    ("callers-rest", other_traffic),
+                )
             ]
             for process in processes:
                 stack.callback(process.stop)
@@ -254,7 +257,7 @@
         )
 
     def calls_of(self, process: Process) -> list[Record]:
-        """Read the results of callers that have ended."""
+        """Wait for the end of callers and return their results."""
         process.wait(CALLERS_TIMEOUT_S)
         path = self._cluster.directory / f"{process.name}.json"
         calls = orjson.loads(path.read_bytes())["calls"]
@@ -267,8 +270,10 @@
         return read_records(self._cluster.record_path(name))
 
     def new_records(self, kind: str) -> list[Record]:
-        """Read what the servers of a kind have noted since the load began."""
-        services = {g.service for g in self._cluster.deployment.groups if g.kind == kind}
+        """Return the records of the servers of a kind since the start of the load."""
+        services = {
+            group.service for group in self._cluster.deployment.groups if group.kind == kind
+        }
         names = [name for name in self._cluster.servers if name.rpartition("-")[0] in services]
         return [
             record for name in names for record in self._records(name)[self._lines_before[name] :]
@@ -289,7 +294,7 @@
 
     # Faults.
 
-    def _strike(self, fault: Fault) -> None:
+    def _inject(self, fault: Fault) -> None:
         time.sleep(fault.at_s)
         match fault:
             case SlowEngine():
@@ -327,13 +332,13 @@
         headers = {"Authorization": f"Bearer {token_of(CRASHING_CUSTOMER)}"}
         for number in range(fault.count):
             address = instances[number % len(instances)].address
-            # A caller who is told nothing sends it again just the same.
+            # A caller without an answer also sends the request again.
             try:
                 answer = call_json(address, "POST", "/v1/chat/completions", body, headers)
-                told = f"{answer.status} {answer.body.get('outcome')} {answer.body.get('reason')}"
+                result = f"{answer.status} {answer.body.get('outcome')} {answer.body.get('reason')}"
             except (OSError, http.client.HTTPException) as exc:
-                told = type(exc).__name__
-            self._crashing_answers.append(told)
+                result = type(exc).__name__
+            self._crashing_answers.append(result)
             time.sleep(fault.every_s)
 
 
@@ -342,7 +347,7 @@
 
 
 class _Sampler(threading.Thread):
-    """Takes the processor time of everything once a second while the load is on."""
+    """Sample the processor time of all processes once a second during the load."""
 
     _kinds: Mapping[str, list[Process]]
     _seconds: float
@@ -360,14 +365,14 @@
         self._machine = 0.0
 
     def run(self) -> None:
-        """Sample until the last call is planned to be sent."""
+        """Sample until the planned end of the load."""
         end = time.monotonic() + self._seconds
-        last = self._read()
+        last_sample = self._read()
         while time.monotonic() < end:
-            time.sleep(SAMPLE_S)
-            now = self._read()
-            self._compare(last, now)
-            last = now
+            time.sleep(SAMPLE_INTERVAL_S)
+            present_sample = self._read()
+            self._update_highest(last_sample, present_sample)
+            last_sample = present_sample
 
     def _read(self) -> _Sample:
         cpu = {
@@ -376,17 +381,19 @@
         }
         return _Sample(time.monotonic(), cpu, machine_busy_s())
 
-    def _compare(self, last: _Sample, now: _Sample) -> None:
-        taken_s = now.at - last.at
+    def _update_highest(self, last_sample: _Sample, present_sample: _Sample) -> None:
+        elapsed_s = present_sample.sampled_at - last_sample.sampled_at
         own = 0.0
-        for kind, values in now.cpu.items():
-            pairs = zip(last.cpu[kind], values, strict=True)
-            # A process that was killed in this second counts from 0 again.
-            shares = [max(0.0, (new - old) / taken_s) for old, new in pairs]
+        for kind, values in present_sample.cpu.items():
+            pairs = zip(last_sample.cpu[kind], values, strict=True)
+            # A process that was killed in this second restarts from 0.
+            shares = [max(0.0, (new - old) / elapsed_s) for old, new in pairs]
             self._highest[kind] = max(self._highest[kind], *shares)
             own += sum(shares)
         self._own = max(self._own, own)
-        self._machine = max(self._machine, (now.machine - last.machine) / taken_s)
+        self._machine = max(
+            self._machine, (present_sample.machine - last_sample.machine) / elapsed_s
+        )
 
     def shares(self) -> CpuShares:
         """Return the highest shares."""
@@ -395,9 +402,9 @@
 
 @dataclass(frozen=True, slots=True)
 class _Sample:
-    """Processor times at one moment."""
+    """The processor times at one time."""
 
-    at: float
+    sampled_at: float
     # One value for each process, by kind.
     cpu: Mapping[str, list[float]] = field(default_factory=dict)
     machine: float = 0.0
--- a/packages/turmericweir-standins/turmericweir_standins/measure_scenarios.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_scenarios.py
@@ -1,11 +1,11 @@
-"""The scenarios of `make measure`, as data: who sends what, and what fails when.
+"""The scenarios of `make measure` as data: the traffic and the faults.
 
-Loads are stated as multiples of what the engines can do. An engine of `SLOTS` sequences makes one
-token for each in a step of `STEP_MS * (1 + SLOPE * (SLOTS - 1))`, so `Scenario.load_at` can tell
-from the plan of the calls alone how many times the engines' capacity is offered.
+Loads are given as multiples of the engines' capacity. An engine with `SLOTS` sequences generates
+one token for each in a step of `STEP_MS * (1 + SLOPE * (SLOTS - 1))`;
+`Scenario.load_over_time` computes the offered load from the plan of the calls.
 
-A name of traffic is the name of its service class, or that name, a colon and a word where a class
-sends several kinds of calls.
+Traffic has the name of its service class, followed by a colon and a word if a class has several
+kinds of calls.
 """
 
 from __future__ import annotations
@@ -24,29 +24,29 @@
 )
 from turmericweir_standins.deployment import LIME_LEAF, STITCHLINE, Deployment, token_of
 
-# Twice the step of today's engines. At 6 ms the tokens of full engines took this machine's 12 cores
-# together with its other work, and that showed in every latency.
+# Longer than the step of real engines. Prevents a machine that is saturated by the tokens of full
+# engines.
 STEP_MS: Final = 12.0
 SLOPE: Final = 0.02
 SLOTS: Final = 16
 REPORT_LAG_MS: Final = 500
 SEED: Final = 20261202
 SECONDS: Final = 15.0
-# Callers that can wait hang up long after the deadline that they sent, so that whoever hangs up
-# was told nothing in time.
+# Non-urgent callers disconnect long after their deadline; a caller that disconnects has received no
+# outcome in time.
 SLOW_DEADLINE_S: Final = 14.0
 SLOW_PATIENCE_S: Final = 30.0
 FAST_PATIENCE_S: Final = 12.0
 CRASH_MARKER: Final = "[crash]"
-CLASS_MARK: Final = ":"
+CLASS_SEPARATOR: Final = ":"
 
 
-# --- what fails ---
+# --- faults ---
 
 
 @dataclass(frozen=True, slots=True)
 class SlowEngine:
-    """One engine makes each step so many times as long, for a while."""
+    """The steps of one engine take longer by a factor, for some time."""
 
     at_s: float
     length_s: float
@@ -56,7 +56,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KillEngine:
-    """One engine's process is killed and started again on its address."""
+    """One engine's process is killed and started again on the same address."""
 
     at_s: float
     back_after_s: float
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LogOutage:
-    """The platform's log answers nothing for a while."""
+    """The platform's log does not answer for some time."""
 
     at_s: float
     length_s: float
@@ -73,14 +73,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SilenceConnections:
-    """The connections between instances and servers of this moment go silent for good."""
+    """The open connections between instances and servers become silent permanently."""
 
     at_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class ResendCrashing:
-    """One prompt that crashes engines is sent, and sent again through the next instance."""
+    """A prompt that crashes engines is sent repeatedly, through one instance after the other."""
 
     at_s: float
     every_s: float
@@ -92,7 +92,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """One scenario: a deployment, its load, and what fails."""
+    """One scenario: a deployment, its load and its faults."""
 
     name: str
     deployment: Deployment
@@ -102,31 +102,31 @@
     proxied: bool = False
 
     def workload(self, seconds: float, seed: int) -> Workload:
-        """Return everything that the callers send."""
+        """Return the workload of the callers."""
         return Workload(self.traffic, seconds, seed)
 
     @property
     def engines(self) -> int:
-        """How many engines there are."""
+        """The number of engines."""
         return sum(group.count for group in self.deployment.groups if group.kind == "model")
 
     @property
     def capacity_tokens_s(self) -> float:
-        """What all engines can make with full batches, a second."""
+        """The tokens per second of all engines with full batches."""
         step_s = STEP_MS / 1000 * (1 + SLOPE * (SLOTS - 1))
         return self.engines * SLOTS / step_s
 
     def load_over_time(self, seconds: float, seed: int) -> list[float]:
         """Return the offered load of each second as a multiple of the engines' capacity."""
-        offered = [0.0] * (int(seconds) + 1)
+        offered_tokens = [0.0] * (int(seconds) + 1)
         for call in plan(self.workload(seconds, seed)):
             if call.answer_tokens is not None:
-                # One more step than tokens: the prompt's.
-                offered[int(call.at_s)] += call.answer_tokens + 1
-        return [tokens / self.capacity_tokens_s for tokens in offered[: int(seconds)]]
+                # One additional step for the prefill.
+                offered_tokens[int(call.at_s)] += call.answer_tokens + 1
+        return [tokens / self.capacity_tokens_s for tokens in offered_tokens[: int(seconds)]]
 
 
-# --- the two users' traffic ---
+# --- the traffic of the two deployments ---
 
 
 def _tokens(*customers: str) -> tuple[str, ...]:
@@ -250,7 +250,7 @@
 _TERM_START: Final = (_STOCK, _RESERVE, _burst(_FITTING, 2.5), _CONFIRMATION, _burst(_QUOTE, 9.0))
 _LIME_LEAF_DAY: Final = (_HOMEWORK, _BOOK, _LIST, _PLAN, _ESSAY)
 _EXAM_EVENING: Final = (_HOMEWORK, _BOOK, _LIST, _PLAN, _burst(_ESSAY, 12.0))
-# Fuller than a quiet day, so that the loss of an engine is felt.
+# A higher load, with which the loss of an engine has an effect.
 _LIME_LEAF_BUSY: Final = (
     _HOMEWORK,
     _BOOK,
@@ -310,4 +310,4 @@
 
 def class_of(traffic_name: str) -> str:
     """Return the service class of a kind of traffic."""
-    return traffic_name.partition(CLASS_MARK)[0]
+    return traffic_name.partition(CLASS_SEPARATOR)[0]
--- a/packages/turmericweir-standins/turmericweir_standins/platform.py
+++ b/packages/turmericweir-standins/turmericweir_standins/platform.py
@@ -1,13 +1,13 @@
-"""Stand in for the platform: its log of streams, its instance list and its weight store.
+"""A stand-in for the platform: its log of streams, its instance list and its weight store.
 
-Start it with `python -m turmericweir_standins.platform`; the calls are those of the platform's
-section in docs/protocols.md. The faults that the real platform is known for can be switched on by
-the table of behaviours: outages that hang or refuse, slow calls, appends whose acknowledgement is
-lost, a list or a weight store that is down, and data centres that are cut off from it.
+Start it with `python -m turmericweir_standins.platform`; its calls are documented in the platform's
+section of docs/protocols.md. The table of behaviours enables the known faults of the platform:
+outages that hang or refuse, slow calls, lost acknowledgements of appends, a list or weight store
+that is down, and data centres that can't reach it.
 
-The parts that keep state (`Stream`, `InstanceList`, `AppendLimit`, `WeightStore`) know no HTTP
-and take the time as an argument; `Platform` puts the faults and the protocol around them. Nothing
-outlives the process.
+The classes with state (`Stream`, `InstanceList`, `AppendLimit`, `WeightStore`) are independent of
+HTTP and take the time as an argument; `Platform` adds the faults and the protocol. All state is in
+memory.
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 
 READY_NAME: Final = "platform"
 INSTANCES_CONTROL_PATH: Final = "/_standin/instances"
-# The header in which a caller names itself, so that `cut_from` can tell callers apart.
+# The header with the name of the caller, to which `cut_from` refers.
 CALLER_HEADER: Final = "x-instance"
 
 DEFAULT_RETENTION: Final = 10_000
@@ -59,31 +59,31 @@
     # Whether all calls on the log fail, and how.
     outage: bool = False
     outage_mode: FaultMode = "hang"
-    # Time that each call on the log takes; an append takes effect halfway through.
+    # Duration of each call to the log; an append takes effect after half of it.
     slow_ms: float = 0.0
-    # Whether appends take effect while the log answers nobody, until this is changed.
+    # Whether the log holds its answers back while appends take effect.
     hold_answers: bool = False
-    # How many of the next appends take effect and lose their connection instead of an answer.
+    # Number of next appends that take effect and whose connection is closed without an answer.
     lose_acks: int = 0
     list_down: bool = False
     weights_down: bool = False
-    # The callers, by their X-Instance header, that are cut off from the platform, and how.
+    # The callers that can't reach the platform, by their X-Instance header, and how they fail.
     cut_from: tuple[str, ...] = ()
     cut_mode: FaultMode = "refuse"
-    # Append calls taken in any one second, over all streams; more are refused with 429.
+    # Append calls accepted in any one second, over all streams; more are refused with 429.
     appends_per_s: int = DEFAULT_APPENDS_PER_S
-    # Weight grants a second; 0 grants none.
+    # Weight grants per second; 0 for none.
     weights_per_s: float = DEFAULT_WEIGHTS_PER_S
-    # How late a change of the instance list shows.
+    # Delay of changes of the instance list.
     list_lag_s: float = DEFAULT_LIST_LAG_S
-    # Records kept for each stream.
+    # Number of records that each stream retains.
     retention: int = DEFAULT_RETENTION
 
 
 class AppendBody(BaseModel):
     """The body of an append."""
 
-    # Any: the values are the caller's own; the platform does not look inside.
+    # Any: the platform does not interpret the records.
     records: list[dict[str, Any]] = Field(min_length=1)
 
 
@@ -116,7 +116,7 @@
 
 
 class Page(NamedTuple):
-    """What one read of a stream returns."""
+    """The result of one read of a stream."""
 
     records: list[dict[str, Any]]
     end: int
@@ -124,21 +124,21 @@
 
 
 class ExpiredError(Exception):
-    """Signal that a read asked for records that are no longer kept."""
+    """Signal that a read asked for records that are no longer retained."""
 
 
 class UnreachableError(Exception):
-    """Signal that a fault in force refuses the call."""
+    """Signal that a fault refuses the call."""
 
 
 class Stream:
-    """An append-only stream that keeps its newest records."""
+    """An append-only stream that retains its newest records."""
 
-    # The records that are kept, oldest first.
+    # The retained records, oldest first.
     _records: deque[dict[str, Any]]
-    # The offset of the first kept record; it only grows.
+    # The offset of the first retained record; it only grows.
     oldest: int
-    # Set at the next append or `wake`, then replaced.
+    # Set and replaced by each append or `wake`.
     _appended: anyio.Event
 
     def __init__(self) -> None:
@@ -148,11 +148,11 @@
 
     @property
     def end(self) -> int:
-        """The offset that the next record gets."""
+        """The offset of the next record."""
         return self.oldest + len(self._records)
 
     def append(self, records: list[dict[str, Any]], retention: int) -> int:
-        """Append the records, drop what is beyond retention, and return the first one's offset."""
+        """Append records, drop those beyond the retention, and return the first one's offset."""
         first = self.end
         self._records.extend(records)
         while len(self._records) > retention:
@@ -162,12 +162,12 @@
         return first
 
     def wake(self) -> None:
-        """End the wait of all readers, who then look again."""
+        """Wake all waiting readers, which then check the stream again."""
         self._appended.set()
         self._appended = anyio.Event()
 
     def read(self, start: int, limit: int) -> Page:
-        """Return the records from this offset on."""
+        """Return the records from an offset on."""
         if start < self.oldest:
             raise ExpiredError
         offsets = range(start, min(self.end, start + limit))
@@ -182,35 +182,35 @@
 
 
 class AppendLimit:
-    """Take at most so many calls in any window of one second."""
+    """Limit the number of calls in any window of one second."""
 
-    # When the calls of the last window were taken.
-    _taken: deque[float]
+    # The times of the accepted calls of the last window.
+    _accepted_at: deque[float]
 
     def __init__(self) -> None:
-        self._taken = deque()
+        self._accepted_at = deque()
 
     def take(self, now: float, per_s: int) -> bool:
-        """Count one call, or return False when it is one too many."""
-        while self._taken and self._taken[0] <= now - APPEND_WINDOW_S:
-            self._taken.popleft()
-        if len(self._taken) >= per_s:
+        """Accept and count one call; return False if it exceeds the limit."""
+        while self._accepted_at and self._accepted_at[0] <= now - APPEND_WINDOW_S:
+            self._accepted_at.popleft()
+        if len(self._accepted_at) >= per_s:
             return False
-        self._taken.append(now)
+        self._accepted_at.append(now)
         return True
 
 
 class WeightStore:
-    """Grant weights at a limited rate, with no burst."""
+    """Grant weights at a limited rate, without bursts."""
 
-    # No grant is given before this time.
+    # Time of the next possible grant.
     _next_at: float
 
     def __init__(self) -> None:
         self._next_at = -math.inf
 
     def ask(self, now: float, per_s: float) -> float:
-        """Grant at once and return 0, or return how long to wait before asking again."""
+        """Grant at once and return 0, or return the time to wait before the next call."""
         if per_s <= 0:
             return math.inf
         if now < self._next_at:
@@ -221,50 +221,50 @@
 
 @dataclass(frozen=True, slots=True)
 class _ListChange:
-    """A change of the list that is made but may not show yet."""
+    """A change of the list that may not be visible yet."""
 
-    shows_at: float
+    visible_at: float
     name: str
     # None removes the entry.
     entry: ListedInstance | None
 
 
 class InstanceList:
-    """A list that shows each change late: an added entry comes late, a removed one stays."""
+    """A list whose changes become visible after a delay."""
 
-    # What the list shows, by name.
-    _shown: dict[str, ListedInstance]
-    # The changes that do not show yet, in the order in which they were made.
+    # The visible entries, by name.
+    _visible: dict[str, ListedInstance]
+    # The changes that are not visible yet, in order.
     _changes: list[_ListChange]
-    # Grows with each change that shows.
+    # Incremented with each change that becomes visible.
     version: int
 
     def __init__(self) -> None:
-        self._shown = {}
+        self._visible = {}
         self._changes = []
         self.version = 0
 
     def change(self, name: str, entry: ListedInstance | None, now: float, lag_s: float) -> None:
-        """Put or, with None, remove an entry; it shows after the lag."""
+        """Set an entry or, with None, remove it; the change is visible after the lag."""
         self._changes.append(_ListChange(now + lag_s, name, entry))
 
-    def shown(self, now: float) -> list[ListedInstance]:
-        """Return what the list shows at this time."""
-        # A change never overtakes an earlier one, even when the lag was made shorter between them.
-        while self._changes and self._changes[0].shows_at <= now:
-            self._show(self._changes.pop(0))
-        return list(self._shown.values())
+    def visible_entries(self, now: float) -> list[ListedInstance]:
+        """Return the visible entries at this time."""
+        # A change never overtakes an earlier one, even if the lag was shortened between them.
+        while self._changes and self._changes[0].visible_at <= now:
+            self._apply(self._changes.pop(0))
+        return list(self._visible.values())
 
-    def _show(self, change: _ListChange) -> None:
+    def _apply(self, change: _ListChange) -> None:
         if change.entry is None:
-            self._shown.pop(change.name, None)
+            self._visible.pop(change.name, None)
         else:
-            self._shown[change.name] = change.entry
+            self._visible[change.name] = change.entry
         self.version += 1
 
 
 class Platform:
-    """The ASGI app: the platform's protocol with its faults."""
+    """The ASGI app of the platform's protocol, with its faults."""
 
     controls: Controls[PlatformBehaviour]
     _streams: dict[str, Stream]
@@ -274,7 +274,7 @@
     _recorder: Recorder
     # Closes the connection of a client without an answer.
     _drop: Callable[[tuple[str, int] | None], None]
-    # Set when the behaviours change, then replaced; ends the wait of hanging calls.
+    # Set and replaced when the behaviours change; wakes hanging calls.
     _behaviour_changed: anyio.Event
 
     def __init__(
@@ -333,8 +333,8 @@
 
     async def _append(self, request: Request, send: Send) -> None:
         body = AppendBody.model_validate_json(await request.body())
-        await self._reach_log(request)
-        await self._be_slow(0.5)
+        await self._check_log_reachable(request)
+        await self._sleep_share(0.5)
         name, stream = self._stream(request)
         caller = _caller(request)
         if not self._append_limit.take(anyio.current_time(), self.controls.table.appends_per_s):
@@ -343,26 +343,31 @@
             return
         first = stream.append(body.records, self.controls.table.retention)
         end = first + len(body.records)
-        acked = not self._loses_ack()
+        acked = not self._loses_acknowledgement()
         self._recorder.write(
-            "append", stream=name, caller=caller, first=first, records=body.records, acked=acked
+            "append",
+            stream=name,
+            caller=caller,
+            first=first,
+            records=body.records,
+            acked=acked,
         )
         if not acked:
             await self._close_unanswered(request)
-        await self._pass_hold(request)
-        await self._be_slow(0.5)
-        # An outage that began meanwhile holds the acknowledgement back, though the append stands.
-        await self._reach_log(request)
+        await self._wait_while_held(request)
+        await self._sleep_share(0.5)
+        # An outage that began meanwhile delays the acknowledgement; the append remains.
+        await self._check_log_reachable(request)
         await send_json(send, 200, {"first": first, "end": end})
 
     async def _read(self, request: Request, send: Send) -> None:
         query = ReadQuery.model_validate(request.query)
         await request.body()
-        await self._reach_log(request)
-        await self._be_slow(1.0)
+        await self._check_log_reachable(request)
+        await self._sleep_share(1.0)
         name, stream = self._stream(request)
         await self._wait_for_record(request, stream, query)
-        await self._pass_hold(request)
+        await self._wait_while_held(request)
         try:
             page = stream.read(query.start, query.limit)
         except ExpiredError:
@@ -388,15 +393,15 @@
                 return
             self._recorder.write("read_waits", caller=_caller(request), start=query.start)
             await _wait(request, stream.appended(), left_s)
-            # An outage that began meanwhile reaches the long polls that were waiting, too.
-            await self._reach_log(request)
+            # An outage that began meanwhile also applies to waiting long polls.
+            await self._check_log_reachable(request)
 
     def _stream(self, request: Request) -> tuple[str, Stream]:
-        found = _LOG_PATH.fullmatch(request.path)
-        assert found is not None
-        return found[1], self._streams.setdefault(found[1], Stream())
+        path_match = _LOG_PATH.fullmatch(request.path)
+        assert path_match is not None
+        return path_match[1], self._streams.setdefault(path_match[1], Stream())
 
-    def _loses_ack(self) -> bool:
+    def _loses_acknowledgement(self) -> bool:
         count = self.controls.table.lose_acks
         if count <= 0:
             return False
@@ -412,10 +417,10 @@
 
     async def _list_instances(self, request: Request, send: Send) -> None:
         await request.body()
-        await self._pass_cut(request)
+        await self._check_partition(request)
         if self.controls.table.list_down:
             raise UnreachableError
-        entries = self._instances.shown(anyio.current_time())
+        entries = self._instances.visible_entries(anyio.current_time())
         body = {
             "instances": [entry.model_dump() for entry in entries],
             "version": self._instances.version,
@@ -424,7 +429,7 @@
 
     async def _grant(self, request: Request, send: Send) -> None:
         body = GrantBody.model_validate_json(await request.body())
-        await self._pass_cut(request)
+        await self._check_partition(request)
         if self.controls.table.weights_down:
             raise UnreachableError
         wait_s = self._weights.ask(anyio.current_time(), self.controls.table.weights_per_s)
@@ -438,7 +443,7 @@
         if wait_s == 0:
             await send_json(send, 200, {"granted": True})
             return
-        # The header holds whole seconds; a rate of 0 has no time at which to ask again.
+        # The header is in whole seconds; with a rate of 0 there is no next grant.
         retry_after = str(math.ceil(wait_s)) if math.isfinite(wait_s) else "60"
         await send_json(send, 429, {"granted": False}, [("Retry-After", retry_after)])
 
@@ -469,28 +474,28 @@
         for stream in self._streams.values():
             stream.wake()
 
-    async def _reach_log(self, request: Request) -> None:
-        """Hang or fail while a fault keeps this caller from the log."""
-        await self._pass_cut(request)
+    async def _check_log_reachable(self, request: Request) -> None:
+        """Hang or fail while a fault makes the log unreachable for this caller."""
+        await self._check_partition(request)
         while (table := self.controls.table).outage:
-            await self._suffer(table.outage_mode, request)
-            await self._pass_cut(request)
+            await self._fail_or_hang(table.outage_mode, request)
+            await self._check_partition(request)
 
-    async def _pass_cut(self, request: Request) -> None:
-        """Hang or fail while this caller is cut off."""
+    async def _check_partition(self, request: Request) -> None:
+        """Hang or fail while this caller can't reach the platform."""
         while _caller(request) in (table := self.controls.table).cut_from:
-            await self._suffer(table.cut_mode, request)
+            await self._fail_or_hang(table.cut_mode, request)
 
-    async def _pass_hold(self, request: Request) -> None:
+    async def _wait_while_held(self, request: Request) -> None:
         while self.controls.table.hold_answers:
             await _wait(request, self._behaviour_changed, None)
 
-    async def _suffer(self, mode: FaultMode, request: Request) -> None:
+    async def _fail_or_hang(self, mode: FaultMode, request: Request) -> None:
         if mode == "refuse":
             raise UnreachableError
         await _wait(request, self._behaviour_changed, None)
 
-    async def _be_slow(self, share: float) -> None:
+    async def _sleep_share(self, share: float) -> None:
         await anyio.sleep(self.controls.table.slow_ms / 1000 * share)
 
 
@@ -499,7 +504,7 @@
 
 
 async def _wait(request: Request, event: anyio.Event, timeout_s: float | None) -> None:
-    """Wait for the event or the timeout, or raise once the client is gone."""
+    """Wait for the event or the timeout; raise if the client disconnects."""
     gone = False
 
     async def watch_client() -> None:
@@ -526,14 +531,14 @@
 
 @click.command()
 @click.option("--address", default="127.0.0.1:0", help="ip:port to listen on; port 0 picks one.")
-@click.option("--retention", default=DEFAULT_RETENTION, help="Records kept for each stream.")
+@click.option("--retention", default=DEFAULT_RETENTION, help="Records that each stream retains.")
 @click.option("--record", type=click.Path(), default=None, help="File for the observed events.")
-@click.option("--list-lag-s", default=DEFAULT_LIST_LAG_S, help="How late changes of the list show.")
-@click.option("--weights-per-s", default=DEFAULT_WEIGHTS_PER_S, help="Weight grants a second.")
+@click.option("--list-lag-s", default=DEFAULT_LIST_LAG_S, help="Delay of changes of the list.")
+@click.option("--weights-per-s", default=DEFAULT_WEIGHTS_PER_S, help="Weight grants per second.")
 def main(
     address: str, retention: int, record: str | None, list_lag_s: float, weights_per_s: float
 ) -> None:
-    """Stand in for the platform's log, instance list and weight store."""
+    """Run a stand-in for the platform's log, instance list and weight store."""
     table = PlatformBehaviour(
         retention=retention, list_lag_s=list_lag_s, weights_per_s=weights_per_s
     )
--- a/packages/turmericweir-standins/turmericweir_standins/procs.py
+++ b/packages/turmericweir-standins/turmericweir_standins/procs.py
@@ -1,12 +1,10 @@
 """Start stand-ins and daemons as child processes, for tests, the demo and measurements.
 
-A child says that it serves by a line `READY name address` on its standard output, so its starter
-waits for an event and never for a guessed time; the safety timeouts only end a run that hangs. A
-thread for each child reads its standard output; its standard error goes to a file, so that a full
-pipe can never stop the child. Children are signalled by their own process id only.
+A child prints a line `READY name address` when it serves, and `Process` waits for this line. The
+timeouts only end a run that hangs. A thread reads the standard output of each child; the standard
+error goes to a file, since a full pipe would block the child.
 
-`call_json` and `set_behaviour` are the blocking calls by which a test steers a stand-in. What the
-children do, and what their records mean, is left to the callers of this module.
+`call_json` and `set_behaviour` are the blocking calls with which tests control a stand-in.
 """
 
 from __future__ import annotations
@@ -37,23 +35,23 @@
 POLL_S: Final = 0.01
 LOOPBACK: Final = "127.0.0.1"
 
-# Parallel test runs start their search at different places, which saves them failed tries.
+# Parallel test runs start their search at different blocks, which avoids failed attempts.
 _port_blocks: Final = PortBlocks(os.getpid())
 
 
 class ProcessError(Exception):
-    """Report what a child process did instead of what was awaited."""
+    """Report that a child process failed at a step."""
 
     def __init__(self, name: str, step: str, detail: str) -> None:
         super().__init__(f"process {name}, step {step}: {detail}")
-        # The name that the starter gave to the child.
+        # The name of the child.
         self.name = name
-        # What the starter was waiting for.
+        # The step that failed.
         self.step = step
 
 
 def wait_until(condition: Callable[[], bool], what: str, timeout_s: float = LINE_TIMEOUT_S) -> None:
-    """Wait for what only shows when it is looked at, such as a line in a record."""
+    """Poll a condition until it is true; raise TimeoutError after the timeout."""
     deadline = time.monotonic() + timeout_s
     while not condition():
         if time.monotonic() > deadline:
@@ -62,7 +60,7 @@
 
 
 def free_port(host: str = LOOPBACK) -> int:
-    """Return a port that is free for TCP and for UDP, and that no parallel run gives now."""
+    """Return a port that is free for TCP and UDP and that no parallel run has reserved."""
     for _ in range(PORT_COUNT):
         port = _port_blocks.next_port()
         if _is_free(host, port, socket.SOCK_STREAM) and _is_free(host, port, socket.SOCK_DGRAM):
@@ -78,7 +76,7 @@
 def _is_free(host: str, port: int, kind: socket.SocketKind) -> bool:
     with socket.socket(socket.AF_INET, kind) as sock:
         if kind is socket.SOCK_STREAM:
-            # As servers bind, so that a port with connections in TIME_WAIT counts as free.
+            # Servers set it too; a port with connections in TIME_WAIT counts as free.
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         try:
             sock.bind((host, port))
@@ -90,15 +88,15 @@
 class Process:
     """One child process: started on entry, awaited until it is ready, stopped on exit."""
 
-    # What the child is called in errors and in the name of its error file.
+    # The name in errors and in the name of the standard error's file.
     name: str
     # The command line.
     argv: list[str]
-    # Where the child's standard error goes; the file is appended to.
+    # The file to which the child's standard error is appended.
     stderr_path: Path
-    # The addresses by the name in each READY line, in the order in which they came.
+    # The addresses of the READY lines by their names, in the order of the lines.
     addresses: dict[str, str]
-    # Every line of the child's standard output so far.
+    # All lines of the child's standard output until now.
     lines: list[str]
 
     def __init__(
@@ -124,7 +122,7 @@
         # Guards `lines`, `addresses` and `_ended`, and is notified when one of them changes.
         self._changed = threading.Condition()
         # Whether the child's standard output has ended.
-        self._ended = False
+        self._output_ended = False
 
     # Start and stop.
 
@@ -148,7 +146,7 @@
     def start(self) -> None:
         """Start the child without waiting for it."""
         if self._popen is not None:
-            raise ProcessError(self.name, "start", "it was started before")
+            raise ProcessError(self.name, "start", "the process was already started")
         self.stderr_path.parent.mkdir(parents=True, exist_ok=True)
         with self.stderr_path.open("ab") as stderr:
             self._popen = subprocess.Popen(
@@ -169,11 +167,11 @@
         self._reader.start()
 
     def stop(self) -> int | None:
-        """End the child: by SIGTERM, and by SIGKILL when it has not ended in the grace period."""
+        """Stop the child with SIGTERM, and with SIGKILL after the grace period."""
         if self._popen is None:
             return None
         if self.running:
-            # A paused child would keep SIGTERM pending for ever.
+            # A paused child would not receive SIGTERM.
             self.resume()
             self.terminate()
         try:
@@ -187,7 +185,7 @@
             self._popen.stdout.close()
         return code
 
-    # What the child says.
+    # Output of the child.
 
     @property
     def address(self) -> str:
@@ -195,7 +193,7 @@
         with self._changed:
             for address in self.addresses.values():
                 return address
-        raise ProcessError(self.name, "address", "it has not said that it is ready")
+        raise ProcessError(self.name, "address", "the process has not printed a READY line")
 
     @property
     def port(self) -> int:
@@ -203,24 +201,24 @@
         return int(self.address.rpartition(":")[2])
 
     def wait_ready(self, ready_name: str | None = None) -> str:
-        """Wait for a READY line, or for the one of that name, and return its address."""
-        found = self._wait_until(
+        """Wait for the first READY line, or for the one of a name, and return its address."""
+        is_ready = self._wait_for(
             lambda: ready_name in self.addresses if ready_name else bool(self.addresses),
             self._ready_timeout_s,
         )
-        if not found:
+        if not is_ready:
             raise ProcessError(self.name, "ready", self._describe_failure())
         return self.addresses[ready_name] if ready_name else self.address
 
-    def wait_line(self, wanted: Callable[[str], bool], timeout_s: float = LINE_TIMEOUT_S) -> str:
-        """Wait for the first line of standard output that is wanted, and return it."""
-        if not self._wait_until(lambda: any(map(wanted, self.lines)), timeout_s):
+    def wait_line(self, is_wanted: Callable[[str], bool], timeout_s: float = LINE_TIMEOUT_S) -> str:
+        """Wait for a matching line of standard output and return the first one."""
+        if not self._wait_for(lambda: any(map(is_wanted, self.lines)), timeout_s):
             raise ProcessError(self.name, "line", self._describe_failure())
         with self._changed:
-            return next(line for line in self.lines if wanted(line))
+            return next(line for line in self.lines if is_wanted(line))
 
     def stderr_text(self) -> str:
-        """Return what the child has written to its standard error."""
+        """Return the child's standard error until now."""
         return self.stderr_path.read_text(encoding="utf-8", errors="replace")
 
     # Signals.
@@ -232,71 +230,73 @@
 
     @property
     def running(self) -> bool:
-        """Whether the child has been started and has not ended; a paused child runs."""
+        """Whether the child was started and has not ended; a paused child counts as running."""
         return self._popen is not None and self._popen.poll() is None
 
     def pause(self) -> None:
-        """Stop the child where it stands; return once the system shows it as stopped."""
+        """Stop the child with SIGSTOP and wait until the system shows it as stopped."""
         child = self._child("pause")
         child.send_signal(signal.SIGSTOP)
-        # The signal is delivered at a later moment, and a test that acts on the pause at once would
-        # now and then still get an answer. WNOWAIT leaves the exit status to `wait`.
+        # Prevents a child that still answers after `pause` has returned: the signal is delivered
+        # asynchronously. WNOWAIT leaves the exit status to `wait`.
         options = os.WSTOPPED | os.WEXITED | os.WNOWAIT
         os.waitid(os.P_PID, child.pid, options)
 
     def resume(self) -> None:
-        """Let a paused child go on."""
+        """Resume a paused child."""
         self._child("resume").send_signal(signal.SIGCONT)
 
     def terminate(self) -> None:
-        """Ask the child to end gracefully."""
+        """Send SIGTERM to the child, which requests a graceful stop."""
         self._child("terminate").terminate()
 
     def kill(self) -> None:
-        """End the child at once, as a crash would."""
+        """Send SIGKILL to the child, which ends it like a crash."""
         self._child("kill").kill()
 
     def wait(self, timeout_s: float | None = STOP_GRACE_S) -> int:
-        """Wait for the child's end and return its exit code; negative for a signal."""
+        """Wait for the end of the child and return its exit code; negative for a signal."""
         try:
             return self._child("wait").wait(timeout_s)
         except subprocess.TimeoutExpired:
-            raise ProcessError(self.name, "wait", f"still runs after {timeout_s} s") from None
+            raise ProcessError(
+                self.name, "wait", f"the process still runs after {timeout_s} s"
+            ) from None
 
     # Internals.
 
     def _child(self, step: str) -> subprocess.Popen[str]:
         if self._popen is None:
-            raise ProcessError(self.name, step, "it was not started")
+            raise ProcessError(self.name, step, "the process was not started")
         return self._popen
 
     def _read(self, stdout: IO[str]) -> None:
         for line in stdout:
             with self._changed:
-                self._take_line(line.rstrip("\n"))
+                self._add_line(line.rstrip("\n"))
                 self._changed.notify_all()
         with self._changed:
-            self._ended = True
+            self._output_ended = True
             self._changed.notify_all()
 
-    def _take_line(self, line: str) -> None:
+    def _add_line(self, line: str) -> None:
         self.lines.append(line)
         words = line.split()
         if len(words) == 3 and words[0] == READY_WORD:
             self.addresses[words[1]] = words[2]
 
-    def _wait_until(self, done: Callable[[], bool], timeout_s: float) -> bool:
+    def _wait_for(self, condition: Callable[[], bool], timeout_s: float) -> bool:
         deadline = time.monotonic() + timeout_s
         with self._changed:
-            while not done():
-                left = deadline - time.monotonic()
-                if self._ended or left <= 0:
+            while not condition():
+                left_s = deadline - time.monotonic()
+                if self._output_ended or left_s <= 0:
                     return False
-                self._changed.wait(left)
+                self._changed.wait(left_s)
             return True
 
     def _describe_failure(self) -> str:
-        state = "its standard output ended" if self._ended else "the safety timeout passed"
+        state = "the standard output ended" if self._output_ended else "the safety timeout expired"
         return f"{state}; standard error ends with:\n{self.stderr_text()[-2000:]}"
 
 
@@ -307,7 +307,7 @@
     name: str | None = None,
     env: Mapping[str, str] | None = None,
 ) -> Process:
-    """Return the stand-in of that module of this package, not yet started."""
+    """Return the process of a stand-in, by its module of this package, not yet started."""
     argv = [sys.executable, "-m", f"turmericweir_standins.{module}", *args]
     return Process(argv, name=name or module, directory=directory, env=env)
 
@@ -319,7 +319,7 @@
     status: int
     # Header values by lower-case name.
     headers: dict[str, str]
-    # Any: the decoded JSON of whichever call it was; None for an empty body.
+    # Any: the decoded JSON; None for an empty body.
     body: Any
 
 
@@ -331,24 +331,24 @@
     headers: Mapping[str, str] | None = None,
     timeout_s: float = CALL_TIMEOUT_S,
 ) -> JsonAnswer:
-    """Make one call on a new connection; an unanswered one raises what `http.client` raises."""
+    """Make one call on a new connection; without an answer, raise the error of `http.client`."""
     host, _, port = address.rpartition(":")
     conn = http.client.HTTPConnection(host, int(port), timeout=timeout_s)
     try:
         data = None if body is None else orjson.dumps(body)
-        named = {"Content-Type": "application/json", **(headers or {})}
-        conn.request(method, path, data, named)
+        all_headers = {"Content-Type": "application/json", **(headers or {})}
+        conn.request(method, path, data, all_headers)
         response = conn.getresponse()
         text = response.read()
-        named = {name.lower(): value for name, value in response.getheaders()}
-        return JsonAnswer(response.status, named, orjson.loads(text) if text else None)
+        all_headers = {name.lower(): value for name, value in response.getheaders()}
+        return JsonAnswer(response.status, all_headers, orjson.loads(text) if text else None)
     finally:
         conn.close()
 
 
-# Any: the table that the call returns holds whatever that stand-in's behaviours are.
+# Any: the table differs by stand-in.
 def set_behaviour(address: str, **changes: object) -> dict[str, Any]:
-    """Merge these entries into a stand-in's table of behaviours and return the whole table."""
+    """Change entries of a stand-in's table of behaviours and return the whole table."""
     answer = call_json(address, "POST", "/_standin/behaviour", changes)
     if answer.status != 200 or not isinstance(answer.body, dict):
         raise ValueError(f"the stand-in at {address} refused {changes}: {answer.body}")
@@ -356,7 +356,7 @@
 
 
 def set_faults(proxy: str, routes: Sequence[str] | None, **changes: object) -> None:
-    """Change the faults of these routes of the proxy, or of all; in force when this returns."""
+    """Change the faults of some routes of the proxy, or of all; they are in force on return."""
     query = "" if routes is None else "?route=" + ",".join(routes)
     answer = call_json(proxy, "POST", f"/_standin/behaviour{query}", changes)
     if answer.status != 200:
--- a/packages/turmericweir-standins/turmericweir_standins/proxy.py
+++ b/packages/turmericweir-standins/turmericweir_standins/proxy.py
@@ -1,15 +1,16 @@
 """A fault-injecting TCP and UDP proxy: one process, many routes, one control port.
 
-Start it with `python -m turmericweir_standins.proxy`. A route listens on one address and passes
-on to one target; it is named by the address on which it listens. A TCP and a UDP route may share
-that address, and then share what the control port is told. The faults are listed in
-`proxy_fault.RouteBehaviour`, the carrying is in `proxy_tcp` and `proxy_udp`.
+Start it with `python -m turmericweir_standins.proxy`. A route listens on one address, which is its
+name, and forwards to one target. A TCP and a UDP route may share an address; changes on the control
+port then apply to both. `proxy_fault.RouteBehaviour` defines the faults; `proxy_tcp` and
+`proxy_udp` forward the traffic.
 
 The control port:
 - `GET /_standin/routes` lists the routes, in the order in which they were added;
-- `POST /_standin/routes` with `{"routes": [{"kind", "listen", "target"}]}` adds some and lists all;
-- `POST /_standin/behaviour` changes the faults of all routes, and with `?route=ip:port,ip:port`
-  those of these routes; once it answers, the change is in force;
+- `POST /_standin/routes` with `{"routes": [{"kind", "listen", "target"}]}` adds routes and
+  lists all;
+- `POST /_standin/behaviour` changes the faults of all routes, or with `?route=ip:port,ip:port`
+  those of some routes; the change is in force when it answers;
 - `GET /_standin/behaviour` shows the faults of each route.
 """
 
@@ -46,7 +47,7 @@
 
 
 class RouteSpec(BaseModel):
-    """A route as it is asked for."""
+    """A requested route."""
 
     kind: Literal["tcp", "udp"] = "tcp"
     # `ip:port`; the port may be 0.
@@ -61,11 +62,11 @@
 
 
 class UnknownRouteError(ValueError):
-    """Report a route name that no route has."""
+    """Report an unknown route name."""
 
 
 class Proxy:
-    """The routes of this process and the ASGI app that controls them."""
+    """The routes of this process and the ASGI app of the control port."""
 
     # In the order in which they were added.
     _routes: list[Route]
@@ -80,8 +81,8 @@
         self._recorder = recorder
 
     async def add(self, spec: RouteSpec) -> None:
-        """Open one more route."""
-        # Each route draws from its own generator, so that one route's traffic changes no other's.
+        """Open another route."""
+        # Each route has its own generator; the traffic of one route does not affect the others.
         seed = f"{self._seed}:{len(self._routes)}"
         listen = _split(spec.listen)
         target = _split(spec.target)
@@ -131,19 +132,19 @@
         changes = orjson.loads(await request.body())
         if not isinstance(changes, dict):
             raise ValueError("the body must be a JSON object")
-        for route in self._named(request.query.get("route")):
+        for route in self._routes_named(request.query.get("route")):
             route.controls.merge(changes)
             await route.settle()
 
-    def _named(self, names: str | None) -> list[Route]:
+    def _routes_named(self, names: str | None) -> list[Route]:
         if names is None:
             return list(self._routes)
         chosen: list[Route] = []
         for name in names.split(","):
-            found = [route for route in self._routes if _name(route) == name]
-            if not found:
+            matches = [route for route in self._routes if _name(route) == name]
+            if not matches:
                 raise UnknownRouteError(f"no route listens on {name}")
-            chosen.extend(found)
+            chosen.extend(matches)
         return chosen
 
     async def _send_routes(self, send: Send) -> None:
@@ -195,11 +196,11 @@
     def __init__(self, kind: Literal["tcp", "udp"]) -> None:
         self._kind = kind
 
-    # Any: click hands over whatever the option's source holds.
+    # Any: click passes a value of any type.
     def convert(
         self, value: Any, param: click.Parameter | None, ctx: click.Context | None
     ) -> RouteSpec:
-        """Read `ip:port=ip:port`."""
+        """Parse `ip:port=ip:port`."""
         listen, _, target = str(value).partition("=")
         try:
             _split(listen)
@@ -217,7 +218,7 @@
 @click.option(
     "--udp-route", "udp", type=_SpecType("udp"), multiple=True, help="A UDP route; may be repeated."
 )
-@click.option("--seed", default=0, help="Seed of what is drawn by chance.")
+@click.option("--seed", default=0, help="Seed of random choices.")
 @click.option("--record", type=click.Path(), default=None, help="File for the observed events.")
 def main(
     address: str,
@@ -226,7 +227,7 @@
     seed: int,
     record: str | None,
 ) -> None:
-    """Pass TCP connections and UDP datagrams on, with faults on demand."""
+    """Forward TCP connections and UDP datagrams, with faults on demand."""
     anyio.run(serve, address, (*tcp, *udp), seed, record)
 
 
--- a/packages/turmericweir-standins/turmericweir_standins/proxy_tcp.py
+++ b/packages/turmericweir-standins/turmericweir_standins/proxy_tcp.py
@@ -1,12 +1,11 @@
-"""A TCP route of the proxy: each connection is carried to the target, with the route's faults.
+"""A TCP route of the proxy: each connection is forwarded to the target, with the route's faults.
 
-A byte stream never has a gap. So once bytes of a direction were swallowed, that direction of the
-connection stays silent for good, also after the fault is lifted; to deliver later bytes would show
-the receiver a damaged stream that no network produces. The end of a connection is swallowed like
-bytes: the other side is not told. Bytes that are only held back come with `freeze`.
+After bytes of a direction were discarded, this direction of the connection stays silent, also after
+the fault has ended: a byte stream with a gap would be a fault that no network produces. The end of
+a connection is discarded like bytes. `freeze` holds bytes back without loss.
 
-The event loop's protocols are used directly, since anyio's streams would cost several times as
-much for each chunk, and the proxy carries every token of every stream.
+The module uses the event loop's protocols, since anyio's streams cost several times as much
+processor time for each chunk.
 """
 
 from __future__ import annotations
@@ -27,28 +26,27 @@
 from turmericweir_standins.record import Recorder
 
 BACKLOG: Final = 1024
-# Shared by all sockets: what is read into it is taken out before the loop reads again.
+# Receive buffer of all sockets; its content is copied before the loop reads again.
 _RECEIVED: Final = memoryview(bytearray(262_144))
-# SO_LINGER with a time of 0: close sends a reset.
+# SO_LINGER with a time of 0: closing sends a reset.
 _RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
 
 
 class _End(asyncio.BufferedProtocol):
-    """The proxy's socket towards one of the two sides.
+    """The proxy's socket to the client or to the target.
 
-    A buffered protocol: for the other kind the loop allocates 256 KiB for each read, which costs
-    several times as much as reading a token.
+    It is a buffered protocol, since the loop allocates a large buffer for each read of a plain one.
     """
 
     # The connection to which the socket belongs.
     connection: _Connection
-    # Which way the bytes go that are received here.
+    # The direction of the bytes that this socket receives.
     direction: Direction
     # None before the socket is connected.
     transport: asyncio.Transport | None
     # Whether the socket was open and is now closed.
     lost: bool
-    # Whether so much waits to be written here that no more should be read from the other end.
+    # Whether the write buffer is full; reading from the other end then pauses.
     full: bool
 
     def __init__(self, connection: _Connection, direction: Direction) -> None:
@@ -96,12 +94,12 @@
             self.transport.write(data)
 
     def write_eof(self) -> None:
-        """End the bytes of one direction and keep the other."""
+        """Close the writing direction of the socket."""
         if self.transport is not None and self.writable:
             self.transport.write_eof()
 
     def close(self, reset: bool) -> None:
-        """Close the socket, with a reset or after what is buffered was written."""
+        """Close the socket, with a reset or after the buffered bytes were written."""
         if self.transport is None or self.transport.is_closing():
             return
         if reset:
@@ -117,15 +115,15 @@
     _route: TcpRoute
     # The ends by the direction of the bytes that they receive.
     _ends: dict[Direction, _End]
-    # What is on its way, by direction.
+    # Delayed bytes, by direction.
     _lines: dict[Direction, DelayLine]
-    # The directions that swallow everything, for good.
-    _silent: set[Direction]
-    # The directions whose end was passed on.
-    _ended: set[Direction]
-    # Whether bytes went forward and none came back since.
+    # The directions in which all bytes are discarded permanently.
+    _silent_directions: set[Direction]
+    # The directions whose end was forwarded.
+    _ended_directions: set[Direction]
+    # Whether bytes were forwarded to the target and none were returned since.
     _awaits_response: bool
-    # The IP of the one who connects.
+    # The IP address of the client.
     _source: str
 
     def __init__(self, route: TcpRoute) -> None:
@@ -133,20 +131,20 @@
         frozen = route.controls.table.freeze
         self._ends = {direction: _End(self, direction) for direction in Direction}
         self._lines = {direction: DelayLine(frozen) for direction in Direction}
-        self._silent = set()
-        self._ended = set()
+        self._silent_directions = set()
+        self._ended_directions = set()
         self._awaits_response = False
         self._source = ""
 
     @property
     def client_end(self) -> _End:
-        """The end towards the one who connected."""
+        """The socket to the client."""
         return self._ends[Direction.FORWARD]
 
-    # What the sockets report.
+    # Events of the sockets.
 
     def on_open(self, end: _End) -> None:
-        """Take note of an open socket."""
+        """Handle a newly connected socket."""
         self.update_reading()
         if end is self.client_end:
             assert end.transport is not None
@@ -154,49 +152,48 @@
             self._route.on_connection(self)
 
     def on_data(self, direction: Direction, data: bytes) -> None:
-        """Pass the bytes on, or swallow them."""
-        if self._swallows(direction):
+        """Forward the bytes, or discard them."""
+        if self._is_discarded(direction):
             return
         if direction is Direction.FORWARD:
             self._awaits_response = True
         elif self._awaits_response:
             self._awaits_response = False
-            if self._route.takes_response():
+            if self._route.loses_response():
                 self.close(reset=False)
                 return
-        self._push(direction, partial(self._receiver(direction).write, data))
+        self._forward(direction, partial(self._receiver(direction).write, data))
 
     def on_eof(self, direction: Direction) -> None:
-        """Pass the end of the bytes on, or swallow it."""
-        if not self._swallows(direction):
-            self._push(direction, partial(self._pass_eof, direction))
-        elif len(self._silent) == len(Direction):
-            # Nothing will ever be written to who has ended this, so its socket is of no use.
+        """Forward the end of a direction, or discard it."""
+        if not self._is_discarded(direction):
+            self._forward(direction, partial(self._forward_eof, direction))
+        elif len(self._silent_directions) == len(Direction):
+            # Both directions are silent: nothing will be written to this socket.
             self._ends[direction].close(reset=False)
 
-    def _pass_eof(self, direction: Direction) -> None:
+    def _forward_eof(self, direction: Direction) -> None:
         self._receiver(direction).write_eof()
-        self._ended.add(direction)
-        if len(self._ended) == len(Direction):
-            # Nothing can come from either side any more, but the sockets would stay open: both
-            # were kept for the bytes of the other direction.
+        self._ended_directions.add(direction)
+        if len(self._ended_directions) == len(Direction):
+            # Both directions have ended; prevents sockets that stay open.
             for end in self._ends.values():
                 end.close(reset=False)
 
     def on_lost(self, direction: Direction, reset: bool) -> None:
-        """Close the other end as well, unless it must not learn of it."""
-        if not self._swallows(direction):
-            self._push(direction, partial(self._receiver(direction).close, reset))
+        """Close the other end as well, unless the direction is silent."""
+        if not self._is_discarded(direction):
+            self._forward(direction, partial(self._receiver(direction).close, reset))
         if all(end.lost or end.transport is None for end in self._ends.values()):
             self._route.on_closed(self)
 
-    # What the route orders.
+    # Actions of the route.
 
     async def connect(self) -> None:
-        """Connect to the target, as late as the handshake would be done."""
+        """Connect to the target after the delay of a handshake."""
         await anyio.sleep(2 * self._route.controls.table.delay_s)
         await self._route.wait_unfrozen()
-        if all(self._is_cut(direction) for direction in Direction) or self._silent:
+        if all(self._has_cut(direction) for direction in Direction) or self._silent_directions:
             self.silence()
             return
         server_end = self._ends[Direction.BACKWARD]
@@ -210,26 +207,26 @@
             server_end.close(reset=True)
 
     def silence(self) -> None:
-        """Swallow from now on all bytes, with those on their way, and never tell either side."""
-        self._silent.update(Direction)
+        """Discard all delayed and later bytes without closing either end."""
+        self._silent_directions.update(Direction)
         for line in self._lines.values():
             line.clear()
         self.update_reading()
 
     def close(self, reset: bool) -> None:
-        """Close both ends; what is on its way is lost."""
+        """Close both ends; delayed bytes are lost."""
         self.silence()
         for end in self._ends.values():
             end.close(reset)
 
     def set_frozen(self, frozen: bool) -> None:
-        """Hold everything back, or let it go on."""
+        """Hold all bytes back, or resume them."""
         for line in self._lines.values():
             line.set_frozen(frozen)
         self.update_reading()
 
     def update_reading(self) -> None:
-        """Read from each end only while its bytes can go somewhere."""
+        """Read from each end only while its bytes can be forwarded or discarded."""
         for direction, end in self._ends.items():
             if end.transport is None or end.transport.is_closing():
                 continue
@@ -241,7 +238,7 @@
     def _may_read(self, direction: Direction) -> bool:
         if self._route.controls.table.freeze:
             return False
-        if direction in self._silent:
+        if direction in self._silent_directions:
             return True
         receiver = self._receiver(direction)
         return receiver.transport is not None and not receiver.full
@@ -251,22 +248,22 @@
     def _receiver(self, direction: Direction) -> _End:
         return self._ends[direction.opposite]
 
-    def _swallows(self, direction: Direction) -> bool:
-        if self._is_cut(direction):
-            self._silent.add(direction)
-        return direction in self._silent
+    def _is_discarded(self, direction: Direction) -> bool:
+        if self._has_cut(direction):
+            self._silent_directions.add(direction)
+        return direction in self._silent_directions
 
-    def _is_cut(self, direction: Direction) -> bool:
-        return self._route.controls.table.cuts(direction, self._source)
+    def _has_cut(self, direction: Direction) -> bool:
+        return self._route.controls.table.discards(direction, self._source)
 
-    def _push(self, direction: Direction, action: Callable[[], None]) -> None:
+    def _forward(self, direction: Direction, action: Callable[[], None]) -> None:
         self._lines[direction].push(self._route.controls.table.delay_s, action)
 
 
 class TcpRoute:
-    """Listen on one address and carry each connection to the target."""
+    """Listen on one address and forward each connection to the target."""
 
-    # The address on which the route listens; the port in use, also when 0 was asked for.
+    # The address on which the route listens, with the port in use.
     listen: tuple[str, int]
     target: tuple[str, int]
     controls: Controls[RouteBehaviour]
@@ -299,12 +296,12 @@
         self._recorder = recorder
 
     async def settle(self) -> None:
-        """Listen or not, as the behaviours in force say."""
-        refuses = self.controls.table.drop >= 1
-        if refuses and self._server is not None:
+        """Listen or stop listening, as the faults in force require."""
+        is_refusing = self.controls.table.drop >= 1
+        if is_refusing and self._server is not None:
             self._server.close()
             self._server = None
-        elif not refuses and self._server is None:
+        elif not is_refusing and self._server is None:
             await self._listen()
 
     def close(self) -> None:
@@ -316,7 +313,7 @@
             connection.close(reset=True)
 
     def on_connection(self, connection: _Connection) -> None:
-        """Carry a new connection to the target, or reset it."""
+        """Forward a new connection to the target, or reset it."""
         if self._random.random() < self.controls.table.drop:
             self._record("refused")
             connection.client_end.close(reset=True)
@@ -326,13 +323,13 @@
         self._tasks.start_soon(connection.connect)
 
     def on_closed(self, connection: _Connection) -> None:
-        """Forget a connection of which no socket is open."""
+        """Remove a connection that has no open socket."""
         if connection in self._connections:
             self._connections.remove(connection)
             self._record("closed")
 
-    def takes_response(self) -> bool:
-        """Tell whether the answer that begins now is to be lost, and count it."""
+    def loses_response(self) -> bool:
+        """Return whether the answer that begins is to be lost, and count it."""
         count = self.controls.table.lose_response
         if count <= 0:
             return False
@@ -360,7 +357,7 @@
         if table.close_existing:
             for connection in list(self._connections):
                 connection.close(reset=False)
-        # These two act once and are not in force afterwards.
+        # These two faults act once and are then reset.
         self.controls.table = table.model_copy(
             update={"silence_existing": False, "close_existing": False}
         )
--- a/packages/turmericweir-standins/turmericweir_standins/proxy_udp.py
+++ b/packages/turmericweir-standins/turmericweir_standins/proxy_udp.py
@@ -1,7 +1,7 @@
 """A UDP route of the proxy: datagrams go to the target and its replies go back.
 
-Each sender gets a socket of its own towards the target, as behind an address translator, so that
-replies find their way. Datagrams can be lost, delayed, swallowed or held back.
+Each sender gets its own socket to the target, as in network address translation, to which the
+replies are sent. Datagrams can be lost, delayed, discarded or held back.
 """
 
 from __future__ import annotations
@@ -16,22 +16,22 @@
 from turmericweir_standins.proxy_fault import DelayLine, Direction, RouteBehaviour
 from turmericweir_standins.record import Recorder
 
-MAX_DATAGRAM: Final = 65_536
-# Datagrams held back beyond this number are lost, as those beyond a socket's buffer are.
-MAX_HELD: Final = 1000
+DATAGRAM_MAX_BYTES: Final = 65_536
+# Datagrams beyond this number are lost while the route is frozen, as with a full socket buffer.
+HELD_DATAGRAMS_MAX: Final = 1000
 
 Address = tuple[str, int]
 
 
 class UdpRoute(asyncio.DatagramProtocol):
-    """Listen on one address and pass datagrams on to the target."""
+    """Listen on one address and forward datagrams to the target."""
 
-    # The address on which the route listens; the port in use, also when 0 was asked for.
+    # The address on which the route listens, with the port in use.
     listen: Address
     target: Address
     controls: Controls[RouteBehaviour]
-    # The socket towards the target for each sender.
-    # TODO: drop idle ones when a test makes more senders than there are file descriptors.
+    # The socket to the target for each sender.
+    # TODO: close idle ones when a test has more senders than there are file descriptors.
     _upstreams: dict[Address, socket.socket]
     _lines: dict[Direction, DelayLine]
     _transport: asyncio.DatagramTransport | None
@@ -69,7 +69,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str | object, int]) -> None:
         upstream = self._upstream(cast(Address, addr))
-        self._pass(Direction.FORWARD, cast(Address, addr), partial(_send, upstream, data))
+        self._forward(Direction.FORWARD, cast(Address, addr), partial(_send, upstream, data))
 
     def _upstream(self, sender: Address) -> socket.socket:
         upstream = self._upstreams.get(sender)
@@ -79,35 +79,35 @@
             upstream.connect(self.target)
             self._upstreams[sender] = upstream
             loop = asyncio.get_running_loop()
-            loop.add_reader(upstream, self._take_reply, upstream, sender)
+            loop.add_reader(upstream, self._receive_reply, upstream, sender)
         return upstream
 
-    def _take_reply(self, upstream: socket.socket, sender: Address) -> None:
+    def _receive_reply(self, upstream: socket.socket, sender: Address) -> None:
         try:
-            data = upstream.recv(MAX_DATAGRAM)
+            data = upstream.recv(DATAGRAM_MAX_BYTES)
         except OSError:
-            # Nobody listens at the target; a datagram's sender is not told so.
+            # The target does not listen; the sender of a datagram gets no error.
             return
-        self._pass(Direction.BACKWARD, sender, partial(self._send_back, data, sender))
+        self._forward(Direction.BACKWARD, sender, partial(self._send_back, data, sender))
 
     def _send_back(self, data: bytes, sender: Address) -> None:
         if self._transport is not None:
             self._transport.sendto(data, sender)
 
-    def _pass(self, direction: Direction, sender: Address, action: partial[None]) -> None:
+    def _forward(self, direction: Direction, sender: Address, action: partial[None]) -> None:
         table = self.controls.table
-        if table.cuts(direction, sender[0]):
+        if table.discards(direction, sender[0]):
             return
         if self._random.random() < table.drop:
             self._record("dropped", direction)
             return
         line = self._lines[direction]
-        if table.freeze and len(line) >= MAX_HELD:
+        if table.freeze and len(line) >= HELD_DATAGRAMS_MAX:
             return
         line.push(table.delay_s, action)
 
     def _on_change(self, table: RouteBehaviour) -> None:
-        # These two are about connections; here they have nothing to act on.
+        # These two faults concern connections and have no effect on UDP.
         self.controls.table = table.model_copy(
             update={"silence_existing": False, "close_existing": False}
         )
@@ -123,5 +123,5 @@
     try:
         sock.send(data)
     except OSError:
-        # Lost, as datagrams are: nobody listens, the buffer is full, or the route was closed.
+        # The datagram is lost: the target does not listen, the buffer is full, or the route closed.
         return
--- a/packages/turmericweir-standins/turmericweir_standins/record.py
+++ b/packages/turmericweir-standins/turmericweir_standins/record.py
@@ -1,8 +1,7 @@
 """The record of a stand-in: one JSON line for each event that it observed.
 
-Tests check what the system promised against these files and not against the system's own account
-of itself. So a line must be in the file before the stand-in does anything that could end its
-process: each write goes to the kernel at once and survives a kill of the process.
+Tests check the system against these files instead of the system's own reports. Each line is written
+unbuffered, before the stand-in acts on the event, and survives a kill of the process.
 """
 
 from __future__ import annotations
@@ -18,9 +17,9 @@
 
 
 class Recorder:
-    """Append observed events to a file; without a path it drops them."""
+    """Append observed events to a file; without a path they are dropped."""
 
-    # The open file, or None where nothing is kept.
+    # The open file; None without a path or after `close`.
     _fd: int | None
 
     def __init__(self, path: str | None) -> None:
@@ -35,11 +34,11 @@
         self.close()
 
     def write(self, event: str, **fields: object) -> None:
-        """Append one event with the wall-clock time at which it was seen."""
+        """Append one event with the present wall-clock time."""
         if self._fd is None:
             return
         line = orjson.dumps({"event": event, "at": time.time(), **fields})
-        # One write call on an append-only descriptor keeps the lines of several processes whole.
+        # A single write to an append-only descriptor does not mix the lines of several processes.
         os.write(self._fd, line + b"\n")
 
     def close(self) -> None:
@@ -49,10 +48,10 @@
             self._fd = None
 
 
-# Any: the fields differ by event and are whatever JSON holds.
+# Any: the fields differ by event.
 def read_records(path: str | Path) -> list[dict[str, Any]]:
-    """Read all whole lines of a record, in the order in which they were written."""
+    """Return all complete lines of a record, in the order in which they were written."""
     data = Path(path).read_bytes()
-    # The last piece is empty, or a line that is being written at this moment.
+    # The last piece is empty or an incomplete line.
     lines = data.split(b"\n")[:-1]
     return [orjson.loads(line) for line in lines if line]
--- a/packages/turmericweir-standins/turmericweir_standins/service.py
+++ b/packages/turmericweir-standins/turmericweir_standins/service.py
@@ -1,9 +1,9 @@
 """A stand-in for a plain service: `python -m turmericweir_standins.service --help`.
 
-It takes any method and path, works for a while and answers what it was asked. It never compares
-idempotency keys with earlier ones: a call that reaches it twice runs twice, and the record and the
-`run` number in the answer show it. A run that has begun goes on to its end even when the caller is
-gone, as it would in a service that writes to a database.
+It accepts any method and path, waits for the duration of a run and echoes the request. It does not
+deduplicate by idempotency key: a call that arrives twice runs twice, which the record and the `run`
+number in the answer show. A run continues to its end if the caller disconnects, as in a service
+that writes to a database.
 """
 
 from __future__ import annotations
@@ -49,22 +49,22 @@
     latency_s: float = 0.02
     # Standard deviation of the logarithm of the duration.
     spread: float = 0.3
-    # How many runs there may be at once.
+    # Maximum number of concurrent runs.
     limit: int = 32
-    # How many requests may wait for a run; more are refused.
+    # Maximum number of waiting requests; more are refused.
     queue_limit: int = 64
-    # Seeds the durations.
+    # Seed of the durations.
     seed: int = 0
 
 
 class ServiceBehaviour(BehaviourTable):
     """The behaviours that a test can change while the service runs."""
 
-    # Every run takes this many times as long.
+    # Multiplies the duration of every run.
     slow_factor: float = Field(default=1.0, gt=0)
-    # New requests are refused and the report says so; what runs is finished.
+    # New requests are refused and the report shows it; running requests are completed.
     leaving: bool = False
-    # Requests are accepted, but none begins to run and none is answered.
+    # Requests are accepted but neither run nor answered.
     frozen: bool = False
     # New requests are refused before they start.
     refuse_start: bool = False
@@ -97,18 +97,18 @@
 
     request_id: str
     attempt_id: str
-    # None where the caller gave none.
+    # None for a call without an idempotency key.
     key: str | None
     method: str
     path: str
 
     @property
-    def counted_as(self) -> str:
-        """What runs are counted by."""
+    def run_id(self) -> str:
+        """The id by which runs are counted: the key, or the request id without one."""
         return self.key if self.key is not None else self.request_id
 
     def fields(self) -> dict[str, object]:
-        """Return what the record says of the call."""
+        """Return the fields of the call in the record."""
         return {
             "request_id": self.request_id,
             "attempt_id": self.attempt_id,
@@ -124,11 +124,11 @@
     options: Final[ServiceOptions]
     controls: Final[Controls[ServiceBehaviour]]
     incarnation: Final[str]
-    # Runs by key, or by request id where there is no key.
+    # Number of runs by key, or by request id without a key.
     runs: Final[Counter[str]]
-    # Requests that run or wait for it.
+    # Number of running and waiting requests.
     _accepted: int
-    # Requests that run.
+    # Number of running requests.
     _running: int
     # Number of the last load report.
     _seq: int
@@ -190,11 +190,11 @@
             await send_json(send, status, {"error": reason}, headers)
             return
         self._write("received", **call.fields())
-        run = await self._run_in_turn(call)
+        run = await self._wait_and_run(call)
         await self._answer(request, send, call, run, body)
 
     def _refusal(self) -> tuple[int, str, tuple[tuple[str, str], ...]] | None:
-        """Return the status, reason and headers with which a request is refused before its run."""
+        """Return the status, reason and headers of a refusal before the run, if there is one."""
         table = self.controls.table
         if table.refuse_start:
             return UNAVAILABLE, "refuses to start", (NOT_STARTED,)
@@ -204,8 +204,8 @@
             return TOO_MANY_REQUESTS, "queue full", (NOT_STARTED,)
         return None
 
-    async def _run_in_turn(self, call: Call) -> int:
-        """Wait for a slot and run; return how many runs there were of this call."""
+    async def _wait_and_run(self, call: Call) -> int:
+        """Wait for a slot and run; return the number of runs of this call."""
         self._accepted += 1
         try:
             async with self._slots:
@@ -215,9 +215,9 @@
 
     async def _run(self, call: Call) -> int:
         self._running += 1
-        self.runs[call.counted_as] += 1
-        run = self.runs[call.counted_as]
-        # Written before the work, so that a service that is killed in a run has counted it.
+        self.runs[call.run_id] += 1
+        run = self.runs[call.run_id]
+        # Written before the work: the run counts even if the service is killed meanwhile.
         self._write("run", **call.fields(), run=run)
         try:
             await anyio.sleep(self._latency.draw() * self.controls.table.slow_factor)
@@ -233,7 +233,7 @@
         table = self.controls.table
         if table.run_then_drop:
             self._listener.drop(request.client)
-            # An answer written in the same turn of the loop could still be sent.
+            # Prevents an answer that is sent before the connection closes.
             await request.disconnected()
             return
         answer = {
@@ -271,12 +271,12 @@
 @click.option(
     "--address", default="127.0.0.1:0", show_default=True, help="ip:port; port 0 takes a free one."
 )
-@click.option("--latency-ms", default=20.0, show_default=True, help="Median time of a run.")
-@click.option("--spread", default=0.3, show_default=True, help="Lognormal sigma of that time.")
-@click.option("--limit", default=32, show_default=True, help="Runs at once; more requests wait.")
+@click.option("--latency-ms", default=20.0, show_default=True, help="Median duration of a run.")
+@click.option("--spread", default=0.3, show_default=True, help="Lognormal sigma of the duration.")
+@click.option("--limit", default=32, show_default=True, help="Concurrent runs; more requests wait.")
 @click.option("--queue-limit", default=64, show_default=True, help="Waiting; more are refused.")
 @click.option("--record", type=click.Path(dir_okay=False), help="File for the JSON-lines record.")
-@click.option("--seed", default=0, show_default=True, help="Seed of the times of runs.")
+@click.option("--seed", default=0, show_default=True, help="Seed of the durations.")
 def main(
     name: str,
     address: str,
--- a/packages/turmericweir-standins/turmericweir_standins/soak_crashing.py
+++ b/packages/turmericweir-standins/turmericweir_standins/soak_crashing.py
@@ -1,8 +1,8 @@
-"""The caller of `make soak` whose request crashes each engine that runs it, and who sends it again.
+"""The caller of `make soak` whose requests crash engines and are sent repeatedly.
 
-Each time it strikes with a new prompt, through one instance after the other. What it was told is
-judged like any other call: it may be told that the request failed, never falsely that it did not
-run. How many crashes one prompt made is counted from the engines' records.
+Each fault sends a new prompt through one instance after the other. The answers are evaluated like
+those of other calls: `failed` is allowed, a false `not_run` is not. The crashes per prompt are
+counted in the engines' records.
 """
 
 from __future__ import annotations
@@ -21,38 +21,39 @@
 from turmericweir_standins.measure_scenarios import CRASH_MARKER
 from turmericweir_standins.procs import call_json
 
-NAME: Final = "crashing"
-CALL_S: Final = 90.0
+TRAFFIC_NAME: Final = "crashing"
+CALL_TIMEOUT_S: Final = 90.0
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
-    """One time that a prompt was sent."""
+class SentPrompt:
+    """One call with a crashing prompt."""
 
+    # The number of the prompt.
     prompt: int
-    # By the monotonic clock.
-    start: float
+    # Time of sending, by the monotonic clock.
+    sent_at: float
     result: CallResult
 
 
 class CrashingCaller:
-    """Sends prompts that crash engines."""
+    """A caller that sends prompts that crash engines."""
 
-    sent: list[Sent]
+    sent_prompts: list[SentPrompt]
 
     def __init__(self, traffic: Traffic) -> None:
-        # Whose model and customer the prompts go by.
+        # Gives the model and the customer of the prompts.
         self._traffic = traffic
-        self.sent = []
+        self.sent_prompts = []
 
     def send(self, prompt: int, instances: Sequence[Instance]) -> None:
-        """Send one prompt through each of these instances, whatever the answers are."""
+        """Send one prompt through each of these instances, regardless of the answers."""
         for number, instance in enumerate(instances):
-            start = time.monotonic()
-            result = CallResult(traffic=NAME, number=number, entry=instance.address)
+            sent_at = time.monotonic()
+            result = CallResult(traffic=TRAFFIC_NAME, number=number, entry=instance.address)
             self._call(instance, prompt, result)
-            result.total_s = time.monotonic() - start
-            self.sent.append(Sent(prompt, start, result))
+            result.total_s = time.monotonic() - sent_at
+            self.sent_prompts.append(SentPrompt(prompt, sent_at, result))
 
     def _call(self, instance: Instance, prompt: int, result: CallResult) -> None:
         messages = [{"role": "user", "content": f"Quote number {prompt}. {CRASH_MARKER}"}]
@@ -60,7 +61,7 @@
         headers = {"Authorization": f"Bearer {self._traffic.tokens[0]}"}
         try:
             answer = call_json(
-                instance.address, "POST", "/v1/chat/completions", body, headers, CALL_S
+                instance.address, "POST", "/v1/chat/completions", body, headers, CALL_TIMEOUT_S
             )
         except (OSError, http.client.HTTPException, ValueError) as exc:
             result.error = type(exc).__name__
@@ -70,18 +71,18 @@
         result.outcome = answer.headers.get(OUTCOME_HEADER, "")
         result.reason = str(answer.body.get("reason", ""))
 
-    # Any: a line of a record, whatever fields its event has.
-    def calls(self, began: float) -> list[dict[str, Any]]:
-        """Give what became of the calls, as the other callers write it."""
-        found = []
-        for each in self.sent:
-            each.result.planned_s = each.start - began
-            found.append(asdict(each.result))
-        return found
+    # Any: the fields of a result.
+    def calls(self, started_at: float) -> list[dict[str, Any]]:
+        """Return the results of the calls in the form of the other callers' results."""
+        results = []
+        for each in self.sent_prompts:
+            each.result.planned_s = each.sent_at - started_at
+            results.append(asdict(each.result))
+        return results
 
     def most_crashes(self, engine_records: Iterable[dict[str, Any]]) -> int:
-        """Count the crashes that the prompt with the most of them made."""
-        prompts = {each.result.request_id: each.prompt for each in self.sent}
+        """Return the highest number of crashes that one prompt caused."""
+        prompts = {each.result.request_id: each.prompt for each in self.sent_prompts}
         crashed = (each["request_id"] for each in engine_records if each["event"] == "crash")
         counts = Counter(prompts[request] for request in crashed if request in prompts)
         return max(counts.values(), default=0)
--- a/packages/turmericweir-standins/turmericweir_standins/soak_faults.py
+++ b/packages/turmericweir-standins/turmericweir_standins/soak_faults.py
@@ -1,9 +1,7 @@
-"""The random faults of `make soak`: which kinds there are, and how each strikes and is mended.
+"""The random faults of `make soak`: their kinds, injection and removal.
 
-A fault is drawn from a seeded generator, strikes, lasts its time and is mended again; one may begin
-while another still lasts. An instance that is killed takes its callers' connections with it, and
-one that is paused for long answers when they have hung up; so the times at which each entry address
-was down are kept: a caller of such a process can be told nothing.
+Faults are drawn from a seeded generator, last for some time and may overlap. The downtimes of each
+entry address are recorded, since a caller of a killed or long-paused instance can't get an outcome.
 """
 
 from __future__ import annotations
@@ -25,298 +23,322 @@
 from turmericweir_standins.soak_crashing import CrashingCaller
 from turmericweir_standins.soak_operators import Operators
 
-# How long a fault lasts, seconds.
-SHORTEST_S: Final = 1.0
-LONGEST_S: Final = 5.0
-# A pause that outlasts a credit, which is good for 9 s, lasts so much longer.
-LAPSED_S: Final = 9.0
-# An outage for long lasts so many times as long.
-LONG_FACTOR: Final = 8.0
-# A fault that can't be taken back within this time ends the run.
-MEND_S: Final = 30.0
-# Through how many instances a request that crashes engines is sent.
+# Range of the duration of a fault.
+FAULT_MIN_S: Final = 1.0
+FAULT_MAX_S: Final = 5.0
+# Additional duration of pauses that outlast a credit, which is valid for 9 s.
+CREDIT_VALIDITY_S: Final = 9.0
+# Multiplies the duration of long outages.
+LONG_OUTAGE_FACTOR: Final = 8.0
+# A fault that can't be removed within this time ends the run.
+REMOVAL_TIMEOUT_S: Final = 30.0
+# Number of instances through which a crashing prompt is sent.
 CRASHING_SENDS: Final = 3
 
 
 @dataclass(frozen=True, slots=True)
-class Down:
-    """A time in which no process answered at an entry address."""
+class Downtime:
+    """A period in which no process answered at an entry address."""
 
     address: str
-    start: float
-    end: float
+    started_at: float
+    ended_at: float
 
 
 class SoakCluster(MeasuredCluster, PeerCluster):
-    """A cluster with a fault proxy before the servers and another between the instances."""
+    """A cluster with one fault proxy before the servers and another between the instances."""
 
 
-class Faults:
-    """Strikes the processes of a cluster at random."""
+class FaultInjector:
+    """Inject random faults into the processes of a cluster."""
 
-    # How many times each kind has struck, and how many times while another fault lasted.
-    struck: Counter[str]
+    # Number of faults of each kind, and of faults that overlapped with another one.
+    injected: Counter[str]
     overlapped: int
-    # When entry addresses were down, by the monotonic clock.
-    down: list[Down]
+    # Downtimes of entry addresses, by the monotonic clock.
+    downtimes: list[Downtime]
     crashing: CrashingCaller
     operators: Operators
 
     def __init__(self, cluster: SoakCluster, crashing: CrashingCaller, seed: int) -> None:
         self._cluster = cluster
         self._rng = random.Random(seed)
-        self.struck = Counter()
+        self.injected = Counter()
         self.overlapped = 0
-        self.down = []
+        self.downtimes = []
         self.crashing = crashing
         self.operators = Operators(cluster)
         self._prompts = itertools.count(1)
-        # Faults that last.
-        self._lasting = 0
-        # Processes that a fault has in hand; another one leaves them alone.
-        self._taken: set[str] = set()
+        # Number of active faults.
+        self._active_count = 0
+        # Processes with an active fault; other faults do not use them.
+        self._reserved: set[str] = set()
         self._lock = threading.Lock()
         self._kinds: Mapping[str, Callable[[float], None]] = {
             "instance_killed": self._kill_instance,
             "instance_paused": self._pause_instance,
-            "instance_paused_long": lambda length: self._pause_instance(length + LAPSED_S),
+            "instance_paused_long": lambda duration_s: self._pause_instance(
+                duration_s + CREDIT_VALIDITY_S
+            ),
             "instance_replaced": self._replace_instance,
-            "engine_killed": lambda length: self._kill_server("engine", length),
-            "service_killed": lambda length: self._kill_server("plain", length),
-            "engine_frozen": lambda length: self._behave("engine", length, frozen=True),
-            "engine_slow": lambda length: self._behave("engine", length, slow_factor=6.0),
-            "engine_cuts": lambda length: self._behave("engine", length, cut_after_tokens=7),
-            "engine_refuses": lambda length: self._behave("engine", length, refuse_start=True),
-            "service_drops": lambda length: self._behave("plain", length, run_then_drop=True),
-            "reports_late": lambda length: self._behave("engine", length, report_frozen=True),
+            "engine_killed": lambda duration_s: self._kill_server("engine", duration_s),
+            "service_killed": lambda duration_s: self._kill_server("plain", duration_s),
+            "engine_frozen": lambda duration_s: self._change_behaviour(
+                "engine", duration_s, frozen=True
+            ),
+            "engine_slow": lambda duration_s: self._change_behaviour(
+                "engine", duration_s, slow_factor=6.0
+            ),
+            "engine_cuts": lambda duration_s: self._change_behaviour(
+                "engine", duration_s, cut_after_tokens=7
+            ),
+            "engine_refuses": lambda duration_s: self._change_behaviour(
+                "engine", duration_s, refuse_start=True
+            ),
+            "service_drops": lambda duration_s: self._change_behaviour(
+                "plain", duration_s, run_then_drop=True
+            ),
+            "reports_late": lambda duration_s: self._change_behaviour(
+                "engine", duration_s, report_frozen=True
+            ),
             "request_crashes": lambda _: self._send_crashing(),
-            "requests_cut": lambda length: self._cut_server(length, "forward"),
-            "answers_cut": lambda length: self._cut_server(length, "backward"),
-            "connections_silent": lambda _: self._silence(),
-            "peers_silent": lambda _: self._cluster.silence_peers(),
-            "instance_hears_nobody": lambda length: self._cut_instance(length, hears=False),
-            "instance_not_heard": lambda length: self._cut_instance(length, hears=True),
-            "data_centre_parted": self._part,
+            "requests_cut": lambda duration_s: self._cut_server(duration_s, "forward"),
+            "answers_cut": lambda duration_s: self._cut_server(duration_s, "backward"),
+            "connections_silent": lambda _: self._silence_connections(),
+            "peers_silent": lambda _: self._cluster.silence_peer_connections(),
+            "instance_hears_nobody": lambda duration_s: self._cut_instance(
+                duration_s, is_receiving=False
+            ),
+            "instance_not_heard": lambda duration_s: self._cut_instance(
+                duration_s, is_receiving=True
+            ),
+            "data_centre_parted": self._partition_random,
             "data_centre_alone": self._isolate,
             "operators_at_once": lambda _: self._change_settings(),
-            "log_outage_long": lambda length: self._platform(length * LONG_FACTOR, outage=True),
-            "log_outage": lambda length: self._platform(length, outage=True),
-            "log_slow": lambda length: self._platform(length, slow_ms=400),
+            "log_outage_long": lambda duration_s: self._change_platform(
+                duration_s * LONG_OUTAGE_FACTOR, outage=True
+            ),
+            "log_outage": lambda duration_s: self._change_platform(duration_s, outage=True),
+            "log_slow": lambda duration_s: self._change_platform(duration_s, slow_ms=400),
             "acknowledgements_lost": lambda _: self._lose_acknowledgements(),
-            "list_down": lambda length: self._platform(length, list_down=True),
-            "data_centre_cut_off": self._cut_off,
+            "list_down": lambda duration_s: self._change_platform(duration_s, list_down=True),
+            "data_centre_cut_off": self._disconnect_random,
         }
 
     def run(self, seconds: float, every_s: float) -> None:
-        """Strike until the time is over, then wait until everything is mended."""
-        end = time.monotonic() + seconds
+        """Inject faults for some time, then wait until all are removed."""
+        end_at = time.monotonic() + seconds
         threads: list[threading.Thread] = []
-        while time.monotonic() < end:
+        while time.monotonic() < end_at:
             time.sleep(self._rng.uniform(0.5 * every_s, 1.5 * every_s))
             kind = self._rng.choice(sorted(self._kinds))
-            length = self._rng.uniform(SHORTEST_S, LONGEST_S)
-            thread = threading.Thread(target=self._strike, args=(kind, length))
+            duration_s = self._rng.uniform(FAULT_MIN_S, FAULT_MAX_S)
+            thread = threading.Thread(target=self._inject, args=(kind, duration_s))
             thread.start()
             threads.append(thread)
         for thread in threads:
             thread.join()
 
-    def _strike(self, kind: str, length: float) -> None:
+    def _inject(self, kind: str, duration_s: float) -> None:
         with self._lock:
-            self.struck[kind] += 1
-            self.overlapped += self._lasting > 0
-            self._lasting += 1
+            self.injected[kind] += 1
+            self.overlapped += self._active_count > 0
+            self._active_count += 1
         try:
-            self._kinds[kind](length)
+            self._kinds[kind](duration_s)
         finally:
             with self._lock:
-                self._lasting -= 1
+                self._active_count -= 1
 
-    # --- who is struck ---
+    # --- processes to use ---
 
-    def _take(self, names: list[str]) -> str | None:
+    def _reserve(self, names: list[str]) -> str | None:
         with self._lock:
-            free = [name for name in names if name not in self._taken]
+            free = [name for name in names if name not in self._reserved]
             if not free:
                 return None
             name = self._rng.choice(sorted(free))
-            self._taken.add(name)
+            self._reserved.add(name)
             return name
 
-    def _give_back(self, name: str) -> None:
+    def _release(self, name: str) -> None:
         with self._lock:
-            self._taken.discard(name)
+            self._reserved.discard(name)
 
-    def _take_instance(self) -> Instance | None:
-        name = self._take(list(self._cluster.instances))
+    def _reserve_instance(self) -> Instance | None:
+        name = self._reserve(list(self._cluster.instances))
         return None if name is None else self._cluster.instances[name]
 
-    def _take_server(self, kind: str) -> str | None:
+    def _reserve_server(self, kind: str) -> str | None:
         listed = self._cluster.listed.values()
-        return self._take([each.name for each in listed if kind in (each.kind, "any")])
+        return self._reserve([each.name for each in listed if kind in (each.kind, "any")])
 
     # --- entry instances ---
 
-    def _kill_instance(self, length: float) -> None:
-        instance = self._take_instance()
+    def _kill_instance(self, duration_s: float) -> None:
+        instance = self._reserve_instance()
         if instance is None:
             return
-        start = time.monotonic()
+        started_at = time.monotonic()
         instance.process.kill()
-        time.sleep(length)
-        self._start_again(instance, start)
+        time.sleep(duration_s)
+        self._restart_instance(instance, started_at)
 
     def _replace_instance(self, _: float) -> None:
-        instance = self._take_instance()
+        instance = self._reserve_instance()
         if instance is None:
             return
         self._cluster.list_process(instance.listed, state="leaving")
         instance.process.terminate()
         instance.process.wait(60.0)
-        self._start_again(instance, time.monotonic())
+        self._restart_instance(instance, time.monotonic())
 
-    def _start_again(self, instance: Instance, start: float) -> None:
-        replaced = self._cluster.restart_instance(instance.name)
-        wait_until(replaced.ready, f"{instance.name} is ready", 60.0)
-        self._cluster.list_process(replaced.listed)
-        self.down.append(Down(instance.address, start, time.monotonic()))
-        self._give_back(instance.name)
+    def _restart_instance(self, instance: Instance, started_at: float) -> None:
+        replacement = self._cluster.restart_instance(instance.name)
+        wait_until(replacement.is_ready, f"{instance.name} is ready", 60.0)
+        self._cluster.list_process(replacement.listed)
+        self.downtimes.append(Downtime(instance.address, started_at, time.monotonic()))
+        self._release(instance.name)
 
-    def _pause_instance(self, length: float) -> None:
-        instance = self._take_instance()
+    def _pause_instance(self, duration_s: float) -> None:
+        instance = self._reserve_instance()
         if instance is None:
             return
-        start = time.monotonic()
+        started_at = time.monotonic()
         instance.process.pause()
-        time.sleep(length)
+        time.sleep(duration_s)
         instance.process.resume()
-        if length > LAPSED_S:
-            self.down.append(Down(instance.address, start, time.monotonic()))
-        self._give_back(instance.name)
+        if duration_s > CREDIT_VALIDITY_S:
+            self.downtimes.append(Downtime(instance.address, started_at, time.monotonic()))
+        self._release(instance.name)
 
-    # --- who sends what crashes, and who changes settings ---
+    # --- crashing requests and changes of settings ---
 
-    def _some_instances(self, count: int) -> list[Instance]:
+    def _random_instances(self, count: int) -> list[Instance]:
         with self._lock:
             return self._rng.sample(list(self._cluster.instances.values()), count)
 
     def _send_crashing(self) -> None:
-        self.crashing.send(next(self._prompts), self._some_instances(CRASHING_SENDS))
+        self.crashing.send(next(self._prompts), self._random_instances(CRASHING_SENDS))
 
     def _change_settings(self) -> None:
-        self.operators.change_at_once(self._some_instances(2))
+        self.operators.change_concurrently(self._random_instances(2))
 
     # --- backend servers ---
 
-    def _kill_server(self, kind: str, length: float) -> None:
-        name = self._take_server(kind)
+    def _kill_server(self, kind: str, duration_s: float) -> None:
+        name = self._reserve_server(kind)
         if name is None:
             return
         self._cluster.servers[name].kill()
-        time.sleep(length)
+        time.sleep(duration_s)
         self._cluster.restart_server(name)
-        self._give_back(name)
+        self._release(name)
 
-    def _behave(self, kind: str, length: float, **changes: object) -> None:
-        name = self._take_server(kind)
+    def _change_behaviour(self, kind: str, duration_s: float, **changes: object) -> None:
+        name = self._reserve_server(kind)
         if name is None:
             return
         address = self._cluster.servers[name].address
         before = set_behaviour(address)
         set_behaviour(address, **changes)
-        time.sleep(length)
-        self._mend(address, {field: before[field] for field in changes})
-        self._give_back(name)
+        time.sleep(duration_s)
+        self._remove_fault(address, {field: before[field] for field in changes})
+        self._release(name)
 
-    def _mend(self, address: str, fields: dict[str, object]) -> None:
-        """Take a fault back, however often the server drops the call because it crashes just then.
+    def _remove_fault(self, address: str, fields: dict[str, object]) -> None:
+        """Remove a fault, with retries while the server crashes.
 
-        Failure: the fault stays for the rest of the run, which is then judged as if it were over.
+        Prevents a fault that stays for the rest of the run.
         """
 
-        def mended() -> bool:
+        def is_removed() -> bool:
             try:
                 set_behaviour(address, **fields)
             except (OSError, http.client.HTTPException):
                 return False
             return True
 
-        wait_until(mended, f"the server at {address} took its fault back", MEND_S)
+        wait_until(
+            is_removed, f"the fault of the server at {address} is removed", REMOVAL_TIMEOUT_S
+        )
 
     # --- the network ---
 
-    def _silence(self) -> None:
+    def _silence_connections(self) -> None:
         assert self._cluster.proxy_address is not None
         set_faults(self._cluster.proxy_address, None, silence_existing=True)
 
-    def _cut_server(self, length: float, direction: str) -> None:
-        name = self._take_server("any")
+    def _cut_server(self, duration_s: float, direction: str) -> None:
+        name = self._reserve_server("any")
         if name is None:
             return
         assert self._cluster.proxy_address is not None
         route = [self._cluster.routes[name]]
         set_faults(self._cluster.proxy_address, route, cut=direction)
-        time.sleep(length)
+        time.sleep(duration_s)
         set_faults(self._cluster.proxy_address, route, cut=None)
-        self._give_back(name)
+        self._release(name)
 
-    def _cut_instance(self, length: float, *, hears: bool) -> None:
-        # One at a time, as with the platform.
-        if self._take(["peers"]) is None:
+    def _cut_instance(self, duration_s: float, *, is_receiving: bool) -> None:
+        # One fault at a time, as with the platform.
+        if self._reserve(["peers"]) is None:
             return
         with self._lock:
             name = self._rng.choice(sorted(self._cluster.instances))
-        cut = self._cluster.mute if hears else self._cluster.deafen
-        cut(name)
-        time.sleep(length)
-        cut(name, on=False)
-        self._give_back("peers")
+        block = self._cluster.block_outgoing if is_receiving else self._cluster.block_incoming
+        block(name)
+        time.sleep(duration_s)
+        block(name, on=False)
+        self._release("peers")
 
-    def _some_data_centre(self) -> str:
+    def _random_data_centre(self) -> str:
         with self._lock:
             return self._rng.choice(self._cluster.deployment.data_centres)
 
-    def _part(self, length: float) -> None:
-        self._part_one(self._some_data_centre(), length)
+    def _partition_random(self, duration_s: float) -> None:
+        self._partition(self._random_data_centre(), duration_s)
 
-    def _part_one(self, data_centre: str, length: float) -> None:
-        if self._take(["peers"]) is None:
+    def _partition(self, data_centre: str, duration_s: float) -> None:
+        if self._reserve(["peers"]) is None:
             return
-        self._cluster.part([data_centre])
-        time.sleep(length)
-        self._cluster.part([data_centre], on=False)
-        self._give_back("peers")
-
-    def _isolate(self, length: float) -> None:
-        """Cut a data centre off from its siblings and from the platform, for longer."""
-        data_centre = self._some_data_centre()
-        length += LAPSED_S
-        platform = threading.Thread(target=self._cut_off_one, args=(data_centre, length))
+        self._cluster.partition([data_centre])
+        time.sleep(duration_s)
+        self._cluster.partition([data_centre], on=False)
+        self._release("peers")
+
+    def _isolate(self, duration_s: float) -> None:
+        """Partition a data centre from all others and from the platform, for a longer time."""
+        data_centre = self._random_data_centre()
+        duration_s += CREDIT_VALIDITY_S
+        platform = threading.Thread(
+            target=self._disconnect_from_platform, args=(data_centre, duration_s)
+        )
         platform.start()
-        self._part_one(data_centre, length)
+        self._partition(data_centre, duration_s)
         platform.join()
 
     # --- the platform ---
 
-    def _platform(self, length: float, **changes: object) -> None:
-        # One at a time: two that overlap would each put back what the other had set.
-        name = self._take(["platform"])
+    def _change_platform(self, duration_s: float, **changes: object) -> None:
+        # One fault at a time: overlapping ones would restore each other's changes.
+        name = self._reserve(["platform"])
         if name is None:
             return
         address = self._cluster.platform.address
         before = set_behaviour(address)
         set_behaviour(address, **changes)
-        time.sleep(length)
+        time.sleep(duration_s)
         set_behaviour(address, **{field: before[field] for field in changes})
-        self._give_back(name)
+        self._release(name)
 
     def _lose_acknowledgements(self) -> None:
         set_behaviour(self._cluster.platform.address, lose_acks=3)
 
-    def _cut_off(self, length: float) -> None:
-        self._cut_off_one(self._some_data_centre(), length)
+    def _disconnect_random(self, duration_s: float) -> None:
+        self._disconnect_from_platform(self._random_data_centre(), duration_s)
 
-    def _cut_off_one(self, data_centre: str, length: float) -> None:
+    def _disconnect_from_platform(self, data_centre: str, duration_s: float) -> None:
         instances = self._cluster.instances.values()
         names = [each.name for each in instances if each.listed.data_centre == data_centre]
-        self._platform(length, cut_from=names)
+        self._change_platform(duration_s, cut_from=names)
--- a/packages/turmericweir-standins/turmericweir_standins/soak_operators.py
+++ b/packages/turmericweir-standins/turmericweir_standins/soak_operators.py
@@ -1,8 +1,8 @@
-"""Operators of `make soak`: two at once change the same path, again and again, while things fail.
+"""Operators of `make soak`: pairs of concurrent changes of one path during faults.
 
-Each pair goes by the same version, so at most one of the two may be accepted. What they were told
-is kept, and compared at the end with what every instance holds: a change that was accepted is in
-force everywhere, one that was refused is nowhere, and the newest one has not been reverted.
+Both changes of a pair are made for the same version; at most one of them may be accepted. At the
+end the verdicts that the operators received are compared with the state of all instances: accepted
+changes must be known to all, refused ones to none, and the newest one must not be reverted.
 """
 
 from __future__ import annotations
@@ -17,40 +17,40 @@
 from turmericweir_standins.deployment import OPERATOR_TOKEN, Cluster, Instance
 from turmericweir_standins.procs import JsonAnswer, call_json, wait_until
 
-# A class that no customer has, so that its changes steer nothing.
-PATH: Final = "/classes/spare"
+# A class without customers; its changes have no effect on requests.
+SPARE_CLASS_PATH: Final = "/classes/spare"
 ACCEPTED: Final = "accepted"
 NOT_APPENDED: Final = "not_appended"
-# Verdicts after which the operator need not ask again.
+# Verdicts that do not change any more.
 _FINAL: Final = frozenset({ACCEPTED, "conflict", NOT_APPENDED})
-FOLLOW_S: Final = 60.0
+CONVERGENCE_TIMEOUT_S: Final = 60.0
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
-    """What one operator was told of one change."""
+class ReportedVerdict:
+    """The verdict on one change that its operator received."""
 
-    # Which pair it belongs to.
+    # The number of the pair.
     pair: int
     change_id: str
-    # Empty where the operator was told nothing.
+    # Empty if the operator got no answer.
     verdict: str
 
 
 class Operators:
-    """Change settings by way of any instances."""
+    """Operators that change settings and compare the verdicts with the instances' state."""
 
-    told: list[Told]
+    reported: list[ReportedVerdict]
 
     def __init__(self, cluster: Cluster) -> None:
         self._cluster = cluster
         self._pairs = itertools.count(1)
-        self.told = []
+        self.reported = []
 
     # --- changes ---
 
-    def change_at_once(self, instances: Sequence[Instance]) -> None:
-        """Change the path by way of each of these instances at the same moment."""
+    def change_concurrently(self, instances: Sequence[Instance]) -> None:
+        """Change the path through all these instances at the same time."""
         version = _version(instances[0])
         if version is None:
             return
@@ -67,64 +67,75 @@
     def _change(self, instance: Instance, version: int, pair: int, change_id: str) -> None:
         value = {"priority": 9, "first_token_target_ms": 1000 + pair}
         body = {"value": value, "expected_version": version, "change_id": change_id}
-        answer = _call(instance, "PUT", PATH, body)
+        answer = _call(instance, "PUT", SPARE_CLASS_PATH, body)
         verdict = "" if answer is None else str(answer.body.get("verdict", ""))
-        self.told.append(Told(pair, change_id, verdict))
+        self.reported.append(ReportedVerdict(pair, change_id, verdict))
 
-    # --- what every instance holds ---
+    # --- comparison ---
 
-    def find_wrong(self) -> list[str]:
-        """Wait until all instances hold the same; return a line for each thing that is wrong."""
+    def find_violations_of_settings(self) -> list[str]:
+        """Wait until all instances have the same settings; return a line for each violation."""
         instances = list(self._cluster.instances.values())
         try:
-            wait_until(lambda: _agree(instances), "all hold the same settings", FOLLOW_S)
+            wait_until(
+                lambda: _have_same_settings(instances),
+                "all instances have the same settings",
+                CONVERGENCE_TIMEOUT_S,
+            )
         except TimeoutError as exc:
             return [str(exc)]
-        found: list[str] = []
+        violations: list[str] = []
         accepted: dict[int, list[int]] = {}
-        for told in self.told:
-            held = [_verdict(each, told.change_id) for each in instances]
-            found += _compare(told, [kind for kind, _ in held])
-            if held[0][0] == ACCEPTED:
-                accepted.setdefault(told.pair, []).append(held[0][1])
-        found += [f"pair {pair}: {len(its)} accepted" for pair, its in accepted.items() if its[1:]]
-        newest = max((offset for its in accepted.values() for offset in its), default=None)
+        for reported in self.reported:
+            instance_verdicts = [_verdict(each, reported.change_id) for each in instances]
+            violations += _compare_verdicts(reported, [kind for kind, _ in instance_verdicts])
+            if instance_verdicts[0][0] == ACCEPTED:
+                accepted.setdefault(reported.pair, []).append(instance_verdicts[0][1])
+        violations += [
+            f"pair {pair}: {len(offsets)} accepted"
+            for pair, offsets in accepted.items()
+            if offsets[1:]
+        ]
+        newest = max((offset for offsets in accepted.values() for offset in offsets), default=None)
         if newest is not None:
             wrong = [each.name for each in instances if _version(each) != newest + 1]
-            found += [f"{name} does not hold the newest accepted change" for name in wrong]
-        return found
+            violations += [f"{name} does not have the newest accepted change" for name in wrong]
+        return violations
 
 
-def _compare(told: Told, held: list[str]) -> list[str]:
-    expected = held[0]
-    if told.verdict in _FINAL:
-        expected = "" if told.verdict == NOT_APPENDED else told.verdict
-    if set(held) == {expected}:
+def _compare_verdicts(reported: ReportedVerdict, instance_verdicts: list[str]) -> list[str]:
+    expected = instance_verdicts[0]
+    if reported.verdict in _FINAL:
+        expected = "" if reported.verdict == NOT_APPENDED else reported.verdict
+    if set(instance_verdicts) == {expected}:
         return []
-    return [f"{told.change_id}: told {told.verdict or 'nothing'}, held as {held}"]
+    return [
+        f"{reported.change_id}: reported {reported.verdict or 'nothing'}, "
+        f"instances have {instance_verdicts}"
+    ]
 
 
-def _agree(instances: Sequence[Instance]) -> bool:
+def _have_same_settings(instances: Sequence[Instance]) -> bool:
     answers = [_call(each, "GET", "") for each in instances]
     return len({it.body["hash"] if it else None for it in answers} - {None}) == 1 and all(answers)
 
 
 def _version(instance: Instance) -> int | None:
-    answer = _call(instance, "GET", PATH)
+    answer = _call(instance, "GET", SPARE_CLASS_PATH)
     if answer is None or answer.status not in (200, 404):
         return None
     return int(answer.body["version"]) if answer.status == 200 else 0
 
 
 def _verdict(instance: Instance, change_id: str) -> tuple[str, int]:
-    """Give how an instance holds a change, and its offset; empty where it holds none."""
+    """Return the verdict on a change and its offset by an instance; empty if it has none."""
     answer = _call(instance, "GET", f"/changes/{change_id}")
     if answer is None or answer.status != 200:
         return "", -1
     return str(answer.body["verdict"]), int(answer.body.get("offset", -1))
 
 
-# Any: the answer's body is whatever the call answers.
+# Any: the body of the request has no fixed type.
 def _call(instance: Instance, method: str, path: str, body: Any = None) -> JsonAnswer | None:
     headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
     try:
--- a/tests/failures/closed_loop.py
+++ b/tests/failures/closed_loop.py
@@ -95,4 +95,4 @@
 
 
 def _is_ready(instances: Mapping[str, Instance], name: str) -> bool:
-    return instances[name].ready()
+    return instances[name].is_ready()
--- a/tests/failures/fault_cluster.py
+++ b/tests/failures/fault_cluster.py
@@ -61,7 +61,9 @@
     def _start(self) -> None:
         self.directory.mkdir(parents=True, exist_ok=True)
         record = str(self.record_path("proxy"))
-        self.proxy = self._enter(standin("proxy", "--record", record, directory=self.directory))
+        self.proxy = self._enter_process(
+            standin("proxy", "--record", record, directory=self.directory)
+        )
         super()._start()
 
     def list_process(self, listed: Listed, state: str = "live", incarnation: str = "1") -> None:
--- a/tests/failures/member_cluster.py
+++ b/tests/failures/member_cluster.py
@@ -49,7 +49,7 @@
     def block_all_incoming(self, *, on: bool = True) -> None:
         """Block the peer messages to every instance."""
         for name in self.instances:
-            self.deafen(name, on=on)
+            self.block_incoming(name, on=on)
 
     def set_server_behaviour(self, name: str, **changes: object) -> None:
         """Change the behaviour of a backend server."""
--- a/tests/failures/test_at_most_once.py
+++ b/tests/failures/test_at_most_once.py
@@ -282,7 +282,7 @@
             answers.append(shop.reserve(ENTRY_2, "k1"))
             return answers[-1].status == 200
 
-        wait_until(is_replayed, "the other data centre knows the key", EVENT_TIMEOUT_S)
+        wait_until(is_replayed, "the other data centre replays the answer", EVENT_TIMEOUT_S)
         assert answers[-1].body == first.body
         assert shop.runs("k1") == 1
 
--- a/tests/failures/test_crashing_request.py
+++ b/tests/failures/test_crashing_request.py
@@ -58,7 +58,7 @@
 
         for number in (1, 2, 3):
             name = f"entry-{number}"
-            wait_until(partial(has_verdict, name), f"{name} knows the verdict")
+            wait_until(partial(has_verdict, name), f"{name} has the verdict")
             again = callers.ask(CRASHING_PROMPT, instance=number)
             assert (again.outcome, again.reason) == ("failed", "quarantined")
         assert len(callers.cluster.records("received")) == received_count
--- a/tests/failures/test_partition.py
+++ b/tests/failures/test_partition.py
@@ -51,13 +51,13 @@
     with MemberCluster(tmp_path, 3) as cluster:
         cluster.wait_all_live()
 
-        cluster.deafen(ENTRY_3)
+        cluster.block_incoming(ENTRY_3)
         cluster.wait_live(ENTRY_3, {ENTRY_3})
         assert cluster.ask(ENTRY_3).status == 200
         assert cluster.live(ENTRY_1) == ALL
         assert cluster.live(ENTRY_2) == ALL
 
-        cluster.deafen(ENTRY_3, on=False)
+        cluster.block_incoming(ENTRY_3, on=False)
         cluster.wait_live(ENTRY_3, ALL)
 
 
--- a/tests/failures/test_regions.py
+++ b/tests/failures/test_regions.py
@@ -40,7 +40,7 @@
 
     def partition_regions(self, *, on: bool = True) -> None:
         """Cut all links between the regions, including the link from the south to the log."""
-        self.part(["dc-south"], on=on)
+        self.partition(["dc-south"], on=on)
         self.set_platform_behaviour(cut_from=sorted(SOUTH) if on else [])
 
     # --- callers ---
--- a/tests/failures/test_replacing.py
+++ b/tests/failures/test_replacing.py
@@ -38,7 +38,7 @@
             assert cluster.instances[name].process.wait(CALL_TIMEOUT_S) == 0
             load.wait_refused_connection()
             replacement = cluster.restart_instance(name)
-            wait_until(replacement.ready, f"{name} is ready")
+            wait_until(replacement.is_ready, f"{name} is ready")
             load.wait_complete_answers(INSTANCES * CALLERS_PER_INSTANCE)
 
     refusals = [each for each in load.answers if not each.is_complete()]
--- a/tests/failures/test_settings.py
+++ b/tests/failures/test_settings.py
@@ -146,7 +146,7 @@
 
     def wait_ready(self, instance: Instance) -> None:
         """Wait until an instance is ready."""
-        wait_until(instance.ready, f"{instance.name} is ready", EVENT_TIMEOUT_S)
+        wait_until(instance.is_ready, f"{instance.name} is ready", EVENT_TIMEOUT_S)
 
     def ask_model(self, name: str) -> int:
         """Send a model request through an instance and return the status of the answer."""
@@ -342,7 +342,7 @@
     for name in (ENTRY_1, ENTRY_2):
         cluster.restart_instance(name)
     cluster.wait_all_live()
-    assert not any(it.ready() for it in cluster.instances.values())
+    assert not any(it.is_ready() for it in cluster.instances.values())
 
     set_behaviour(cluster.platform.address, outage=False)
     for name in (ENTRY_1, ENTRY_2):
--- a/tests/standins/test_callers.py
+++ b/tests/standins/test_callers.py
@@ -1,4 +1,4 @@
-"""Test the load callers: plans and checks as functions, and calls against a scripted entry."""
+"""Test the load callers: plans, checks and results, and calls to a scripted entry."""
 
 from __future__ import annotations
 
@@ -66,21 +66,21 @@
 
 
 def one_call(traffic: Traffic) -> Workload:
-    """Return a workload that plans exactly one call."""
-    loads = (Workload((traffic,), 1 / traffic.rate, seed) for seed in itertools.count())
-    return next(load for load in loads if len(plan(load)) == 1)
+    """Return a workload with exactly one call."""
+    workloads = (Workload((traffic,), 1 / traffic.rate, seed) for seed in itertools.count())
+    return next(workload for workload in workloads if len(plan(workload)) == 1)
 
 
-# A scripted entry: it reads whole requests and writes whatever bytes its script returns.
+# A scripted entry: it reads complete requests and writes the bytes that its script returns.
 
 
 @dataclass(frozen=True)
 class Received:
-    """One request as the entry received it."""
+    """One request received by the entry."""
 
     head: str
     body: bytes
-    # The answer that is right for it.
+    # The correct answer to it.
     answer: Answer
 
     @property
@@ -93,12 +93,12 @@
         return found[1]
 
 
-# Returns the bytes of the answer; None leaves the request without one.
+# Returns the bytes of the answer; None for no answer.
 Script = Callable[[Received], bytes | None]
 
 
 class ScriptedEntry:
-    """An entry that answers by its script."""
+    """An entry that answers with the bytes of its script."""
 
     def __init__(self, script: Script) -> None:
         self.received: list[Received] = []
@@ -143,8 +143,8 @@
     return answer_of(value["model"], messages, value.get("max_tokens"))
 
 
-def call_entry(load: Workload, script: Script) -> tuple[list[CallResult], list[Received]]:
-    """Send the workload to a scripted entry; return the results and what the entry received."""
+def call_entry(workload: Workload, script: Script) -> tuple[list[CallResult], list[Received]]:
+    """Send the workload to a scripted entry; return the results and the received requests."""
 
     async def scenario() -> tuple[list[CallResult], list[Received]]:
         entry = ScriptedEntry(script)
@@ -153,18 +153,18 @@
         with anyio.fail_after(SAFETY_S):
             async with listener, anyio.create_task_group() as tasks:
                 tasks.start_soon(listener.serve, entry.serve)
-                # The first address refuses, so each call also shows that this costs it nothing.
-                results = await Callers(load, [free_address(), f"127.0.0.1:{port}"]).run()
+                # The first address refuses connections; each call must use the second one.
+                results = await Callers(workload, [free_address(), f"127.0.0.1:{port}"]).run()
                 tasks.cancel_scope.cancel()
         return results, entry.received
 
     return anyio.run(scenario)
 
 
-# The pieces of answers.
+# Parts of answers.
 
 
-def whole_answer(outcome: str, body: bytes, status: int = 200, request_id: str = "r1") -> bytes:
+def complete_answer(outcome: str, body: bytes, status: int = 200, request_id: str = "r1") -> bytes:
     head = (
         f"HTTP/1.1 {status} Status\r\nContent-Type: application/json\r\n"
         f"Content-Length: {len(body)}\r\nTurmericweir-Outcome: {outcome}\r\n"
@@ -193,7 +193,7 @@
 
 
 def stream_of(events: Sequence[bytes], *, ends: bool = True, piece: int = 1000) -> bytes:
-    """Return a chunked event stream, cut into chunks regardless of where events end."""
+    """Return a chunked event stream; the chunks do not follow the limits of events."""
     head = (
         b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n"
         b"Turmericweir-Request-Id: r1\r\nTurmericweir-Outcome: in-stream\r\n"
@@ -211,31 +211,31 @@
 
 class TestPlan:
     def test_seed_decides_the_plan(self) -> None:
-        load = Workload((FITTING,), duration_s=2.0, seed=1)
-        assert plan(load) == plan(load)
-        assert plan(load) != plan(replace(load, seed=2))
+        workload = Workload((FITTING,), duration_s=2.0, seed=1)
+        assert plan(workload) == plan(workload)
+        assert plan(workload) != plan(replace(workload, seed=2))
 
-    def test_another_class_moves_no_call(self) -> None:
+    def test_another_class_does_not_change_the_plan(self) -> None:
         alone = plan(Workload((FITTING,), 2.0, seed=1))
         both = plan(Workload((FITTING, RESERVE), 2.0, seed=1))
         assert [call for call in both if call.traffic is FITTING] == alone
 
-    def test_longer_answers_move_no_call(self) -> None:
+    def test_longer_answers_do_not_change_the_times(self) -> None:
         longer = replace(FITTING, answer=AnswerLength(median=500, spread=1.0))
         times = [call.at_s for call in plan(Workload((FITTING,), 2.0, seed=1))]
         assert [call.at_s for call in plan(Workload((longer,), 2.0, seed=1))] == times
 
     def test_burst_changes_the_rate_while_it_lasts(self) -> None:
-        silent = Burst(start_s=0.5, length_s=0.5, factor=0.0, every_s=1.0)
-        calls = plan(Workload((replace(FITTING, bursts=(silent,)),), 4.0, seed=1))
+        pause_burst = Burst(start_s=0.5, length_s=0.5, factor=0.0, every_s=1.0)
+        calls = plan(Workload((replace(FITTING, bursts=(pause_burst,)),), 4.0, seed=1))
         assert calls
         assert all(call.at_s % 1.0 < 0.5 for call in calls)
 
     def test_burst_adds_calls(self) -> None:
-        rush = Burst(start_s=1.0, length_s=1.0, factor=10.0)
-        calls = plan(Workload((replace(FITTING, bursts=(rush,)),), 2.0, seed=1))
-        late = sum(call.at_s >= 1.0 for call in calls)
-        assert late > 5 * (len(calls) - late)
+        burst = Burst(start_s=1.0, length_s=1.0, factor=10.0)
+        calls = plan(Workload((replace(FITTING, bursts=(burst,)),), 2.0, seed=1))
+        burst_calls = sum(call.at_s >= 1.0 for call in calls)
+        assert burst_calls > 5 * (len(calls) - burst_calls)
 
     def test_answer_lengths_keep_their_bounds(self) -> None:
         length = AnswerLength(median=100, spread=2.0, least=20, most=300)
@@ -254,8 +254,10 @@
         assert prompts[0][1].content.endswith(f"[len={TOKENS}]")
 
     def test_workload_from_json(self) -> None:
-        load = Workload((replace(FITTING, bursts=(Burst(1.0, 2.0, 3.0),)), RESERVE), 5.0, seed=9)
-        assert parse_workload(orjson.dumps(load)) == load
+        workload = Workload(
+            (replace(FITTING, bursts=(Burst(1.0, 2.0, 3.0),)), RESERVE), 5.0, seed=9
+        )
+        assert parse_workload(orjson.dumps(workload)) == workload
 
 
 class TestChecks:
@@ -280,7 +282,7 @@
     def test_text(self, text: str, check: Check) -> None:
         assert check_text(text, EXPECTED, "stop") is check
 
-    def test_text_cut_for_want_of_memory(self) -> None:
+    def test_text_capped_for_lack_of_memory(self) -> None:
         assert check_text(EXPECTED.text(0, 3), EXPECTED, "length") is Check.CAPPED
 
     @pytest.mark.parametrize(
@@ -297,13 +299,13 @@
     def test_echo(self, answer: object, check: Check) -> None:
         assert check_echo(answer, "mine", "k") is check
 
-    def test_events_are_found_wherever_the_bytes_are_split(self) -> None:
+    def test_events_are_parsed_for_any_split_of_the_bytes(self) -> None:
         data = b"data: one\n\nevent: named\ndata: two\ndata: three\n\n: comment\n\n"
-        wanted = [Event("message", b"one"), Event("named", b"two\nthree")]
+        expected_events = [Event("message", b"one"), Event("named", b"two\nthree")]
         for size in range(1, len(data) + 1):
             reader = EventReader()
             pieces = [data[start : start + size] for start in range(0, len(data), size)]
-            assert [event for piece in pieces for event in reader.feed(piece)] == wanted
+            assert [event for piece in pieces for event in reader.feed(piece)] == expected_events
 
 
 class TestResults:
@@ -312,7 +314,7 @@
         assert (spread.p50, spread.p95, spread.p99, spread.most) == (50, 95, 99, 100)
         assert spread_of([]).p50 is None
 
-    def test_summary_counts_only_what_is_whole_and_in_time(self) -> None:
+    def test_summary_counts_only_complete_answers_in_time(self) -> None:
         good = CallResult(
             "fitting",
             0,
@@ -337,8 +339,8 @@
         ("changes", "violation"),
         [
             ({"check": Check.FOREIGN}, "answer is foreign"),
-            ({"check": Check.PARTIAL}, "told completed, but the answer is partial"),
-            ({"outcome": "not_run", "tokens": 3}, "told not_run after tokens had come"),
+            ({"check": Check.PARTIAL}, "reported completed, but the answer is partial"),
+            ({"outcome": "not_run", "tokens": 3}, "reported not_run after tokens had come"),
             ({"outcome": "failed", "done": True}, "[DONE] with outcome 'failed'"),
             ({"outcome": ""}, "whole answer of status 200 with outcome ''"),
         ],
@@ -346,29 +348,29 @@
     def test_violations(self, changes: dict[str, object], violation: str) -> None:
         good = CallResult("x", 0, status=200, outcome="completed", check=Check.WHOLE)
         assert good.violations() == []
-        # The names in `changes` are fields; the checker cannot see that.
+        # The keys of `changes` are names of fields.
         bad = replace(good, **changes)  # type: ignore[arg-type]
         assert violation in bad.violations()
 
-    def test_server_error_passed_on_is_no_violation(self) -> None:
+    def test_forwarded_server_error_is_no_violation(self) -> None:
         result = CallResult("x", 0, status=500, outcome="completed")
         assert result.violations() == []
-        assert not result.good
+        assert not result.is_good
 
-    def test_one_request_id_for_two_calls(self) -> None:
+    def test_repeated_request_id_is_a_violation(self) -> None:
         first = CallResult("x", 0, request_id="r", status=200, outcome="not_run")
         second = replace(first, number=1)
         assert find_violations([first, second]) == ["x 1 (r): the request id of x 0 (r)"]
 
 
 class TestCalls:
-    def test_whole_streams(self) -> None:
-        load = Workload((FITTING,), duration_s=0.2, seed=1)
+    def test_complete_streams(self) -> None:
+        workload = Workload((FITTING,), duration_s=0.2, seed=1)
         results, received = call_entry(
-            load, lambda request: stream_of([*tokens_of(request.answer), COMPLETED])
+            workload, lambda request: stream_of([*tokens_of(request.answer), COMPLETED])
         )
-        assert len(results) == len(received) == len(plan(load)) > 1
-        assert all(result.good for result in results)
+        assert len(results) == len(received) == len(plan(workload)) > 1
+        assert all(result.is_good for result in results)
         assert all(result.tokens == TOKENS == len(result.gaps_s) + 1 for result in results)
 
     @pytest.mark.parametrize("piece", [1, 7, 100])
@@ -377,45 +379,43 @@
             one_call(FITTING),
             lambda request: stream_of([*tokens_of(request.answer), COMPLETED], piece=piece),
         )
-        assert result.good
+        assert result.is_good
         assert result.done
         assert (result.request_id, result.reason) == ("r1", "why")
 
-    def test_whole_completion(self) -> None:
+    def test_complete_answer_without_streaming(self) -> None:
         def script(request: Received) -> bytes:
             message = {"role": "assistant", "content": request.answer.text()}
             choice = {"index": 0, "message": message, "finish_reason": "stop"}
-            return whole_answer("completed", orjson.dumps({"choices": [choice]}))
+            return complete_answer("completed", orjson.dumps({"choices": [choice]}))
 
         (result,), _ = call_entry(one_call(replace(FITTING, stream=False)), script)
-        assert result.good
+        assert result.is_good
         assert result.tokens == TOKENS
 
     def test_request_carries_token_deadline_and_key(self) -> None:
         traffic = replace(RESERVE, deadline_s=1.5)
         (result,), (request,) = call_entry(
-            one_call(traffic), lambda request: whole_answer("completed", echo(request))
+            one_call(traffic), lambda request: complete_answer("completed", echo(request))
         )
-        assert result.good
+        assert result.is_good
         assert request.path == "/services/counter-api/reserve/0"
         assert request.header("Authorization") == "Bearer token-a"
         assert request.header("Turmericweir-Deadline-Ms") == "1500"
         assert request.header("Idempotency-Key") == result.key
 
     def test_stream_that_failed_midway(self) -> None:
-        # The answer breaks off and the last event says so: the caller has a part and a true
-        # account, which is no violation.
+        # Guards against a violation for a partial answer whose last event reports the failure.
         (result,), _ = call_entry(
             one_call(FITTING),
             lambda request: stream_of([*tokens_of(request.answer)[:3], outcome_event("failed")]),
         )
         assert (result.check, result.outcome, result.tokens) == (Check.PARTIAL, "failed", 3)
-        assert not result.good
+        assert not result.is_good
         assert result.violations() == []
 
     def test_stream_that_is_cut(self) -> None:
-        # The connection ends within the stream: the caller is told nothing and must not count
-        # what came as an answer.
+        # Guards against counting a stream without an end as an answer.
         (result,), _ = call_entry(
             one_call(FITTING),
             lambda request: stream_of(tokens_of(request.answer)[:3], ends=False),
@@ -431,7 +431,7 @@
             (lambda answer: tokens_of(answer, [0, 2, 3, 4]), Check.LOST),
         ],
     )
-    def test_corrupt_streams_are_found(
+    def test_corrupt_streams_are_detected(
         self, events: Callable[[Answer], list[bytes]], check: Check
     ) -> None:
         (result,), _ = call_entry(
@@ -450,36 +450,35 @@
     def test_refused_call(self) -> None:
         body = orjson.dumps({"outcome": "not_run", "reason": "overload"})
         (result,), _ = call_entry(
-            one_call(FITTING), lambda request: whole_answer("not_run", body, status=503)
+            one_call(FITTING), lambda request: complete_answer("not_run", body, status=503)
         )
         assert (result.status, result.outcome, result.reason) == (503, "not_run", "overload")
         assert result.check is Check.NONE
         assert result.violations() == []
 
     def test_call_without_answer_is_not_sent_again(self) -> None:
-        # The entry takes the call and closes the connection. The call may have run, so neither
-        # this entry nor another may get it a second time.
+        # Guards against a second send after the connection was closed: the call may have run.
         (result,), received = call_entry(one_call(RESERVE), lambda request: b"")
         assert len(received) == 1
         assert result.status is None
         assert result.outcome == ""
         assert result.error in ("RemoteProtocolError", "ReadError")
 
-    def test_patience_ends(self) -> None:
+    def test_caller_gives_up_after_its_maximum_wait(self) -> None:
         traffic = replace(RESERVE, patience_s=0.05)
         (result,), received = call_entry(one_call(traffic), lambda request: None)
         assert len(received) == 1
         assert result.error == GAVE_UP
 
-    def test_no_entry_in_reach(self) -> None:
+    def test_no_entry_is_reachable(self) -> None:
         callers = Callers(one_call(RESERVE), [free_address(), free_address()])
         (result,) = anyio.run(callers.run)
         assert result.error == "ConnectError"
 
     def test_results_as_json_and_record(self, tmp_path: Path) -> None:
-        load = one_call(RESERVE)
+        workload = one_call(RESERVE)
         with Recorder(str(tmp_path / "record")) as recorder:
-            results = anyio.run(Callers(load, [free_address()], recorder=recorder).run)
+            results = anyio.run(Callers(workload, [free_address()], recorder=recorder).run)
         value = orjson.loads(results_json(results, duration_s=1.0))
         assert value["report"]["classes"]["reserve"]["errors"] == {"ConnectError": 1}
         (line,) = read_records(tmp_path / "record")
@@ -489,10 +488,10 @@
 
 class TestProgram:
     def test_run_against_a_plain_service(self, tmp_path: Path) -> None:
-        # The service stands in for the whole system here. It tells no outcome, as only the system
-        # does, and the callers must notice that for each call.
-        load = Workload((RESERVE,), duration_s=0.2, seed=1)
-        (tmp_path / "load.json").write_bytes(orjson.dumps(load))
+        # The plain service reports no outcome. Guards against callers that do not report the
+        # missing outcome as a violation of each call.
+        workload = Workload((RESERVE,), duration_s=0.2, seed=1)
+        (tmp_path / "load.json").write_bytes(orjson.dumps(workload))
         out = tmp_path / "out.json"
         with standin("service", directory=tmp_path) as service:
             args = ["--workload", str(tmp_path / "load.json"), "--out", str(out)]
@@ -503,7 +502,7 @@
         word, _, text = callers.lines[-1].partition(" ")
         assert word == RESULT_WORD
         report = orjson.loads(text)
-        calls = len(plan(load))
+        calls = len(plan(workload))
         assert report["classes"]["reserve"]["calls"] == calls > 1
         assert len(report["violations"]) == calls
         assert {call["check"] for call in orjson.loads(out.read_bytes())["calls"]} == {"whole"}
--- a/tests/standins/test_engine.py
+++ b/tests/standins/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine stand-in: its batch stepped by hand, its delayed views, and its HTTP side."""
+"""Test the engine stand-in: its batch, its delayed reports and events, and its HTTP interface."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 MODEL = "tailor-lm"
 COMPLETIONS = "/v1/chat/completions"
-# Ends a test that would hang; nothing is expected to take this long.
+# Safety limit for a test that hangs.
 SAFETY_TIMEOUT_S = 30.0
 
 
@@ -70,8 +70,8 @@
     return batch.end()
 
 
-def run_out(batch: Batch, now: float = 0.0) -> dict[str, str]:
-    """Step until nothing is left; return the text of each request."""
+def run_to_end(batch: Batch, now: float = 0.0) -> dict[str, str]:
+    """Run steps until the batch is empty; return the text of each request."""
     texts: dict[str, str] = {}
     while batch.begin(now) is not None:
         for emission in batch.end().emissions:
@@ -149,10 +149,10 @@
     batch = Batch(BatchConfig(slots=1))
     for name, priority in (("essay", 5), ("quote", 5), ("homework", 1)):
         batch.submit(sequence_of(f"{name} [len=1]", request_id=name, priority=priority))
-    assert list(run_out(batch)) == ["homework", "essay", "quote"]
+    assert list(run_to_end(batch)) == ["homework", "essay", "quote"]
 
 
-def test_urgent_request_preempts_the_least_urgent_and_it_goes_on_later() -> None:
+def test_urgent_request_preempts_the_least_urgent_which_resumes_later() -> None:
     batch = Batch(BatchConfig(slots=2))
     essay = sequence_of("essay [len=4]", request_id="essay", priority=5)
     quote = sequence_of("quote [len=9]", request_id="quote", priority=4)
@@ -165,12 +165,12 @@
     assert preempting.preempted == [essay]
     assert [each.sequence for each in preempting.emissions] == [quote]
     step(batch)
-    # The homework has its answer; the essay's KV was kept, so it goes on without a prefill.
+    # The homework is complete; the essay's KV was kept, and it resumes without a prefill.
     assert [each.text for each in step(batch).emissions] == [
         quote.answer.token(3),
         essay.answer.token(1),
     ]
-    assert run_out(batch)["essay"] == essay.answer.text(start=2)
+    assert run_to_end(batch)["essay"] == essay.answer.text(start=2)
 
 
 def test_equal_priority_does_not_preempt() -> None:
@@ -182,7 +182,7 @@
     assert [each.request_id for each in batch.waiting] == ["b"]
 
 
-def test_no_sequence_is_preempted_where_it_would_not_make_enough_room() -> None:
+def test_no_sequence_is_preempted_if_the_room_would_not_suffice() -> None:
     batch = Batch(BatchConfig(slots=2, kv_tokens=100))
     batch.submit(sequence_of("word " * 80 + "[len=5]", request_id="big", priority=1))
     batch.submit(sequence_of("small [len=5]", request_id="small", priority=3))
@@ -191,7 +191,7 @@
     assert step(batch).preempted == []
 
 
-def test_shortage_of_memory_preempts_the_least_urgent_and_all_answers_are_whole() -> None:
+def test_shortage_of_memory_preempts_the_least_urgent_and_all_answers_are_complete() -> None:
     batch = Batch(BatchConfig(kv_tokens=60))
     sequences = [
         sequence_of(f"{name} [len=40]", request_id=name, priority=priority)
@@ -199,7 +199,7 @@
     ]
     for sequence in sequences:
         batch.submit(sequence)
-    texts = run_out(batch)
+    texts = run_to_end(batch)
     assert texts == {each.request_id: each.answer.text() for each in sequences}
     assert sequences[0].preemptions == 0
     assert sequences[2].preemptions > 0
@@ -230,14 +230,14 @@
     assert batch.export_kv("r1") is None
 
 
-def test_kv_left_by_another_prompt_is_of_no_use() -> None:
+def test_kv_of_another_prompt_is_not_used() -> None:
     batch = Batch(BatchConfig())
     batch.kv.import_idle("r1", IdleKv("another prompt", 100))
     batch.submit(sequence_of("hello [len=9]"))
     assert step(batch).emissions == []
 
 
-def test_imported_kv_spares_the_prefill() -> None:
+def test_imported_kv_avoids_the_prefill() -> None:
     source, target = Batch(BatchConfig()), Batch(BatchConfig())
     source.submit(sequence_of("hello [len=9]"))
     step(source)
@@ -253,11 +253,11 @@
     batch = Batch(BatchConfig())
     sequence = sequence_of("hello [len=9]", start=4)
     batch.submit(sequence)
-    assert run_out(batch) == {"r1": sequence.answer.text(start=4)}
+    assert run_to_end(batch) == {"r1": sequence.answer.text(start=4)}
     assert sequence.generated == 5
 
 
-def test_resume_with_nothing_left_finishes_even_in_a_full_memory() -> None:
+def test_resume_without_remaining_tokens_finishes_in_a_full_memory() -> None:
     batch = Batch(BatchConfig(kv_tokens=11))
     sequence = sequence_of("hello [len=9]", start=9)
     batch.submit(sequence)
@@ -333,7 +333,7 @@
     assert kv.idle("r1") is not None
 
 
-# What is seen late.
+# Delayed reports and events.
 
 
 def report(seq: int) -> LoadReport:
@@ -347,7 +347,7 @@
     assert [reports.read(now).seq for now in (1.0, 1.5, 1.9, 2.0)] == [1, 2, 2, 3]
 
 
-def test_cache_events_come_late_and_with_gaps() -> None:
+def test_cache_events_are_delayed_and_have_gaps() -> None:
     log = CacheLog(lag_s=1.0, gap_every=2)
     for now in (0.0, 0.25, 0.5):
         log.append(now, CacheChange("stored", f"at {now}"))
@@ -365,32 +365,32 @@
     return Order(kind="load", model="new", version=version, fence=fence)
 
 
-def test_old_fencing_number_is_refused_where_checked() -> None:
+def test_stale_fencing_number_is_refused_if_checked() -> None:
     models = ModelTable([MODEL], load_s=1.0, check_fence=True)
-    models.obey(load_order(5), now=0.0)
-    models.obey(load_order(5), now=0.0)
+    models.execute(load_order(5), now=0.0)
+    models.execute(load_order(5), now=0.0)
     with pytest.raises(StaleFenceError) as caught:
-        models.obey(Order(kind="unload", model=MODEL, fence=4), now=0.0)
+        models.execute(Order(kind="unload", model=MODEL, fence=4), now=0.0)
     assert caught.value.fence == 5
     assert models.serves(MODEL, now=0.0)
 
 
-def test_old_fencing_number_is_obeyed_where_ignored() -> None:
+def test_stale_fencing_number_is_accepted_if_ignored() -> None:
     models = ModelTable([MODEL], load_s=1.0, check_fence=False)
-    models.obey(load_order(5), now=0.0)
-    assert models.obey(Order(kind="unload", model=MODEL, fence=4), now=0.0) == "unloaded"
+    models.execute(load_order(5), now=0.0)
+    assert models.execute(Order(kind="unload", model=MODEL, fence=4), now=0.0) == "unloaded"
     assert not models.serves(MODEL, now=0.0)
     assert models.fence == 0
 
 
-def test_loading_takes_its_time_and_a_repeated_order_does_not_restart_it() -> None:
+def test_repeated_order_does_not_restart_a_load() -> None:
     models = ModelTable([MODEL], load_s=1.0, check_fence=True)
-    assert models.obey(load_order(1, "v2"), now=0.0) == "loading"
-    assert models.obey(load_order(1, "v2"), now=0.9) == "loading"
+    assert models.execute(load_order(1, "v2"), now=0.0) == "loading"
+    assert models.execute(load_order(1, "v2"), now=0.9) == "loading"
     assert (models.loaded(0.9), models.loading(0.9)) == ([MODEL], ["new@v2"])
     assert (models.loaded(1.0), models.loading(1.0)) == ([MODEL, "new@v2"], [])
     assert models.serves("new", now=1.0)
-    assert models.obey(load_order(1, "v2"), now=1.0) == "loaded"
+    assert models.execute(load_order(1, "v2"), now=1.0) == "loaded"
 
 
 # The record.
@@ -409,11 +409,11 @@
     assert counts == {("r1", "a1"): 8, ("r1", "a2"): 3}
 
 
-# The HTTP side, called in this process.
+# The HTTP interface, called in this process.
 
 
 class Client:
-    """Call an ASGI app and keep what it answers."""
+    """Call an ASGI app and store its answer."""
 
     status: int
     headers: dict[str, str]
@@ -421,9 +421,9 @@
 
     def __init__(self, app: EngineApp) -> None:
         self._app = app
-        # Set to make the app see a disconnection.
-        self.gone = anyio.Event()
-        # Set when the first part of a body has come.
+        # Set to disconnect from the app.
+        self.disconnect_requested = anyio.Event()
+        # Set when the first part of a body has arrived.
         self.answered = anyio.Event()
 
     async def call(
@@ -438,11 +438,11 @@
             if not sent:
                 sent = True
                 return {"type": "http.request", "body": orjson.dumps(body)}
-            await self.gone.wait()
+            await self.disconnect_requested.wait()
             return {"type": "http.disconnect"}
 
         self.body = b""
-        await self._app(scope, receive, self._take)
+        await self._app(scope, receive, self._add_message)
         return self
 
     async def complete(self, content: str, **fields: object) -> Client:
@@ -452,7 +452,7 @@
             "POST", COMPLETIONS, body, {"x-request-id": "r1", "x-attempt-id": "a1"}
         )
 
-    async def behave(self, **changes: object) -> None:
+    async def set_behaviour(self, **changes: object) -> None:
         await self.call("POST", "/_standin/behaviour", changes)
         assert self.status == 200
 
@@ -470,7 +470,7 @@
         chunks = [orjson.loads(event) for event in self.events() if event != "[DONE]"]
         return "".join(chunk["choices"][0]["delta"]["content"] for chunk in chunks)
 
-    async def _take(self, message: Message) -> None:
+    async def _add_message(self, message: Message) -> None:
         if message["type"] == "http.response.start":
             self.status = message["status"]
             self.headers = {name.decode(): value.decode() for name, value in message["headers"]}
@@ -507,7 +507,7 @@
     assert (client.headers["x-request-id"], client.headers["x-attempt-id"]) == ("r1", "a1")
 
 
-async def test_whole_answer_has_text_and_usage() -> None:
+async def test_complete_answer_has_text_and_usage() -> None:
     async with running_engine() as app:
         client = await Client(app).complete("hi [len=3]", max_tokens=2)
     [choice] = orjson.loads(client.body)["choices"]
@@ -518,11 +518,11 @@
 async def test_resume_continues_and_a_wrong_text_is_an_error() -> None:
     answer: Answer = answer_of(MODEL, messages_of("hi [len=5]"))
     async with running_engine() as app:
-        good = {"from_token": 2, "text": answer.text(0, 2)}
-        client = await Client(app).complete("hi [len=5]", stream=True, resume=good)
+        correct_resume = {"from_token": 2, "text": answer.text(0, 2)}
+        client = await Client(app).complete("hi [len=5]", stream=True, resume=correct_resume)
         assert client.tokens() == answer.text(2)
-        bad = {"from_token": 2, "text": answer.text(0, 1)}
-        assert (await Client(app).complete("hi [len=5]", resume=bad)).status == 400
+        wrong_resume = {"from_token": 2, "text": answer.text(0, 1)}
+        assert (await Client(app).complete("hi [len=5]", resume=wrong_resume)).status == 400
 
 
 @pytest.mark.parametrize(
@@ -533,12 +533,12 @@
         ({"error_rate": 1.0}, 500, set()),
     ],
 )
-async def test_refusals_say_whether_work_began(
+async def test_refusals_show_whether_work_began(
     behaviour: dict[str, object], status: int, marks: set[str]
 ) -> None:
     async with running_engine() as app:
         client = Client(app)
-        await client.behave(**behaviour)
+        await client.set_behaviour(**behaviour)
         await client.complete("hi")
     assert client.status == status
     assert {"x-not-started", "x-leaving"} & client.headers.keys() == marks
@@ -554,27 +554,27 @@
 
 async def test_leaving_engine_finishes_what_runs_and_reports_it() -> None:
     async with running_engine() as app:
-        client, other = Client(app), Client(app)
+        client, second_client = Client(app), Client(app)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(lambda: client.complete("hi [len=300]", stream=True))
             await client.answered.wait()
-            await other.behave(leaving=True)
-            await other.call("GET", "/v1/load")
-            assert other.json()["leaving"] is True
+            await second_client.set_behaviour(leaving=True)
+            await second_client.call("GET", "/v1/load")
+            assert second_client.json()["leaving"] is True
     assert client.tokens() == answer_of(MODEL, messages_of("hi [len=300]")).text()
 
 
 async def test_disconnection_aborts_and_the_tokens_are_counted(tmp_path: Path) -> None:
     async with running_engine(tmp_path / "record") as app:
-        client, other = Client(app), Client(app)
+        client, second_client = Client(app), Client(app)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(
                 lambda: client.complete("hi [len=1000000]", stream=True, max_tokens=9000)
             )
             await client.answered.wait()
-            client.gone.set()
-        await other.call("POST", "/v1/kv/export", {"request_id": "r1"})
-        assert other.status == 200
+            client.disconnect_requested.set()
+        await second_client.call("POST", "/v1/kv/export", {"request_id": "r1"})
+        assert second_client.status == 200
     [ended] = [each for each in read_records(tmp_path / "record") if each["event"] == "ended"]
     assert ended["outcome"] == "aborted"
     assert 0 < ended["tokens"] < 9000
@@ -582,29 +582,29 @@
 
 async def test_cancelled_stream_ends_without_done() -> None:
     async with running_engine() as app:
-        client, other = Client(app), Client(app)
+        client, second_client = Client(app), Client(app)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(lambda: client.complete("hi", stream=True, max_tokens=9000))
             await client.answered.wait()
-            await other.call("POST", "/v1/cancel", {"request_id": "r1", "attempt_id": "a1"})
-        assert other.json()["cancelled"] is True
-        await other.call("POST", "/v1/cancel", {"request_id": "r1", "attempt_id": "a1"})
-        assert other.json() == {"cancelled": False, "tokens": 0}
+            await second_client.call("POST", "/v1/cancel", {"request_id": "r1", "attempt_id": "a1"})
+        assert second_client.json()["cancelled"] is True
+        await second_client.call("POST", "/v1/cancel", {"request_id": "r1", "attempt_id": "a1"})
+        assert second_client.json() == {"cancelled": False, "tokens": 0}
     assert client.events()[-1] == '{"error": {"type": "cancelled"}}'
 
 
 async def test_stalled_stream_is_silent_after_its_tokens() -> None:
     async with running_engine() as app:
-        client, other = Client(app), Client(app)
-        await other.behave(stall_after_tokens=2)
+        client, second_client = Client(app), Client(app)
+        await second_client.set_behaviour(stall_after_tokens=2)
         async with anyio.create_task_group() as tasks:
             tasks.start_soon(lambda: client.complete("hi [len=5]", stream=True))
             await client.answered.wait()
             while app.engine.has_streams():
                 await anyio.lowlevel.checkpoint()
-            # All five tokens were generated; whatever would be sent is sent by now.
+            # All five tokens were generated; pending sends are completed.
             await anyio.wait_all_tasks_blocked()
-            client.gone.set()
+            client.disconnect_requested.set()
     assert client.tokens() == answer_of(MODEL, messages_of("hi [len=5]")).text(0, 2)
 
 
@@ -612,11 +612,11 @@
     async with running_engine() as app:
         client = Client(app)
         before = (await client.call("GET", "/v1/load")).json()
-        await client.behave(report_frozen=True, leaving=True)
+        await client.set_behaviour(report_frozen=True, leaving=True)
         assert (await client.call("GET", "/v1/load")).json() == before
 
 
-async def test_order_with_an_old_fence_gets_the_newer_one() -> None:
+async def test_order_with_a_stale_fence_gets_the_newest_one() -> None:
     async with running_engine() as app:
         client = Client(app)
         await client.call("POST", "/v1/orders", {"kind": "role", "role": "prefill", "fence": 3})
@@ -641,43 +641,42 @@
 
 
 def receive_stream(address: str, body: object, received: list[bytes]) -> None:
-    """Put the parts of a streamed answer into the list as they come."""
+    """Append the parts of a streamed answer to a list as they arrive."""
     url = f"http://{address}{COMPLETIONS}"
     with httpcore.stream("POST", url, content=orjson.dumps(body)) as response:
         received.extend(response.iter_stream())
 
 
-def load_when_up(address: str) -> dict[str, object]:
-    """Ask for the load report until the engine accepts connections."""
-    give_up = time.monotonic() + SAFETY_TIMEOUT_S
+def wait_for_load_report(address: str) -> dict[str, object]:
+    """Return the load report as soon as the engine accepts connections."""
+    deadline = time.monotonic() + SAFETY_TIMEOUT_S
     while True:
         try:
             response = httpcore.request("GET", f"http://{address}/v1/load")
         except httpcore.NetworkError:
-            assert time.monotonic() < give_up, "the engine did not come back"
+            assert time.monotonic() < deadline, "the engine did not listen again"
             continue
         parsed = orjson.loads(response.content)
         assert isinstance(parsed, dict)
         return parsed
 
 
-def test_crashed_engine_drops_its_connections_and_returns_as_a_new_incarnation(
+def test_crashed_engine_closes_its_connections_and_returns_as_a_new_incarnation(
     tmp_path: Path,
 ) -> None:
-    """The caller sees its stream break off.
+    """Test a crash at the first token of a request with the crash marker.
 
-    A request with the marker gets its first token, and the engine dies with all it held. It comes
-    back on the same address, empty, and its incarnation tells a router that nothing is left of the
-    old one.
+    Guards against an answer after the crash, and against an unchanged incarnation of the engine
+    that listens again without its earlier state.
     """
     record = tmp_path / "record"
     args = ("--models", MODEL, "--down-s", "0.05", "--record", str(record))
     with standin("engine", *args, directory=tmp_path) as engine:
-        before = load_when_up(engine.address)
+        before = wait_for_load_report(engine.address)
         body = {"model": MODEL, "messages": [{"role": "user", "content": "[crash]"}]}
         with pytest.raises((httpcore.ProtocolError, httpcore.NetworkError)):
             post(engine.address, COMPLETIONS, body)
-        after = load_when_up(engine.address)
+        after = wait_for_load_report(engine.address)
     assert after["incarnation"] != before["incarnation"]
     events = [each["event"] for each in read_records(record)]
     assert events == ["life", "received", "started", "crash", "ended", "life"]
@@ -706,5 +705,5 @@
         with pytest.raises(httpcore.RemoteProtocolError):
             receive_stream(engine.address, body, received)
         assert b"".join(received).count(b'"content"') == 2
-        whole = post(engine.address, COMPLETIONS, body).content
-        assert whole.count(b'"content"') == 9
+        complete_body = post(engine.address, COMPLETIONS, body).content
+        assert complete_body.count(b'"content"') == 9
--- a/tests/standins/test_platform.py
+++ b/tests/standins/test_platform.py
@@ -1,4 +1,4 @@
-"""Test the platform stand-in: its parts with a given time, and its faults in a real process."""
+"""Test the platform stand-in: its classes with a given time, and its faults in a real process."""
 
 from __future__ import annotations
 
@@ -32,9 +32,9 @@
 from turmericweir_standins.record import read_records
 
 RETENTION = 5
-# A read that may wait this long ends by an event or fails the test.
+# Safety limit for a read that waits for an event.
 LONG_WAIT_MS = 20_000
-# How long a hanging call is watched before it counts as hanging.
+# Time without an answer after which a call counts as hanging.
 HANG_S = 0.3
 
 
@@ -65,7 +65,7 @@
 
 
 class Background:
-    """A call in a thread, so that the test can act while it waits."""
+    """A call in a thread; the test can act while it waits."""
 
     def __init__(self, address: str, start: int) -> None:
         self.answer: JsonAnswer | None = None
@@ -111,11 +111,11 @@
     def test_list_lags_in_both_directions(self) -> None:
         instances = InstanceList()
         instances.change("a", entry("a"), now=0.0, lag_s=2.0)
-        assert instances.shown(1.9) == []
-        assert [found.name for found in instances.shown(2.0)] == ["a"]
+        assert instances.visible_entries(1.9) == []
+        assert [listed.name for listed in instances.visible_entries(2.0)] == ["a"]
         instances.change("a", None, now=3.0, lag_s=2.0)
-        assert [found.name for found in instances.shown(4.9)] == ["a"]
-        assert instances.shown(5.0) == []
+        assert [listed.name for listed in instances.visible_entries(4.9)] == ["a"]
+        assert instances.visible_entries(5.0) == []
         assert instances.version == 2
 
 
@@ -129,7 +129,7 @@
             "oldest": 0,
         }
 
-    def test_read_before_retention_is_gone(self, platform: Process) -> None:
+    def test_read_of_expired_records_gets_gone(self, platform: Process) -> None:
         append(platform.address, *range(RETENTION + 2))
         answer = read(platform.address, 1)
         assert answer.status == 410
@@ -141,7 +141,7 @@
         append(platform.address, 7)
         assert waiting.result().body["records"] == [{"offset": 0, "value": {"n": 7}}]
 
-    def test_long_poll_ends_empty(self, platform: Process) -> None:
+    def test_long_poll_ends_without_records(self, platform: Process) -> None:
         assert read(platform.address, 0, wait_ms=20).body["records"] == []
 
     def test_append_beyond_the_rate_is_refused_without_effect(self, platform: Process) -> None:
@@ -158,8 +158,7 @@
 
 class TestFaults:
     def test_lost_acknowledgement(self, platform: Process, tmp_path: Path) -> None:
-        # The caller sees its connection close and cannot know whether the append stands. It does:
-        # the platform took it and lost the answer; the one after it is answered as usual.
+        # Guards against an append that has no effect when its acknowledgement is lost.
         set_behaviour(platform.address, lose_acks=1)
         with pytest.raises((http.client.RemoteDisconnected, ConnectionResetError)):
             append(platform.address, 1)
@@ -167,7 +166,7 @@
         assert [line["acked"] for line in events(tmp_path, "append")] == [False, True]
 
     def test_outage_that_refuses(self, platform: Process) -> None:
-        # Callers of the log get 503 at once, and nothing takes effect; the list still answers.
+        # Guards against appends that take effect in the outage; the list still answers.
         set_behaviour(platform.address, outage=True, outage_mode="refuse")
         assert append(platform.address, 1).status == 503
         assert read(platform.address, 0).status == 503
@@ -176,7 +175,7 @@
         assert append(platform.address, 2).body["first"] == 0
 
     def test_outage_that_hangs_ends(self, platform: Process) -> None:
-        # A caller that waits through the outage sees no answer while it lasts and then a good one.
+        # Guards against a hanging call that gets no answer after the outage.
         set_behaviour(platform.address, outage=True)
         with pytest.raises(TimeoutError):
             call_json(platform.address, "GET", "/log/settings?from=0", timeout_s=HANG_S)
@@ -185,23 +184,20 @@
         append(platform.address, 1)
         assert waiting.result().status == 200
 
-    def test_outage_reaches_the_long_poll_that_waits(
-        self, platform: Process, tmp_path: Path
-    ) -> None:
-        # A long poll was waiting when the outage began. It must not deliver records through the
-        # outage: it is refused as any new call would be.
+    def test_outage_applies_to_waiting_long_polls(self, platform: Process, tmp_path: Path) -> None:
+        # Guards against a long poll that began before the outage and still delivers records.
         waiting = Background(platform.address, start=0)
         wait_until(lambda: bool(events(tmp_path, "read_waits")), "the long poll waits")
         set_behaviour(platform.address, outage=True, outage_mode="refuse")
         assert waiting.result().status == 503
 
     def test_answers_held_back(self, platform: Process, tmp_path: Path) -> None:
-        # An append stands while nobody hears of it: neither its caller nor a reader. Both are
-        # answered once the answers are let go.
+        # Guards against answers to the caller or to readers while answers are held back; the append
+        # takes effect.
         set_behaviour(platform.address, hold_answers=True)
         with ThreadPoolExecutor(1) as pool:
             appended = pool.submit(append, platform.address, 1)
-            wait_until(lambda: bool(events(tmp_path, "append")), "the append stands")
+            wait_until(lambda: bool(events(tmp_path, "append")), "the append is recorded")
             reading = Background(platform.address, start=0)
             with pytest.raises(TimeoutError):
                 call_json(platform.address, "GET", "/log/settings?from=0", timeout_s=HANG_S)
@@ -211,7 +207,7 @@
             assert reading.result().body["end"] == 1
 
     def test_cut_off_callers(self, platform: Process) -> None:
-        # A data centre is cut off: its instances get nothing from the platform, others go on.
+        # Guards against answers to callers that are cut off, and refusals of other callers.
         set_behaviour(platform.address, cut_from=["a"])
         assert append(platform.address, 1, caller="a").status == 503
         assert append(platform.address, 1, caller="b").status == 200
@@ -219,7 +215,7 @@
         assert call_json(platform.address, "GET", "/instances", headers=headers).status == 503
 
     def test_stops_while_calls_hang(self, platform: Process) -> None:
-        # A test that ends during an outage must not wait for the calls that hang in it.
+        # Guards against a platform that does not stop while calls hang.
         set_behaviour(platform.address, outage=True)
         with pytest.raises(TimeoutError):
             call_json(platform.address, "GET", "/log/settings?from=0", timeout_s=HANG_S)
@@ -251,9 +247,9 @@
 
 
 class TestProcess:
-    def test_paused_platform_answers_once_it_goes_on(self, platform: Process) -> None:
-        # A paused process accepts connections, as the kernel does that for it, and answers none.
-        # When it goes on it answers what came meanwhile.
+    def test_paused_platform_answers_after_it_resumes(self, platform: Process) -> None:
+        # Guards against calls during a pause that get no answer after it. The kernel accepts their
+        # connections meanwhile.
         platform.pause()
         with pytest.raises(TimeoutError):
             call_json(platform.address, "GET", "/instances", timeout_s=HANG_S)
@@ -271,7 +267,7 @@
             assert second.address == first.address
             assert read(second.address, 0).body["end"] == 0
 
-    def test_program_that_ends_instead_of_getting_ready(self, tmp_path: Path) -> None:
+    def test_process_that_ends_before_it_is_ready(self, tmp_path: Path) -> None:
         with (
             pytest.raises(ProcessError, match="No such option"),
             standin("platform", "--no-such-option", directory=tmp_path),
--- a/tests/standins/test_port_blocks.py
+++ b/tests/standins/test_port_blocks.py
@@ -1,4 +1,4 @@
-"""Test runs at the same time on one machine never give the same port to their children."""
+"""Parallel test runs on one machine never use the same port."""
 
 from __future__ import annotations
 
@@ -11,18 +11,18 @@
 )
 
 
-def test_two_runs_that_search_at_the_same_place_give_different_ports() -> None:
-    # Both runs ask for the ports of a cluster before any of its processes has bound its own. With a
-    # port in common, one process of one run would end with "address in use" instead of starting.
-    with PortBlocks(7) as one, PortBlocks(7) as other:
-        ports = [each.next_port() for _ in range(BLOCK_SIZE) for each in (one, other)]
+def test_two_runs_with_the_same_start_get_different_ports() -> None:
+    # Guards against a port that two runs get before one of them has bound it: a process of the
+    # other run would fail with "address in use".
+    with PortBlocks(7) as first_run, PortBlocks(7) as second_run:
+        ports = [each.next_port() for _ in range(BLOCK_SIZE) for each in (first_run, second_run)]
     assert len(set(ports)) == len(ports)
 
 
-def test_long_run_leaves_blocks_to_others() -> None:
-    # A run that has gone once through the whole range lets go of what it took first.
-    with PortBlocks(7) as one, PortBlocks(7) as other:
-        ports = [one.next_port() for _ in range(PORT_COUNT)]
+def test_long_run_releases_blocks() -> None:
+    # Guards against a run that keeps all blocks reserved after it has used the whole range.
+    with PortBlocks(7) as first_run, PortBlocks(7) as second_run:
+        ports = [first_run.next_port() for _ in range(PORT_COUNT)]
         assert min(ports) >= FIRST_PORT
         assert max(ports) < LAST_PORT
-        assert other.next_port() not in ports[-BLOCK_SIZE:]
+        assert second_run.next_port() not in ports[-BLOCK_SIZE:]
