--- a/tests/standins/test_service.py
+++ b/tests/standins/test_service.py
@@ -1,4 +1,4 @@
-"""The plain-service stand-in: its counts of runs, its refusals and its faults."""
+"""Test the plain-service stand-in: its counts of runs, its refusals and its faults."""
 
 from __future__ import annotations
 
@@ -25,13 +25,13 @@
 
 
 class Answer:
-    """What the service answered to one call."""
+    """The service's answer to one call."""
 
     status: int = 0
     headers: dict[str, str]
     body: bytes = b""
 
-    async def take(self, message: Message) -> None:
+    async def add_message(self, message: Message) -> None:
         if message["type"] == "http.response.start":
             self.status = message["status"]
             self.headers = {name.decode(): value.decode() for name, value in message["headers"]}
@@ -62,16 +62,16 @@
         return {"type": "http.request", "body": body}
 
     answer = Answer()
-    await service(scope, receive, answer.take)
+    await service(scope, receive, answer.add_message)
     return answer
 
 
-async def behave(service: Service, **changes: object) -> None:
+async def set_behaviour(service: Service, **changes: object) -> None:
     answer = await call(service, path="/_standin/behaviour", body=orjson.dumps(changes))
     assert answer.status == 200
 
 
-async def test_any_method_and_path_is_answered_with_what_it_brought() -> None:
+async def test_any_method_and_path_is_echoed() -> None:
     service = service_of(INSTANT)
     answer = await call(service, "PUT", "/sizes/7", key="k1", body=b"grey")
     assert answer.json() == {
@@ -98,8 +98,8 @@
     ]
 
 
-async def test_calls_over_the_limit_wait_and_those_over_the_queue_are_refused() -> None:
-    # The latency outlasts the test, which ends the calls itself.
+async def test_calls_over_the_limit_wait_and_calls_over_the_queue_limit_are_refused() -> None:
+    # The latency is longer than the test, which cancels the calls.
     options = ServiceOptions(latency_s=3600, limit=2, queue_limit=1)
     service = service_of(options)
     async with anyio.create_task_group() as tasks:
@@ -123,7 +123,7 @@
 )
 async def test_refused_calls_did_not_run(behaviour: dict[str, object], marks: set[str]) -> None:
     service = service_of(INSTANT)
-    await behave(service, **behaviour)
+    await set_behaviour(service, **behaviour)
     answer = await call(service, key="k1")
     assert answer.status == 503
     assert {"x-not-started", "x-leaving"} & answer.headers.keys() == marks
@@ -132,7 +132,7 @@
 
 async def test_leaving_is_reported() -> None:
     service = service_of(INSTANT)
-    await behave(service, leaving=True)
+    await set_behaviour(service, leaving=True)
     first = (await call(service, "GET", "/v1/load")).json()
     second = (await call(service, "GET", "/v1/load")).json()
     assert first == {
@@ -148,20 +148,20 @@
 
 async def test_error_status_is_answered_after_a_run() -> None:
     service = service_of(INSTANT)
-    await behave(service, error_status=500)
+    await set_behaviour(service, error_status=500)
     answer = await call(service, key="k1")
     assert (answer.status, answer.json()["run"]) == (500, 1)
     assert "x-not-started" not in answer.headers
 
 
-async def test_frozen_service_runs_nothing_until_it_thaws() -> None:
+async def test_frozen_service_runs_nothing_until_unfrozen() -> None:
     service = service_of(INSTANT)
-    await behave(service, frozen=True)
+    await set_behaviour(service, frozen=True)
     async with anyio.create_task_group() as tasks:
         tasks.start_soon(lambda: call(service, key="k1"))
         await anyio.wait_all_tasks_blocked()
         assert service.runs == {}
-        await behave(service, frozen=False)
+        await set_behaviour(service, frozen=False)
     assert service.runs == {"k1": 1}
 
 
@@ -173,11 +173,10 @@
     assert sorted(durations)[499] == pytest.approx(0.02, rel=0.1)
 
 
-def test_dropped_call_ran_though_its_caller_got_no_answer(tmp_path: Path) -> None:
-    """The caller sees its connection close before any byte of an answer.
+def test_dropped_call_has_run_without_an_answer(tmp_path: Path) -> None:
+    """Test a connection that closes after the run and before the answer.
 
-    The service had run the call by then, so a caller that took the closed connection for "not run"
-    and sent the call again would have it run twice.
+    Guards against a dropped call that is not recorded as run.
     """
     record = tmp_path / "record"
     with standin(
