--- a/packages/turmericweir-standins/turmericweir_standins/callers_result.py
+++ b/packages/turmericweir-standins/turmericweir_standins/callers_result.py
@@ -80,11 +80,13 @@
         if self.outcome == COMPLETED and succeeded and not self.error and not self.is_good:
             violations.append(f"reported completed, but the answer is {self.check}")
         if self.outcome == NOT_RUN and self.tokens:
-            violations.append("reported not_run after tokens had come")
+            violations.append("reported not_run after tokens were received")
         if self.done and self.outcome != COMPLETED:
             violations.append(f"[DONE] with outcome {self.outcome!r}")
         if self.status is not None and not self.error and self.outcome not in OUTCOMES:
-            violations.append(f"whole answer of status {self.status} with outcome {self.outcome!r}")
+            violations.append(
+                f"complete answer of status {self.status} with outcome {self.outcome!r}"
+            )
         return violations
 
 
--- a/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
@@ -236,10 +236,10 @@
         mean_tokens: int = 0,
     ) -> None:
         """Schedule requests with random arrival times at this rate, each at a random instance."""
-        when = start + self.rng.expovariate(rate)
-        if when < end:
+        at_s = start + self.rng.expovariate(rate)
+        if at_s < end:
             self.schedule(
-                when, lambda: self._offer_one(customer, rate, when, end, among, mean_tokens)
+                at_s, lambda: self._offer_one(customer, rate, at_s, end, among, mean_tokens)
             )
 
     def _offer_one(
--- a/packages/turmericweir-standins/turmericweir_standins/soak_crashing.py
+++ b/packages/turmericweir-standins/turmericweir_standins/soak_crashing.py
@@ -75,9 +75,9 @@
     def calls(self, started_at: float) -> list[dict[str, Any]]:
         """Return the results of the calls in the form of the other callers' results."""
         results = []
-        for each in self.sent_prompts:
-            each.result.planned_s = each.sent_at - started_at
-            results.append(asdict(each.result))
+        for sent_prompt in self.sent_prompts:
+            sent_prompt.result.planned_s = sent_prompt.sent_at - started_at
+            results.append(asdict(sent_prompt.result))
         return results
 
     def most_crashes(self, engine_records: Iterable[dict[str, Any]]) -> int:
--- a/tests/standins/test_callers.py
+++ b/tests/standins/test_callers.py
@@ -340,9 +340,9 @@
         [
             ({"check": Check.FOREIGN}, "answer is foreign"),
             ({"check": Check.PARTIAL}, "reported completed, but the answer is partial"),
-            ({"outcome": "not_run", "tokens": 3}, "reported not_run after tokens had come"),
+            ({"outcome": "not_run", "tokens": 3}, "reported not_run after tokens were received"),
             ({"outcome": "failed", "done": True}, "[DONE] with outcome 'failed'"),
-            ({"outcome": ""}, "whole answer of status 200 with outcome ''"),
+            ({"outcome": ""}, "complete answer of status 200 with outcome ''"),
         ],
     )
     def test_violations(self, changes: dict[str, object], violation: str) -> None:
