--- a/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
@@ -1,9 +1,9 @@
 """The members' side of claims by agreement, used while the log is unreachable.
 
 An instance that cannot append its claim asks every member of its view, including itself
-(`claim_ask`). A member agrees to one request per key, and only if no other request may hold the
-key: none in its ledger, none that it agreed to, and no local claim that may reach the log. If all
-members agree the request runs, and its claim is appended once the log is reachable.
+(`claim_agreement`). A member agrees to one request per key, and only if no other request may hold
+the key: none in its ledger, none that it agreed to, and no local claim that may reach the log. If
+all members agree the request runs, and its claim is appended once the log is reachable.
 
 A second run would need the log or the agreement of the same members. Only members of the newest
 view claim in the log, and each of them has agreed to the first request. A new view starts with a
--- a/packages/turmericweir-core/turmericweir_core/credits/credit.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit.py
@@ -25,7 +25,11 @@
 from turmericweir_core.base.config import Policy
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.credits import credit_demand, credit_dispatcher, credit_holder
-from turmericweir_core.credits.credit_lead import dispatcher_of, leads, update_live_instances
+from turmericweir_core.credits.dispatcher_selection import (
+    dispatcher_of,
+    leads,
+    update_live_instances,
+)
 from turmericweir_core.membership import membership
 from turmericweir_core.messages.effects import Count, Effect, SendPeer
 from turmericweir_core.messages.peer_messages import CreditDemand, CreditGrant, TierDemand
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -27,7 +27,7 @@
 from turmericweir_core.credits.credit_holder import displaceable_attempts, used_by_tier
 from turmericweir_core.membership.subset import open_servers
 from turmericweir_core.messages.peer_messages import CreditDemand, TierDemand
-from turmericweir_core.queueing.patience import count_ripe, displacement_wait
+from turmericweir_core.queueing.displacement_delay import count_ripe, displacement_wait
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.concurrency import limited_slots
 from turmericweir_core.state.credit_state import HeldCredit
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
@@ -12,8 +12,8 @@
 from turmericweir_core.base.config import Kind
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
-from turmericweir_core.credits.credit_lead import dispatcher_of
 from turmericweir_core.credits.credit_ledger import demand_once_started, grant_covers
+from turmericweir_core.credits.dispatcher_selection import dispatcher_of
 from turmericweir_core.messages.events import ServerReport
 from turmericweir_core.messages.peer_messages import CreditGrant, ServerLoad
 from turmericweir_core.state.concurrency import limited_slots
--- a/packages/turmericweir-core/turmericweir_core/duties/election.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/election.py
@@ -14,7 +14,7 @@
 
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.leases import lease_flow
-from turmericweir_core.membership import membership, telling
+from turmericweir_core.membership import membership, relays
 from turmericweir_core.messages.effects import Effect, Log, SendDatagram
 from turmericweir_core.messages.peer_messages import DutyStatus
 from turmericweir_core.records.lease_record import Scope
@@ -51,7 +51,7 @@
     if now >= duties.look_due:
         duties.look_due = now + _PICK_INTERVAL_S
         live = [member for member in membership.live_instances(state, now) if not member.leaving]
-        ranked = telling.members_for_duty(live, _DUTY, len(live))
+        ranked = relays.members_for_duty(live, _DUTY, len(live))
         duties.candidates = _alternate_centres(ranked)[:_CANDIDATES_MAX]
     return duties.candidates
 
--- a/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
@@ -1,8 +1,8 @@
 """Send a new instance what others know about the engines' caches.
 
-`load_news` reports parts only when they are sent or prefilled, so a new instance lacks earlier ones
-and would prefill them again on other engines. It asks one live peer at a time until one answers.
-The answer is an estimate like all cache data: a wrong entry costs time, never an answer.
+`load_updates` reports parts only when they are sent or prefilled, so a new instance lacks earlier
+ones and would prefill them again on other engines. It asks one live peer at a time until one
+answers. The answer is an estimate like all cache data: a wrong entry costs time, never an answer.
 """
 
 from __future__ import annotations
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
@@ -7,7 +7,7 @@
 The model holds, for each engine,
 
 - the prompts of this instance that it has not begun to answer, as work in milliseconds;
-- the load that other instances reported (`load_news`), since all send to the same engines;
+- the load that other instances reported (`load_updates`), since all send to the same engines;
 - the parts of prompts that it was sent, least recently used first, within its memory;
 - its pace: observed over predicted time, where little else was part of the prediction.
 
--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -1,6 +1,6 @@
 """Relay load updates where there are too many instances for each to send to every other.
 
-Each instance sends its updates to its relay instance (`telling`), which gathers them for a moment.
+Each instance sends its updates to its relay instance (`relays`), which gathers them for a moment.
 A relay sends the changed sums of its group's load to the other relays, and passes these sums and
 the updates of its group on to the group. So each instance receives a few datagrams a second
 whatever the number of instances, and each server has a few sums instead of hundreds of rows.
@@ -19,7 +19,7 @@
 
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.engines import engine_model
-from turmericweir_core.membership import membership, telling
+from turmericweir_core.membership import membership, relays
 from turmericweir_core.messages.effects import Effect, Log, SendDatagram
 from turmericweir_core.messages.peer_messages import (
     BundledNews,
@@ -70,7 +70,7 @@
     if now < current_plan.due and not is_outdated and not _is_relay_unresponsive(state, now):
         return current_plan
     me = state.me.name
-    if telling.is_direct(state, now):
+    if relays.is_direct(state, now):
         region = membership.region_instances(state, now)
         current_plan = TellingPlan(direct=[each for each in region if each.name != me])
     else:
@@ -97,9 +97,9 @@
             now + _RELAY_RETRY_AFTER_S,
         )
     local_instances = membership.live_instances(state, now, state.me.data_centre)
-    local_relays = telling.tellers(local_instances)
+    local_relays = relays.tellers(local_instances)
     me = state.me.name
-    other_relays = [each for each in telling.all_tellers(state, now) if each.name != me]
+    other_relays = [each for each in relays.all_tellers(state, now) if each.name != me]
     if any(each.name == me for each in local_relays):
         return TellingPlan(is_direct=False, tellers=other_relays)
     usable_relays = [
@@ -107,7 +107,7 @@
         for each in local_relays
         if each.name != update_state.silent_teller or now > update_state.silent_until
     ]
-    name = telling.teller_of(usable_relays or local_relays, me)
+    name = relays.teller_of(usable_relays or local_relays, me)
     relay = None if name is None else membership.member(state, name)
     if (
         update_state.plan.teller is None
--- a/packages/turmericweir-core/turmericweir_core/membership/leaving.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/leaving.py
@@ -5,7 +5,7 @@
 within seconds, even when the platform's list is down or stale. Every heartbeat carries a digest of
 all notices; an instance whose digest differs for some time requests all of them.
 
-`leaving_marks` and `server_table.apply_marks` prevent a server from returning to service by an
+`leaving_notices` and `server_table.apply_marks` prevent a server from returning to service by an
 older list or report.
 """
 
@@ -14,7 +14,7 @@
 from turmericweir_core.base.ids import ServerName
 from turmericweir_core.messages.effects import Effect, Log, SendPeer
 from turmericweir_core.messages.peer_messages import Heartbeat, Mark, MarksAsk, MarksSend
-from turmericweir_core.state.leaving_marks import LeavingMark, expire_marks, hot_marks, note_mark
+from turmericweir_core.state.leaving_notices import LeavingMark, expire_marks, hot_marks, note_mark
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.server_table import Server, apply_marks
 from turmericweir_core.state.state import State
--- a/packages/turmericweir-core/turmericweir_core/membership/membership.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership.py
@@ -6,8 +6,8 @@
 incarnation ends it.
 
 Members of this data centre are followed one by one (`membership_gossip`). Another data centre is
-followed as a whole, by the status messages of its relays (`membership_words`): its members are live
-while its status is fresh and its newest roster contains them.
+followed as a whole, by the status messages of its relays (`membership_status`): its members are
+live while its status is fresh and its newest roster contains them.
 
 This module holds the state and the queries for other reducers; it sends nothing.
 """
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_meeting.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_discovery.py
@@ -10,7 +10,7 @@
 
 from typing import Final
 
-from turmericweir_core.membership import membership_gossip, membership_records, membership_words
+from turmericweir_core.membership import membership_gossip, membership_records, membership_status
 from turmericweir_core.membership.membership import is_live, live_instances
 from turmericweir_core.messages.effects import Log, SendDatagram
 from turmericweir_core.messages.peer_messages import MemberRecord, MembersSend
@@ -43,7 +43,7 @@
     other.
     """
     members = state.members
-    # `membership_words.send_statuses` contacts unresponsive instances of other data centres.
+    # `membership_status.send_statuses` contacts unresponsive instances of other data centres.
     unresponsive = [
         member
         for member in members.by_name.values()
@@ -64,7 +64,7 @@
             )
         ]
     if unknown_addresses:
-        statuses = membership_words.statuses_to_send(state, now)
+        statuses = membership_status.statuses_to_send(state, now)
         chosen_address = state.rng.choice(unknown_addresses)
         return [membership_gossip.heartbeat_to_address(state, now, chosen_address, statuses)]
     return []
@@ -73,7 +73,7 @@
 def _contact(state: State, now: float, to: Member) -> SendDatagram:
     """Return a full heartbeat to a member that is not known to be live."""
     to.greeted_at = now
-    statuses = membership_words.statuses_to_send(state, now)
+    statuses = membership_status.statuses_to_send(state, now)
     return membership_gossip.send_heartbeat(state, now, to, statuses, is_full=True)
 
 
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
@@ -1,7 +1,7 @@
 """The reducer of membership: passes events to its parts and sends what is due at a tick.
 
 `membership` holds the state; `membership_gossip` follows this data centre (with `membership_roster`
-and `membership_records`), `membership_words` the other ones, `leaving` the leaving servers, and
+and `membership_records`), `membership_status` the other ones, `leaving` the leaving servers, and
 `server_list` sends the platform's list to instances that cannot read it. All of them use the same
 datagrams.
 """
@@ -15,11 +15,11 @@
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.membership import (
     leaving,
+    membership_discovery,
     membership_gossip,
-    membership_meeting,
     membership_records,
     membership_roster,
-    membership_words,
+    membership_status,
     server_list,
 )
 from turmericweir_core.membership.membership import count_dropped_message, index_member, is_live
@@ -55,11 +55,11 @@
         members.round_due = _next_due_at(members.round_due, now, state.options.heartbeat_s)
         effects += _run_round(state, now)
     if now >= members.candidate_due:
-        members.candidate_due = membership_meeting.next_contact_at(state, now)
-        effects += _add_notices(state, now, membership_meeting.contact_candidate(state, now))
+        members.candidate_due = membership_discovery.next_contact_at(state, now)
+        effects += _add_notices(state, now, membership_discovery.contact_candidate(state, now))
     if now >= members.relay_due:
         members.relay_due = _next_due_at(members.relay_due, now, state.options.relay_s)
-        effects += _add_notices(state, now, membership_words.send_statuses(state, now))
+        effects += _add_notices(state, now, membership_status.send_statuses(state, now))
         membership_records.drop_expired_members(state, now)
         leaving.drop_expired_notices(state, now)
     return effects
@@ -72,7 +72,7 @@
 
 def _run_round(state: State, now: float) -> list[Effect]:
     effects = leaving.mark_leavers(state, now)
-    statuses = membership_words.statuses_to_send(state, now)
+    statuses = membership_status.statuses_to_send(state, now)
     return effects + _add_notices(state, now, membership_gossip.run_round(state, now, statuses))
 
 
@@ -112,13 +112,13 @@
         if beat.members_hash != state.members.roster_hash:
             membership_roster.refresh_roster(state, now)
         effects += membership_gossip.take_counters(state, now, sender, beat)
-    effects += membership_words.take_statuses(state, now, sender, beat.words)
+    effects += membership_status.take_statuses(state, now, sender, beat.words)
     effects += leaving.take_notices(state, now, beat.marks)
     effects += leaving.compare_notices(state, now, sender, beat)
     effects += server_list.compare_list(state, now, sender, beat)
     if not is_known or _live_incarnation(state, now, name) not in (previous_incarnation, None):
         effects += _add_notices(
-            state, now, membership_meeting.answer_new_member(state, now, sender)
+            state, now, membership_discovery.answer_new_member(state, now, sender)
         )
     identified = replace(
         beat,
@@ -152,7 +152,7 @@
         case MembersAsk(data_centre, keys):
             if keys:
                 return membership_records.answer_keys(state, sender, keys)
-            return membership_words.answer_roster(state, now, sender, data_centre)
+            return membership_status.answer_roster(state, now, sender, data_centre)
         case MembersSend():
             return _take_members(state, now, message)
         case MarksAsk():
@@ -167,8 +167,8 @@
 
 def _take_members(state: State, now: float, message: MembersSend) -> list[Effect]:
     if message.members_hash:
-        return membership_words.take_roster(state, now, message)
-    return _add_notices(state, now, membership_meeting.take_records(state, now, message.records))
+        return membership_status.take_roster(state, now, message)
+    return _add_notices(state, now, membership_discovery.take_records(state, now, message.records))
 
 
 # --- the platform and the process ------------------------------------------------------------
@@ -204,7 +204,7 @@
 
 def on_stop(state: State, now: float) -> list[Effect]:
     """Announce to the data centre at once that this instance is leaving."""
-    statuses = membership_words.statuses_to_send(state, now)
+    statuses = membership_status.statuses_to_send(state, now)
     effects: list[Effect] = []
     for _ in range(state.options.farewell_rounds):
         effects += membership_gossip.run_round(state, now, statuses)
--- a/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
@@ -6,7 +6,7 @@
 and becomes a fallback reader until another reader announces. Each instance has another delay, by
 hash, so that a failed reader is replaced by few others.
 
-In large deployments a reader sends to the relays of each data centre (`telling`), and these send to
+In large deployments a reader sends to the relays of each data centre (`relays`), and these send to
 the other instances there, which limits the load on the reader.
 
 An instance that has just started knows few of the others and would pick itself, so it is only a
@@ -17,7 +17,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from turmericweir_core.membership import membership, telling
+from turmericweir_core.membership import membership, relays
 from turmericweir_core.membership.subset import rendezvous_weight
 from turmericweir_core.state.membership_state import Member
 
@@ -42,7 +42,7 @@
     """Return the instances that read the store; this one may be among them."""
     live = [member for member in membership.live_instances(state, now) if not member.leaving]
     count = max(_READERS_MIN, len(live) // _INSTANCES_PER_READER)
-    return telling.members_for_duty(live, _DUTY, count)
+    return relays.members_for_duty(live, _DUTY, count)
 
 
 def is_reader(state: State, now: float) -> bool:
@@ -68,12 +68,12 @@
     These are all peers, or the relays and this instance's relay group, in case its relay has
     failed.
     """
-    if telling.is_direct(state, now):
+    if relays.is_direct(state, now):
         return _without_self(state, membership.region_instances(state, now))
     local_members = membership.live_instances(state, now, state.me.data_centre)
     receivers = [
-        *telling.all_tellers(state, now),
-        *telling.relay_group(local_members, state.me.name),
+        *relays.all_tellers(state, now),
+        *relays.relay_group(local_members, state.me.name),
     ]
     return _without_self(state, list({member.name: member for member in receivers}.values()))
 
@@ -81,16 +81,16 @@
 def relay_receivers(state: State, now: float) -> list[Member]:
     """Return the peers to which this instance relays; none unless it is a relay."""
     local_members = membership.live_instances(state, now, state.me.data_centre)
-    if telling.is_direct(state, now) or not _has_self(telling.tellers(local_members), state):
+    if relays.is_direct(state, now) or not _has_self(relays.tellers(local_members), state):
         return []
-    return _without_self(state, telling.relay_group(local_members, state.me.name))
+    return _without_self(state, relays.relay_group(local_members, state.me.name))
 
 
 def settings_sources(state: State, now: float) -> list[Member]:
     """Return peers that may have a fresh proof of the settings: local relays, or the readers."""
     local_members = membership.live_instances(state, now, state.me.data_centre)
-    sources = telling.tellers(local_members)
-    if telling.is_direct(state, now) or _has_self(sources, state):
+    sources = relays.tellers(local_members)
+    if relays.is_direct(state, now) or _has_self(sources, state):
         sources = readers(state, now)
     return _without_self(state, sources)
 
--- a/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
@@ -43,7 +43,7 @@
     Heartbeats are most of the control traffic and must be small. `counters` holds one ASCII
     character for each member, the lowest seven bits of its counter, in the order of the roster that
     `members_hash` identifies. A receiver with a different roster cannot decode them; for a while
-    after any difference, `entries` holds the counters with their keys instead. Details are
+    after any difference, `server_entries` holds the counters with their keys instead. Details are
     requested when a summary differs.
     """
 
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -19,7 +19,7 @@
 from turmericweir_core.membership import subset
 from turmericweir_core.messages.effects import CancelAttempt, Effect, Log, StartAttempt
 from turmericweir_core.messages.peer_messages import CreditDemand, CreditGrant
-from turmericweir_core.placement import attempt_books, displacement, predicted_placement
+from turmericweir_core.placement import attempt_accounting, displacement, predicted_placement
 from turmericweir_core.placement.placement import pick_server
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.server_table import Server, known_incarnation
@@ -157,7 +157,7 @@
         ids = {"request_id": req.request_id, "attempt_id": name, "peer": server.entry.name}
         scheduling = {"service_class": req.service_class.name, "tier": attempt.tier}
         effects.append(Log("placed", {**ids, **scheduling, **details}))
-    attempt_books.record_started(state, now, req, attempt, pool_name(state, req.target))
+    attempt_accounting.record_started(state, now, req, attempt, pool_name(state, req.target))
     return [
         *effects,
         StartAttempt(
@@ -195,7 +195,7 @@
 
 def release(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
     """Remove an ended attempt from its server."""
-    attempt_books.record_ended(state, now, req, attempt)
+    attempt_accounting.record_ended(state, now, req, attempt)
     server = state.servers.by_name.get(attempt.server)
     if server is None:
         return []
@@ -269,5 +269,5 @@
     effects = credit.on_tick(state, now)
     if state.credits.grants_taken != grants_before:
         effects += dispatch_all(state, now)
-    effects += attempt_books.on_tick(state, now)
+    effects += attempt_accounting.on_tick(state, now)
     return effects + displace_recalled(state)
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -20,7 +20,7 @@
 from turmericweir_core.credits.credit_holder import excess, is_assured
 from turmericweir_core.membership.subset import open_servers
 from turmericweir_core.placement.placement import headroom
-from turmericweir_core.queueing.patience import count_ripe
+from turmericweir_core.queueing.displacement_delay import count_ripe
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.pool_load import lower_running, pool_load
 from turmericweir_core.state.server_table import Server, preferred
--- a/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
@@ -2,7 +2,7 @@
 
 All instances send to the same engines. An instance without urgent requests would send its long
 prompts to the engines that urgent requests at other instances wait for. So each instance reports
-the most urgent rank that is late here with its load (`load_news`), and none sends requests less
+the most urgent rank that is late here with its load (`load_updates`), and none sends requests less
 urgent than the most urgent late rank. A class served by its assured share is exempt, so the lowest
 class is served under lasting overload as well.
 """
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
@@ -12,7 +12,7 @@
 from typing import TypeAlias, assert_never
 
 from turmericweir_core.credits import credit
-from turmericweir_core.engines import load_news
+from turmericweir_core.engines import load_updates
 from turmericweir_core.membership import leaving, membership_reducer, server_list
 from turmericweir_core.messages.effects import Effect, Exit, Log, ProbeServer
 from turmericweir_core.messages.events import (
@@ -51,7 +51,7 @@
     TrialAsk,
     TrialEnd,
 )
-from turmericweir_core.placement import attempt_books, dispatch, placement
+from turmericweir_core.placement import attempt_accounting, dispatch, placement
 from turmericweir_core.requests import attempt_flow, lifecycle, quarantine_flow
 from turmericweir_core.state import prefix, server_table
 from turmericweir_core.state.account_store import expire_accounts
@@ -95,7 +95,7 @@
             return lifecycle.on_caller_left(state, now, event)
         case ServerReport():
             quarantine.note_report(state, now, event)
-            attempt_books.note_report(state, now, event)
+            attempt_accounting.note_report(state, now, event)
             server_table.note_report(state.servers, state.options, now, event)
             answered = lifecycle.on_server_answered(state, now, event)
             return answered + dispatch.dispatch_all(state, now)
@@ -144,10 +144,10 @@
         case (CreditDemand() | CreditGrant()) as message:
             return dispatch.on_credit(state, now, sender, message)
         case LoadNews() as news:
-            load_news.on_news(state, now, sender, news)
+            load_updates.on_news(state, now, sender, news)
             return dispatch.dispatch_all(state, now)
         case LoadBundle() as bundle:
-            load_news.on_bundle(state, now, sender, bundle)
+            load_updates.on_bundle(state, now, sender, bundle)
             return dispatch.dispatch_all(state, now)
         case _:
             # The message is for a concern that this process does not have.
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_store.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_store.py
@@ -9,7 +9,7 @@
 
 from typing import assert_never
 
-from turmericweir_core.engines import cache_handover, load_news
+from turmericweir_core.engines import cache_handover, load_updates
 from turmericweir_core.membership import leaving
 from turmericweir_core.messages.effects import Effect
 from turmericweir_core.messages.events import (
@@ -70,7 +70,7 @@
 def reduce(state: State, now: float, event: Event) -> list[Effect]:
     """Apply one event at time `now` of the runtime's clock, seconds; return the effects."""
     effects = _apply(state, now, event)
-    return effects + load_news.due_news(state, now)
+    return effects + load_updates.due_news(state, now)
 
 
 def _apply(state: State, now: float, event: Event) -> list[Effect]:
@@ -159,6 +159,6 @@
     effects += dead_server.on_tick(state, now)
     effects += document.on_tick(state, now)
     effects += cache_handover.on_tick(state, now)
-    load_news.forget_silent(state, now)
+    load_updates.forget_silent(state, now)
     effects += tick_others(state, now)
     return effects + exit_when_done(state, now, flushed=True)
--- a/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
@@ -27,13 +27,13 @@
     EndServerError,
     EndUnsent,
 )
-from turmericweir_core.placement import attempt_books, moving
+from turmericweir_core.placement import answer_moves, attempt_accounting
 from turmericweir_core.placement.dispatch import dispatch, release, wait_for_server
 from turmericweir_core.requests.lifecycle import finish, unanswered_outcome
 from turmericweir_core.state import queue_state, usage_meter
 from turmericweir_core.state.server_table import note_leaving, note_unreachable
 from turmericweir_core.state.state import State
-from turmericweir_core.trust import quarantine, silence, trial
+from turmericweir_core.trust import isolated_runs, lost_connections, quarantine
 from turmericweir_core.trust.retry import spend_retry
 
 
@@ -73,14 +73,16 @@
     if now - previous_token_at <= attempt.gap_late_s * event.tokens:
         attempt.late_gaps = 0
         return []
-    return moving.on_late_gap(state, now, req, attempt, (now - previous_token_at) / event.tokens)
+    return answer_moves.on_late_gap(
+        state, now, req, attempt, (now - previous_token_at) / event.tokens
+    )
 
 
 def _on_first_token(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
     attempt.first_token_at = now
     predicted_ms = engine_model.predicted_ms(state, attempt)
-    attempt_books.record_first_token(state, now, req, attempt)
-    silence.note_begun(state, now, attempt)
+    attempt_accounting.record_first_token(state, now, req, attempt)
+    lost_connections.note_begun(state, now, attempt)
     effects: list[Effect] = [Timing(f"attempt.first_token.{attempt.server}", now - attempt.started)]
     if predicted_ms is not None:
         ids = {"request_id": req.request_id, "peer": attempt.server}
@@ -110,15 +112,15 @@
         return [Count("attempt.late_end")]
     attempt = req.attempt
     effects = release(state, now, req, attempt)
-    attempt_books.record_outcome(state, now, attempt, event.end)
-    effects += attempt_books.count_end(now, attempt, event.end)
+    attempt_accounting.record_outcome(state, now, attempt, event.end)
+    effects += attempt_accounting.count_end(now, attempt, event.end)
     if state.config.policy is Policy.PREDICTED:
         effects.append(_ended_log(now, req, attempt, event.end))
     req.attempt = None
     is_broken = isinstance(event.end, EndBroken)
     if state.meter is not None and _may_have_begun(req, attempt, event.end):
         usage_meter.note_begun(state.meter, now, req, attempt)
-    effects += trial.note_ended(state, now, attempt.attempt_id, broken=is_broken)
+    effects += isolated_runs.note_ended(state, now, attempt.attempt_id, broken=is_broken)
     effects += _handle_end(state, now, req, attempt, event.end)
     return effects + dispatch(state, now, req.target)
 
@@ -153,8 +155,8 @@
     match end:
         case EndComplete(status, answer):
             if attempt.first_token_at is None:
-                silence.note_begun(state, now, attempt)
-            learning_effects = attempt_books.record_completed(state, now, req, attempt)
+                lost_connections.note_begun(state, now, attempt)
+            learning_effects = attempt_accounting.record_completed(state, now, req, attempt)
             finish_effects = finish(
                 state,
                 now,
@@ -310,7 +312,7 @@
 def _requeue(state: State, now: float, req: Request) -> None:
     """Put a request back into its queue, or hold it if it is a suspect."""
     req.phase = Phase.WAITING
-    if trial.must_wait(state, now, req):
-        trial.hold_after_crash(state, now, req)
+    if isolated_runs.must_wait(state, now, req):
+        isolated_runs.hold_after_crash(state, now, req)
     else:
         wait_for_server(state, req, front=True)
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
@@ -57,7 +57,7 @@
 from turmericweir_core.records.claim_answer import KeptEnd
 from turmericweir_core.records.claim_record import CLAIMS_STREAM, NewClaim, encode, key_of
 from turmericweir_core.requests import lifecycle
-from turmericweir_core.requests.claim_ask import (
+from turmericweir_core.requests.claim_agreement import (
     ask_members,
     can_ask_members,
     on_vote,
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -41,7 +41,7 @@
 from turmericweir_core.state.predict import predict_tokens
 from turmericweir_core.state.state import State
 from turmericweir_core.store import document, instance_refusal
-from turmericweir_core.trust import quarantine, silence, silence_signs, trial
+from turmericweir_core.trust import isolated_runs, liveness_evidence, lost_connections, quarantine
 from turmericweir_core.trust.retry import earn_retry
 
 # --- arrival ---------------------------------------------------------------------------------
@@ -119,8 +119,8 @@
 def admit(state: State, now: float, req: Request) -> list[Effect]:
     """Queue a request that passed every check, and dispatch."""
     req.phase = Phase.WAITING
-    if trial.must_wait(state, now, req):
-        trial.hold(state, req)
+    if isolated_runs.must_wait(state, now, req):
+        isolated_runs.hold(state, req)
         return []
     admission.record_admitted(state, now, req, pool_name(state, req.target))
     wait_for_server(state, req)
@@ -158,7 +158,7 @@
             state, now, req, unanswered_outcome(req), Reason.DEADLINE, retry_after_s=1.0
         )
     effects += _finish_unproven(state, now)
-    effects += silence_signs.on_tick(state, now)
+    effects += liveness_evidence.on_tick(state, now)
     effects += _finish_unservable(state, now)
     for req in list(state.requests.values()):
         if req.attempt is not None:
@@ -168,7 +168,7 @@
 
 def on_server_answered(state: State, now: float, report: ServerReport) -> list[Effect]:
     """Check the attempts on a server that answered over a new connection."""
-    if not silence_signs.note_report(state, now, report):
+    if not liveness_evidence.note_report(state, now, report):
         return []
     effects: list[Effect] = []
     for req in list(state.requests.values()):
@@ -221,7 +221,7 @@
     if req.end_by is not None and now >= req.end_by:
         # The operator's limit also ends answers that have begun.
         return cancel(req, CancelReason.DEADLINE)
-    if attempt.cancelled is not None or not silence.is_doubtful(state, now, req, attempt):
+    if attempt.cancelled is not None or not lost_connections.is_doubtful(state, now, req, attempt):
         return []
     req.went_silent = True
     effects: list[Effect] = [Count(f"silence.doubted.{attempt.server}")]
@@ -258,7 +258,7 @@
     """Create a request's account and remove the request."""
     req.phase = Phase.DONE
     state.requests.pop(RequestId(req.request_id), None)
-    trial.let_go(state, req.request_id)
+    isolated_runs.let_go(state, req.request_id)
     limit.settle(state, now, req, outcome)
     if outcome is Outcome.COMPLETED:
         quarantine.note_cleared(state, now, req.fingerprint)
--- a/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
@@ -1,4 +1,4 @@
-"""Carry out the decisions of `quarantine` and `trial` for the reducer.
+"""Carry out the decisions of `quarantine` and `isolated_runs` for the reducer.
 
 `lifecycle` hands suspects over when it admits them, and `attempt_flow` when they wait for another
 attempt. From here they go on to an isolated run, back to a queue, or to their end.
@@ -24,18 +24,18 @@
 from turmericweir_core.requests import lifecycle
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.state import State
-from turmericweir_core.trust import quarantine, trial
-from turmericweir_core.trust.trial import Decision, GiveUp, Refuse, Release, RunAlone, Send
+from turmericweir_core.trust import isolated_runs, quarantine
+from turmericweir_core.trust.isolated_runs import Decision, GiveUp, Refuse, Release, RunAlone, Send
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Issue the verdicts that are due and move the suspects on."""
     effects = quarantine.on_tick(state, now)
-    effects += trial.review_running(state, now)
+    effects += isolated_runs.review_running(state, now)
     if state.quarantine.look_through:
         state.quarantine.look_through = False
         effects += _review_requests(state, now)
-    return effects + _apply_decisions(state, now, trial.step(state, now))
+    return effects + _apply_decisions(state, now, isolated_runs.step(state, now))
 
 
 def on_message(
@@ -51,11 +51,13 @@
         case CrashesAsk():
             return quarantine.on_asked(state, now, sender, message)
         case TrialAsk():
-            return trial.on_ask(state, now, sender, message)
+            return isolated_runs.on_ask(state, now, sender, message)
         case TrialAnswer():
-            return _apply_decisions(state, now, trial.on_answer(state, now, sender, message))
+            return _apply_decisions(
+                state, now, isolated_runs.on_answer(state, now, sender, message)
+            )
         case TrialEnd():
-            trial.on_end(state, now, sender, message)
+            isolated_runs.on_end(state, now, sender, message)
             return []
         case unreachable:
             assert_never(unreachable)
@@ -71,13 +73,13 @@
                 effects += dispatch.cancel(req, CancelReason.QUARANTINED)
         elif req.phase is Phase.WAITING and _is_new_suspect(state, req):
             queue_state.remove(state.queues, req)
-            trial.hold(state, req)
+            isolated_runs.hold(state, req)
     return effects
 
 
 def _is_new_suspect(state: State, req: Request) -> bool:
     """Return whether a waiting request is a suspect that is not held yet."""
-    if trial.is_held(state, req.request_id):
+    if isolated_runs.is_held(state, req.request_id):
         return False
     return quarantine.is_suspect(state, req.fingerprint)
 
@@ -96,7 +98,7 @@
         case RunAlone(req, server, _):
             effects = dispatch.start_attempt(state, now, req, server)
             if req.attempt is not None:
-                trial.note_started(state, now, decision, req.attempt)
+                isolated_runs.note_started(state, now, decision, req.attempt)
             return [Count("quarantine.trial"), *effects]
         case Release(req):
             dispatch.wait_for_server(state, req, front=True)
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
@@ -20,7 +20,7 @@
 )
 from turmericweir_core.messages.peer_messages import Heartbeat, SettingsAsk, SettingsSend
 from turmericweir_core.settings import settings_changes, settings_reducer
-from turmericweir_core.settings.settings_inforce import CentreReach, in_force
+from turmericweir_core.settings.settings_reach import CentreReach, in_force
 from turmericweir_core.state import server_table
 from turmericweir_core.state.settings_sync import PeerSettings
 from turmericweir_core.state.state import State
--- a/packages/turmericweir-core/turmericweir_core/state/load_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/load_state.py
@@ -54,7 +54,7 @@
 
 
 class NewsState(Struct):
-    """State of `load_news` and `load_relay`."""
+    """State of `load_updates` and `load_relay`."""
 
     # Counter of this instance's updates.
     seq: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/quarantine_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/quarantine_state.py
@@ -1,4 +1,4 @@
-"""State of the quarantine of requests that crash servers; see `quarantine` and `trial`."""
+"""State of the quarantine of requests that crash servers; see `quarantine` and `isolated_runs`."""
 
 from __future__ import annotations
 
--- a/packages/turmericweir-core/turmericweir_core/state/server_table.py
+++ b/packages/turmericweir-core/turmericweir_core/state/server_table.py
@@ -17,7 +17,7 @@
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
 from turmericweir_core.messages.events import ServerReport
-from turmericweir_core.state.leaving_marks import LeavingMark, LeavingMarks, marks_on
+from turmericweir_core.state.leaving_notices import LeavingMark, LeavingMarks, marks_on
 
 
 class Server(Struct):
--- a/packages/turmericweir-core/turmericweir_core/state/state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/state.py
@@ -23,13 +23,15 @@
 from turmericweir_core.state.document_state import DocumentState
 from turmericweir_core.state.duty_state import DutyState
 from turmericweir_core.state.engine_state import EngineModels
+from turmericweir_core.state.first_wait_state import SilenceState
 from turmericweir_core.state.handover_state import HandoverState
-from turmericweir_core.state.late_state import LateRanks
 from turmericweir_core.state.lease_state import LeaseState
 from turmericweir_core.state.limit_state import LimitState
+from turmericweir_core.state.liveness_state import SignState
 from turmericweir_core.state.load_state import NewsState
 from turmericweir_core.state.membership_state import Membership
 from turmericweir_core.state.model_state import ModelState
+from turmericweir_core.state.overdue_state import LateRanks
 from turmericweir_core.state.pool_load import PoolLoads
 from turmericweir_core.state.pool_state import PoolState
 from turmericweir_core.state.predict import Predictor
@@ -40,8 +42,6 @@
 from turmericweir_core.state.reliability import ReliabilityState
 from turmericweir_core.state.retry_state import RetryBudget
 from turmericweir_core.state.server_table import ServerTable
-from turmericweir_core.state.sign_state import SignState
-from turmericweir_core.state.silence_state import SilenceState
 from turmericweir_core.state.straggler import StragglerState
 from turmericweir_core.state.subset_state import SubsetState
 from turmericweir_core.state.usage_meter import UsageMeter
--- a/packages/turmericweir-core/turmericweir_core/store/registry.py
+++ b/packages/turmericweir-core/turmericweir_core/store/registry.py
@@ -22,7 +22,7 @@
 from turmericweir_core.messages.effects import Count, Effect, Log, SendDatagram, SendPeer
 from turmericweir_core.messages.events import EntryUnreadable, RegistryRead
 from turmericweir_core.messages.peer_messages import RegistryNews, RegistryRow, ServersAsk
-from turmericweir_core.placement import attempt_books
+from turmericweir_core.placement import attempt_accounting
 from turmericweir_core.state import server_table
 from turmericweir_core.state.registry_state import RegistryState
 
@@ -189,7 +189,7 @@
     server_table.rebuild(table, state.config)
     for name, entry in listed.items():
         if name in before and before[name].incarnation != entry.incarnation:
-            attempt_books.judge_afresh(state, now, name)
+            attempt_accounting.judge_afresh(state, now, name)
     table.listed_hash = server_list.hash_entries(state)
 
 
--- a/packages/turmericweir-core/turmericweir_core/trust/silence_signs.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
@@ -1,7 +1,7 @@
 """Early evidence that a connection was lost while its server works.
 
-`silence` suspects an attempt after a long wait in any case. This module detects lost connections
-much earlier, from three conditions:
+`lost_connections` suspects an attempt after a long wait in any case. This module detects lost
+connections much earlier, from three conditions:
 
 1. An attempt is overdue: it has been without data for a multiple of its server's recent maximum.
 2. The server answers a probe over a new connection at once, so it is neither down nor frozen.
@@ -23,8 +23,8 @@
 from turmericweir_core.base.tiers import most_urgent
 from turmericweir_core.messages.effects import Count, DistrustConnections, Effect, ProbeServer
 from turmericweir_core.messages.events import ServerReport
+from turmericweir_core.state.liveness_state import ServerSigns
 from turmericweir_core.state.server_table import Server
-from turmericweir_core.state.sign_state import ServerSigns
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
--- a/packages/turmericweir-core/turmericweir_core/trust/silence.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
@@ -17,8 +17,8 @@
 
 from turmericweir_core.base.request import Attempt, Request
 from turmericweir_core.engines import engine_model
+from turmericweir_core.trust.liveness_evidence import has_evidence_of_loss, record_lost_connection
 from turmericweir_core.trust.retry import may_retry, spend_retry
-from turmericweir_core.trust.silence_signs import has_evidence_of_loss, record_lost_connection
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
@@ -36,7 +36,7 @@
 def is_doubtful(state: State, now: float, req: Request, attempt: Attempt) -> bool:
     """Return whether the connection of an attempt is suspected to be lost, and take its retry.
 
-    `silence_signs` detects most lost connections early; the limits here are for all others.
+    `liveness_evidence` detects most lost connections early; the limits here are for all others.
     """
     last_token_at = attempt.last_token_at
     if last_token_at is None:
--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -1,9 +1,10 @@
 """Quarantine of requests that crash servers.
 
 Every request in flight on a server at its crash is a suspect, identified by its fingerprint.
-Suspects run again only one at a time on a server (`trial`), so a second crash identifies the cause:
-a fingerprint in flight at two crashes, and the only such one at the later crash, is refused for
-`quarantine_s` on all instances. Other suspects complete their isolated runs and are cleared.
+Suspects run again only one at a time on a server (`isolated_runs`), so a second crash identifies
+the cause: a fingerprint in flight at two crashes, and the only such one at the later crash, is
+refused for `quarantine_s` on all instances. Other suspects complete their isolated runs and are
+cleared.
 
 A crash is a broken connection to a server that then refuses new connections or reports a new
 incarnation. If the server is later seen alive with the same incarnation, the record and all
--- a/packages/turmericweir-ctl/turmericctl/settings_commands.py
+++ b/packages/turmericweir-ctl/turmericctl/settings_commands.py
@@ -17,7 +17,7 @@
 from turmericctl.context import Session, pass_session
 from turmericctl.exit_codes import CommandError, ExitCode
 from turmericctl.output import JSON, compact, table
-from turmericctl.reach import wait_in_force
+from turmericctl.rollout import wait_in_force
 from turmericweir_core.records.settings_model import read_config
 
 _STDIN: Final = "-"
--- a/packages/turmericweir-ctl/turmericctl/state_commands.py
+++ b/packages/turmericweir-ctl/turmericctl/state_commands.py
@@ -12,7 +12,7 @@
 from turmericctl.context import Session, pass_session
 from turmericctl.exit_codes import CommandError, ExitCode
 from turmericctl.output import table
-from turmericctl.reach import data_centre_line
+from turmericctl.rollout import data_centre_line
 
 _MS_PER_S = 1000.0
 
--- a/packages/turmericweir/turmericweir/daemon.py
+++ b/packages/turmericweir/turmericweir/daemon.py
@@ -31,8 +31,8 @@
 from turmericweir.process.listening_socket import address_of, bind
 from turmericweir.process.metrics import Metrics, NullMetrics, StatsdMetrics
 from turmericweir.process.node import Adapters, Node
-from turmericweir.process.operators import Operators
 from turmericweir.process.process_settings import ProcessSettings
+from turmericweir.process.verdict_waiters import Operators
 from turmericweir.servers.backend_pool import BackendPool
 from turmericweir.servers.server_calls import ServerCalls
 from turmericweir_core.base.ids import InstanceName
--- a/packages/turmericweir/turmericweir/entry_daemon.py
+++ b/packages/turmericweir/turmericweir/entry_daemon.py
@@ -40,10 +40,10 @@
 )
 from turmericweir.process.listening_socket import bind
 from turmericweir.process.log_pipe import LogPipe
-from turmericweir.process.metrics_page import MetricsApp, PageMetrics
 from turmericweir.process.node import Adapters, DocumentPort, DutyPort, Node, PlatformPort
+from turmericweir.process.prometheus_metrics import MetricsApp, PageMetrics
 from turmericweir.servers.backend_pool import BackendPool
-from turmericweir.servers.entry_calls import EntryCalls
+from turmericweir.servers.connection_probes import EntryCalls
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.store_times import store_times
--- a/packages/turmericweir/turmericweir/operations/entry_admin.py
+++ b/packages/turmericweir/turmericweir/operations/entry_admin.py
@@ -20,7 +20,7 @@
 from turmericweir.process.node import Node
 from turmericweir_core.membership import membership, store_duty
 from turmericweir_core.membership.instance_versions import instance_versions
-from turmericweir_core.settings.settings_inforce import in_force
+from turmericweir_core.settings.settings_reach import in_force
 from turmericweir_core.store import document
 from turmericweir_core.trust import retry
 
--- a/packages/turmericweir/turmericweir/operations/operator_port.py
+++ b/packages/turmericweir/turmericweir/operations/operator_port.py
@@ -11,8 +11,8 @@
 from turmericweir.operations.operator_auth import OperatorAuth
 from turmericweir.operations.settings_app import SettingsApp
 from turmericweir.process.node import Node
-from turmericweir.process.operators import Operators
 from turmericweir.process.process_settings import AdminToken
+from turmericweir.process.verdict_waiters import Operators
 
 if TYPE_CHECKING:
     from uvicorn._types import ASGIReceiveCallable, ASGISendCallable, Scope
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -29,7 +29,7 @@
 from turmericweir.operations.operator_auth import TOKEN_EXPECTED, OperatorAuth, Principal
 from turmericweir.operations.operator_http import OperatorRequest, ProblemError, serve_operator
 from turmericweir.process.node import Node
-from turmericweir.process.operators import Operators
+from turmericweir.process.verdict_waiters import Operators
 from turmericweir_core.messages.events import ChangeSubmitted
 from turmericweir_core.records.settings_model import Entry, explain, read_value
 from turmericweir_core.records.settings_path import SettingsError, covers, parse_path
@@ -48,8 +48,8 @@
     VerdictKind,
     describe,
 )
+from turmericweir_core.settings.settings_dry_run import try_changes
 from turmericweir_core.settings.settings_flow import where_in_force
-from turmericweir_core.settings.settings_trial import try_changes
 from turmericweir_core.state.settings_state import state_digest
 from turmericweir_core.state.settings_sync import SettingsSync
 
--- a/tests/core/credits/test_credit.py
+++ b/tests/core/credits/test_credit.py
@@ -15,7 +15,7 @@
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import CancelReason
-from turmericweir_core.credits import credit_lead
+from turmericweir_core.credits import dispatcher_selection
 from turmericweir_core.credits.credit_allocation import Capacity, Want, allocate
 from turmericweir_core.membership.subset import rendezvous_weight, target_subset
 from turmericweir_core.messages.events import PeerReceived, Tick
@@ -40,7 +40,7 @@
 def agreed_dispatcher(world: LoadWorld, server: ServerName = S0) -> InstanceName:
     """Return the dispatcher of a server, on which all instances agree."""
     dispatchers = {
-        credit_lead.dispatcher_of(state, world.now, state.servers.by_name[server])
+        dispatcher_selection.dispatcher_of(state, world.now, state.servers.by_name[server])
         for state in world.states.values()
     }
     assert len(dispatchers) == 1
@@ -533,7 +533,7 @@
         world.arrive("counter", instance=index_of(world, name))
     world.advance(1.0)
     new_dispatchers = {
-        credit_lead.dispatcher_of(
+        dispatcher_selection.dispatcher_of(
             world.states[name], world.now, world.states[name].servers.by_name[S0]
         )
         for name in survivors
@@ -580,7 +580,7 @@
     world.see = lambda one, other: halves[one] == halves[other]
     world.advance(0.5)
     dispatchers = {
-        credit_lead.dispatcher_of(state, world.now, state.servers.by_name[S0])
+        dispatcher_selection.dispatcher_of(state, world.now, state.servers.by_name[S0])
         for state in world.states.values()
     }
     assert len(dispatchers) == 2
--- a/tests/core/engines/test_load_relay.py
+++ b/tests/core/engines/test_load_relay.py
@@ -9,7 +9,7 @@
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.store_times import store_times
 from turmericweir_core.engines import engine_model
-from turmericweir_core.membership import telling
+from turmericweir_core.membership import relays
 from turmericweir_core.messages.events import PeerReceived
 from turmericweir_core.messages.peer_messages import LoadNews, SentPart
 from turmericweir_core.state.engine_state import Prefill
@@ -65,13 +65,13 @@
     network.run(12.0)
     for name in names[::7]:
         state = network.nodes[name].state
-        assert {each.name for each in telling.all_tellers(state, network.now)} == set(names[:6])
+        assert {each.name for each in relays.all_tellers(state, network.now)} == set(names[:6])
 
 
 def relay_names(network: StoreNetwork) -> list[str]:
     """Return the names of the region's relay instances."""
     state = network.nodes["i000"].state
-    return [each.name for each in telling.all_tellers(state, network.now)]
+    return [each.name for each in relays.all_tellers(state, network.now)]
 
 
 def test_all_load_is_known_within_half_a_second(network: StoreNetwork) -> None:
--- a/tests/core/settings/test_settings_inforce.py
+++ b/tests/core/settings/test_settings_inforce.py
@@ -7,7 +7,7 @@
 import pytest
 
 from turmericweir_core.base.ids import InstanceName
-from turmericweir_core.settings.settings_inforce import Reach, in_force
+from turmericweir_core.settings.settings_reach import Reach, in_force
 from turmericweir_core.state.membership_state import NEVER, CentreView, Member
 
 NOW: Final = 100.0
--- a/tests/ctl/fake_daemon.py
+++ b/tests/ctl/fake_daemon.py
@@ -21,8 +21,8 @@
 from turmericweir.process.listening_socket import address_of, bind
 from turmericweir.process.metrics import NullMetrics
 from turmericweir.process.node import Adapters, Node
-from turmericweir.process.operators import Operators
 from turmericweir.process.process_settings import AdminToken, Limits
+from turmericweir.process.verdict_waiters import Operators
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.options import Options
 from turmericweir_core.messages.effects import (
--- a/tests/platform/test_start.py
+++ b/tests/platform/test_start.py
@@ -17,7 +17,7 @@
 
 from turmericweir.process.entry_settings import EntrySettings
 from turmericweir_platform import __main__ as program
-from turmericweir_platform import names
+from turmericweir_platform import platform_names
 from turmericweir_standins.procs import free_address
 
 IDENTITY: Final = {"name": "entry-1", "data_centre": "dc-a", "region": "home"}
@@ -32,7 +32,7 @@
     file.write_text(
         json.dumps({**IDENTITY, **addresses, "caller_address": address, "store": store})
     )
-    monkeypatch.setenv(names.SETTINGS_VARIABLE, str(file))
+    monkeypatch.setenv(platform_names.SETTINGS_VARIABLE, str(file))
     received: list[bytes] = []
 
     def run_daemon(
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -18,8 +18,8 @@
 from turmericweir_core.base.config import Config, Kind
 from turmericweir_core.base.ids import RequestId
 from turmericweir_core.base.reasons import Reason
-from turmericweir_platform.entries import decode_entry
-from turmericweir_platform.manifest import decode_document
+from turmericweir_platform.server_entries import decode_entry
+from turmericweir_platform.settings_document import decode_document
 from turmericweir_platform.wire import PlatformWire
 
 ROOT = Path(__file__).resolve().parents[2]
