--- a/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
@@ -26,8 +26,8 @@
     is_carry_due = _is_carry_due(state)
     is_floor_due = _is_floor_due(state)
     if (is_carry_due or is_floor_due) and _is_drawn(state, now):
-        outbox.carry = outbox.carry or is_carry_due
-        outbox.floor = outbox.floor or is_floor_due
+        outbox.needs_carry = outbox.needs_carry or is_carry_due
+        outbox.needs_floor = outbox.needs_floor or is_floor_due
     return effects + flush(state, now)
 
 
@@ -40,11 +40,11 @@
 def _is_carry_due(state: State) -> bool:
     claims = state.claims
     ledger = claims.ledger
-    if not ledger.whole:
+    if not ledger.has_all_claims:
         return False
     # The view is carried with the claims, before the log expires the record that contains it.
-    offsets = [ledger.views.kept_at] if epoch_of(ledger.views) > NO_VIEW else []
-    offsets += [claim.kept_at for claim in islice(ledger.claims.values(), 1)]
+    offsets = [ledger.views.members_offset] if epoch_of(ledger.views) > NO_VIEW else []
+    offsets += [claim.record_offset for claim in islice(ledger.claims.values(), 1)]
     return any(_needs_carrying(state, each) for each in offsets)
 
 
@@ -57,35 +57,35 @@
 def _update_carry_offset(state: State, now: float) -> None:
     """Update the offset below which records are old by the local clock, for an idle stream."""
     claims = state.claims
-    if now < claims.mark_due:
+    if now < claims.next_age_mark_at:
         return
-    claims.carry_below = claims.mark
-    claims.mark = claims.ledger.offset
-    claims.mark_due = now + state.options.claim_carry_s
+    claims.carry_below = claims.age_mark_offset
+    claims.age_mark_offset = claims.ledger.offset
+    claims.next_age_mark_at = now + state.options.claim_carry_s
 
 
 def _is_floor_due(state: State) -> bool:
     ledger = state.claims.ledger
-    if ledger.whole:
-        return ledger.floor_asked_at != NO_FLOOR
+    if ledger.has_all_claims:
+        return ledger.floor_request_offset != NO_FLOOR
     # Only one request for a floor is open in the log at a time.
-    return ledger.floor_asked_at < ledger.start
+    return ledger.floor_request_offset < ledger.start_offset
 
 
 def _trust_after_retention(state: State, now: float) -> list[Effect]:
     """Mark the ledger as whole once all claims that may be missing from it have expired."""
     claims = state.claims
-    if claims.ledger.whole:
-        claims.blind_since = None
+    if claims.ledger.has_all_claims:
+        claims.not_whole_since = None
         return []
-    if claims.blind_since is None:
-        claims.blind_since = now
-    waited_s = now - claims.blind_since
+    if claims.not_whole_since is None:
+        claims.not_whole_since = now
+    waited_s = now - claims.not_whole_since
     if waited_s <= state.options.claim_retention_s * state.options.claim_blind_margin:
         return []
-    claims.ledger.whole = True
+    claims.ledger.has_all_claims = True
     if not state.options.claim_votes:
         # Without votes there are no views, and no instance knows of an earlier one.
         claims.ledger.views.current = FIRST_VIEW
-    claims.due |= set(claims.waiting)
+    claims.keys_to_evaluate |= set(claims.waiting)
     return [Log("claims_trusted", {"after_s": waited_s})]
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_end.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_end.py
@@ -24,22 +24,22 @@
     """Release the key of a request that never ran; store and send the end of one that ran."""
     claims = state.claims
     request_id = RequestId(account.request_id)
-    key = claims.held.pop(request_id, None)
+    key = claims.held_keys.pop(request_id, None)
     if key is None:
         return _give_up_waiting(state, now, request_id)
-    claims.due.add(key)
+    claims.keys_to_evaluate.add(key)
     if account.outcome is Outcome.NOT_RUN:
         # Prevents a claim that is not written yet from being appended after its withdrawal.
         claims.outbox.claims.pop(request_id, None)
         claims.withdrawing.add(request_id)
         put_withdrawal(claims.outbox, state.options, now, request_id, key)
-        claims.askers.pop(request_id, None)
+        claims.remote_waiters.pop(request_id, None)
         return release(state, request_id, key)
     end = ClaimEnd(account.outcome, account.reason, account.status)
     kept_end = KeptEnd(end, answer)
     keep_end(claims.answers, state.options, request_id, kept_end)
     put_end(claims.outbox, state.options, now, request_id, EndRecord(key, request_id, end))
-    askers = claims.askers.pop(request_id, [])
+    askers = claims.remote_waiters.pop(request_id, [])
     return [kept_message(state, asker, request_id, kept_end) for asker in askers]
 
 
@@ -49,7 +49,7 @@
     if wait is None:
         return []
     claims.outbox.claims.pop(request_id, None)
-    if wait.sent:
+    if wait.is_claim_sent:
         # The claim may be in the log or on its way there. Prevents it from holding the key without
         # a request that runs.
         claims.withdrawing.add(request_id)
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
@@ -25,7 +25,7 @@
     """Replace the view, or request membership in it, if due."""
     claims = state.claims
     view = claims.ledger.views.current
-    if not claims.ledger.whole:
+    if not claims.ledger.has_all_claims:
         return []
     if view is None:
         return _apply_operator_epoch(state)
@@ -39,7 +39,7 @@
     elif claims.outbox.failures > 0 and not claims.read_failed:
         # Reads work, so appends may work again. Tries with an empty record, since a failed view
         # change would prevent this instance from agreeing to claims.
-        claims.outbox.floor = True
+        claims.outbox.needs_floor = True
     return flush(state, now)
 
 
@@ -53,28 +53,28 @@
 
 def _request_membership(state: State, now: float, view: View) -> None:
     claims = state.claims
-    claims.read_due = min(claims.read_due, now + state.options.claim_join_read_s)
-    if state.stopping_since is not None or now < claims.join_due:
+    claims.next_read_at = min(claims.next_read_at, now + state.options.claim_join_read_s)
+    if state.stopping_since is not None or now < claims.next_join_at:
         return
-    claims.join_due = now + state.options.claim_join_s
+    claims.next_join_at = now + state.options.claim_join_s
     if state.options.claim_replace_epoch == view.epoch:
-        claims.outbox.members = (writer_of(state),)
-        claims.outbox.replaces = True
+        claims.outbox.next_members = (writer_of(state),)
+        claims.outbox.is_replacement = True
         return
-    claims.outbox.join = True
+    claims.outbox.needs_join = True
 
 
 def _replace_view(state: State, now: float, view: View) -> None:
     claims = state.claims
-    if claims.outbox.in_flight is not None or claims.outbox.landed:
+    if claims.outbox.in_flight is not None or claims.outbox.acknowledged_appends:
         return
     if view.epoch == NO_VIEW and not _is_first_view_due(state, now):
         return
     next_members = _next_members(state, now, view)
     # A change with an unknown outcome is written again, as only a later record settles it.
-    is_due = claims.sealed is not None or set(next_members) != set(view.members)
+    is_due = claims.view_append_number is not None or set(next_members) != set(view.members)
     if is_due and (_is_leaving(state, now) or _is_drawn(state, now, view)):
-        claims.outbox.members = next_members
+        claims.outbox.next_members = next_members
 
 
 def _is_first_view_due(state: State, now: float) -> bool:
@@ -85,8 +85,8 @@
     """
     claims = state.claims
     live = frozenset(each.incarnation for each in live_instances(state, now))
-    if live != claims.live_seen:
-        claims.live_seen = live
+    if live != claims.live_incarnations:
+        claims.live_incarnations = live
         claims.live_since = now
     stable_s = now - claims.live_since
     if stable_s < state.options.claim_view_met_s:
@@ -118,19 +118,19 @@
     stopping_since = state.stopping_since
     if stopping_since is None or now - stopping_since <= state.options.stop_grace_s:
         return False
-    return not state.claims.waits and not state.claims.held and not state.claims.outbox.claims
+    return not state.claims.waits and not state.claims.held_keys and not state.claims.outbox.claims
 
 
 def _next_members(state: State, now: float, view: View) -> tuple[Writer, ...]:
     live: dict[str, Member] = {each.name: each for each in live_instances(state, now)}
     claims = state.claims
-    claims.met = (claims.met & {each.incarnation for each in view.members}) | {
+    claims.live_before = (claims.live_before & {each.incarnation for each in view.members}) | {
         each.incarnation for each in live.values()
     }
     remaining = [
         each for each in view.members if _is_present(state, now, each, live.get(each.instance))
     ]
-    joined = [writer_of(state), *claims.ledger.views.joins.values()]
+    joined = [writer_of(state), *claims.ledger.views.join_requests.values()]
     joined += [
         _writer_of_member(each) for each in live.values() if each.incarnation and not each.leaving
     ]
@@ -149,11 +149,11 @@
 
 def _is_present(state: State, now: float, writer: Writer, live: Member | None) -> bool:
     """Return whether a member is live or has recently written to the log."""
-    quiet_members = state.claims.quiet
+    quiet_members = state.claims.unresponsive_members
     if live is not None:
         quiet_members.pop(writer.incarnation, None)
         return live.incarnation in ("", writer.incarnation)
-    numbers = state.claims.ledger.numbers
+    numbers = state.claims.ledger.append_numbers
     number, _ = numbers.get((writer.instance, writer.incarnation), (0, 0))
     last_number, quiet_since = quiet_members.get(writer.incarnation, (-1, now))
     if number != last_number:
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
@@ -28,7 +28,7 @@
     encode,
     time_of,
 )
-from turmericweir_core.state.claim_clock import told_clocks
+from turmericweir_core.state.claim_clock import clocks_for_record
 from turmericweir_core.state.claim_ledger import Claim, floor_of
 from turmericweir_core.state.claim_state import ClaimState, Outbox
 from turmericweir_core.state.claim_view import epoch_of
@@ -60,15 +60,15 @@
 
 
 def _schedule_append(outbox: Outbox, options: Options, now: float) -> None:
-    if outbox.quiet_due is None:
-        outbox.quiet_due = now + options.claim_end_delay_s
+    if outbox.append_by is None:
+        outbox.append_by = now + options.claim_end_delay_s
 
 
 def is_claim_out(outbox: Outbox, request_id: RequestId) -> bool:
     """Return whether a claim is queued, in flight, or not yet read back."""
     if request_id in outbox.claims:
         return True
-    return any(_has_claim(batch, request_id) for batch in outbox.landed.values())
+    return any(_has_claim(batch, request_id) for batch in outbox.acknowledged_appends.values())
 
 
 def _has_claim(batch: Batch, request_id: RequestId) -> bool:
@@ -81,7 +81,7 @@
     has_claim = any(each.key == key and rid != request_id for rid, each in outbox.claims.items())
     has_withdrawal = any(each.key == key for each in outbox.withdrawn.values())
     other_waits = (claims.waits[rid] for rid in claims.waiting.get(key, ()) if rid != request_id)
-    return has_claim or has_withdrawal or any(wait.sent for wait in other_waits)
+    return has_claim or has_withdrawal or any(wait.is_claim_sent for wait in other_waits)
 
 
 def is_log_slow(outbox: Outbox, options: Options, now: float) -> bool:
@@ -100,17 +100,17 @@
     if outbox.in_flight is None:
         return 0.0
     # Prevents a pause of this process from counting as an unresponsive log.
-    return min(now - outbox.in_flight_at, outbox.out_s)
+    return min(now - outbox.in_flight_at, outbox.in_flight_s)
 
 
 def note_tick(outbox: Outbox, options: Options) -> None:
     """Add one tick to the time that the append has been in flight."""
-    outbox.out_s += options.tick_s
+    outbox.in_flight_s += options.tick_s
 
 
 def is_flushed(outbox: Outbox) -> bool:
     """Return whether nothing is left to write."""
-    queued = outbox.claims or outbox.withdrawn or outbox.ends or outbox.members is not None
+    queued = outbox.claims or outbox.withdrawn or outbox.ends or outbox.next_members is not None
     is_empty = not queued
     return is_empty and outbox.in_flight is None
 
@@ -124,9 +124,9 @@
     if outbox.in_flight is not None or now < outbox.retry_at or not _is_append_due(outbox, now):
         return []
     batch = _compose_batch(state)
-    if _is_empty(batch) and not outbox.floor:
-        outbox.carry = False
-        outbox.quiet_due = None
+    if _is_empty(batch) and not outbox.needs_floor:
+        outbox.needs_carry = False
+        outbox.append_by = None
         return []
     if not _take_token(state, now):
         return []
@@ -136,8 +136,13 @@
 
 
 def _is_append_due(outbox: Outbox, now: float) -> bool:
-    is_delay_over = outbox.quiet_due is not None and now >= outbox.quiet_due
-    is_requested = outbox.carry or outbox.floor or outbox.join or outbox.members is not None
+    is_delay_over = outbox.append_by is not None and now >= outbox.append_by
+    is_requested = (
+        outbox.needs_carry
+        or outbox.needs_floor
+        or outbox.needs_join
+        or outbox.next_members is not None
+    )
     return bool(outbox.claims) or is_delay_over or is_requested
 
 
@@ -149,28 +154,28 @@
 def _compose_batch(state: State) -> Batch:
     claims = state.claims
     outbox = claims.outbox
-    landed = outbox.landed.values()
+    landed = outbox.acknowledged_appends.values()
     claimed = {each.request_id for batch in landed for each in batch.claims}
     withdrawn = {each.request_id for batch in landed for each in batch.withdrawn}
     ended = {each.request_id for batch in landed for each in batch.ends}
     # An end has no effect before its claim has been read.
     ended |= set(outbox.claims)
     view = claims.ledger.views.current
-    includes_view = (outbox.carry or outbox.floor) and view is not None and view.members
+    includes_view = (outbox.needs_carry or outbox.needs_floor) and view is not None and view.members
     return Batch(
         writer=writer_of(state),
         number=outbox.number + 1,
         at_ms=outbox.clock_ms,
-        clocks=told_clocks(claims.ledger.clock),
+        clocks=clocks_for_record(claims.ledger.clock),
         upto=claims.ledger.offset,
         floor=floor_of(claims.ledger),
-        carried=_claims_to_carry(claims, state.options) if outbox.carry else (),
+        carried=_claims_to_carry(claims, state.options) if outbox.needs_carry else (),
         withdrawn=tuple(each for rid, each in outbox.withdrawn.items() if rid not in withdrawn),
         ends=tuple(each for rid, each in outbox.ends.items() if rid not in ended),
         claims=_next_claims(claims, state.options, claimed),
         epoch=epoch_of(claims.ledger.views),
         members=view.members if includes_view and view is not None else None,
-        join=outbox.join,
+        join=outbox.needs_join,
         change=_view_change(claims),
     )
 
@@ -183,7 +188,7 @@
 
 
 def _view_change(claims: ClaimState) -> ViewChange | None:
-    members = claims.outbox.members
+    members = claims.outbox.next_members
     view = claims.ledger.views.current
     if members is None or view is None:
         return None
@@ -191,11 +196,11 @@
         AgreedClaim(vote.claim, vote.holder, time_of(vote.claim.request_id))
         for vote in claims.votes.values()
     )
-    return ViewChange(view.epoch, members, agreed, claims.outbox.replaces)
+    return ViewChange(view.epoch, members, agreed, claims.outbox.is_replacement)
 
 
 def _claims_to_carry(claims: ClaimState, options: Options) -> tuple[CarriedClaim, ...]:
-    if not claims.ledger.whole:
+    if not claims.ledger.has_all_claims:
         return ()
     oldest = islice(claims.ledger.claims.values(), options.claim_carry_max)
     return tuple(_to_carried_claim(each) for each in oldest)
@@ -205,9 +210,9 @@
     return CarriedClaim(
         claim=claim.claim,
         holder=claim.holder,
-        claimed_at=claim.claimed_at,
-        at_ms=claim.at_ms,
-        unsure=claim.unsure,
+        claimed_at=claim.claim_offset,
+        at_ms=claim.retention_from_ms,
+        unsure=claim.is_unsure,
         end=claim.end,
     )
 
@@ -235,22 +240,22 @@
     outbox = state.claims.outbox
     outbox.in_flight = batch
     outbox.in_flight_at = now
-    outbox.out_s = 0.0
+    outbox.in_flight_s = 0.0
     outbox.number = batch.number
-    outbox.carry = False
-    outbox.floor = False
-    outbox.join = False
-    outbox.members = None
-    outbox.replaces = False
-    outbox.quiet_due = None
+    outbox.needs_carry = False
+    outbox.needs_floor = False
+    outbox.needs_join = False
+    outbox.next_members = None
+    outbox.is_replacement = False
+    outbox.append_by = None
     if len(batch.ends) < len(outbox.ends):
         _schedule_append(outbox, state.options, now)
     if batch.change is not None:
-        state.claims.sealed = batch.number
+        state.claims.view_append_number = batch.number
     for claim in batch.claims:
         wait = state.claims.waits.get(RequestId(claim.request_id))
         if wait is not None:
-            wait.sent = True
+            wait.is_claim_sent = True
 
 
 def on_done(state: State, event: AppendDone) -> Batch | None:
@@ -263,7 +268,7 @@
     outbox.failures = 0
     if event.first < state.claims.ledger.offset:
         return None
-    outbox.landed[batch.number] = batch
+    outbox.acknowledged_appends[batch.number] = batch
     return batch
 
 
@@ -294,7 +299,7 @@
     pause_s = _max_retry_pause_s(state.options, outbox.failures)
     outbox.retry_at = now + pause_s * (0.5 + state.rng.random() / 2)
     if batch.withdrawn or batch.ends:
-        outbox.quiet_due = outbox.retry_at
+        outbox.append_by = outbox.retry_at
     return [Count("claim.append_failed"), *read_on(state, now)]
 
 
@@ -307,7 +312,7 @@
 def read_on(state: State, now: float) -> list[Effect]:
     """Read the stream from the ledger's offset, unless a read is in progress."""
     claims = state.claims
-    claims.read_due = now + state.options.claim_read_s
+    claims.next_read_at = now + state.options.claim_read_s
     reading_since = claims.reading_since
     if reading_since is not None and now - reading_since < state.options.claim_call_s:
         return []
@@ -317,7 +322,7 @@
 
 def note_read_back(outbox: Outbox, batch: Batch, *, valid: bool) -> None:
     """Remove the entries of a local record that was read back, unless the record is void."""
-    outbox.landed.pop(batch.number, None)
+    outbox.acknowledged_appends.pop(batch.number, None)
     if not valid:
         return
     outbox.failures = 0
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
@@ -16,7 +16,7 @@
 from turmericweir_core.messages.peer_messages import ClaimAsk, ClaimKept, ClaimOpen, ClaimUnheld
 from turmericweir_core.records.claim_answer import KeptAnswer, KeptEnd
 from turmericweir_core.records.claim_record import ClaimEnd
-from turmericweir_core.state.claim_state import Asker, Wait
+from turmericweir_core.state.claim_state import RemoteWaiter, Wait
 from turmericweir_core.state.state import State
 
 # Maps each byte of a header to one character and back.
@@ -27,12 +27,12 @@
 
 def on_ask(state: State, sender: InstanceName, ask: ClaimAsk) -> list[Effect]:
     """Answer what became of a request that was claimed here."""
-    asker = Asker(sender, ask.address, ask.waiter)
+    asker = RemoteWaiter(sender, ask.address, ask.waiter)
     kept_end = state.claims.answers.entries.get(ask.holder)
     if kept_end is not None:
         return [kept_message(state, asker, ask.holder, kept_end)]
     if RequestId(ask.holder) in state.requests:
-        askers = state.claims.askers.setdefault(ask.holder, [])
+        askers = state.claims.remote_waiters.setdefault(ask.holder, [])
         if asker not in askers:
             askers.append(asker)
         return [_reply(asker, ClaimOpen(ask.waiter, ask.holder))]
@@ -43,7 +43,7 @@
     return [_reply(asker, ClaimUnheld(ask.waiter, ask.holder, state.claims.ledger.offset))]
 
 
-def kept_message(state: State, asker: Asker, holder: str, kept_end: KeptEnd) -> Effect:
+def kept_message(state: State, asker: RemoteWaiter, holder: str, kept_end: KeptEnd) -> Effect:
     """Return the message that reports the end of a call to an asker."""
     answer = kept_end.answer
     message = ClaimKept(
@@ -61,7 +61,7 @@
     return _reply(asker, message)
 
 
-def _reply(asker: Asker, message: ClaimKept | ClaimOpen | ClaimUnheld) -> Effect:
+def _reply(asker: RemoteWaiter, message: ClaimKept | ClaimOpen | ClaimUnheld) -> Effect:
     return SendPeer(asker.peer, asker.address, message)
 
 
@@ -72,9 +72,9 @@
     state: State, now: float, wait: Wait, holder: str, peer: str, address: str
 ) -> list[Effect]:
     """Ask the instance that holds the key, unless the next question is not due yet."""
-    if now < wait.ask_due:
+    if now < wait.next_query_at:
         return []
-    wait.ask_due = now + state.options.claim_ask_s
+    wait.next_query_at = now + state.options.claim_ask_s
     ask = ClaimAsk(holder=holder, waiter=wait.request_id, address=state.me.peer_address)
     return [SendPeer(InstanceName(peer), address, ask)]
 
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
@@ -24,7 +24,7 @@
 from turmericweir_core.messages.effects import Effect, SendPeer
 from turmericweir_core.messages.peer_messages import ClaimRelease, ClaimVote, ClaimVoteAsk
 from turmericweir_core.records.claim_record import NewClaim, Writer, time_of
-from turmericweir_core.state.claim_ledger import Claim, Folded, holder_of
+from turmericweir_core.state.claim_ledger import Claim, ClaimFoldResult, holder_of
 from turmericweir_core.state.claim_state import ClaimState, Vote
 from turmericweir_core.state.claim_view import View, is_member
 from turmericweir_core.state.state import State
@@ -53,10 +53,10 @@
     """Return the view under which this instance may agree to claims now, or None."""
     claims = state.claims
     view = claims.ledger.views.current
-    if not state.options.claim_votes or not claims.ledger.whole or view is None:
+    if not state.options.claim_votes or not claims.ledger.has_all_claims or view is None:
         return None
     # Prevents agreements that are missing from a view change which may still take effect.
-    if claims.sealed is not None or not is_member(view, writer_of(state)):
+    if claims.view_append_number is not None or not is_member(view, writer_of(state)):
         return None
     return view
 
@@ -66,7 +66,7 @@
     claims = state.claims
     current = holder_of(claims.ledger, state.options, claim.key)
     if current is not None:
-        return current.claim.request_id == claim.request_id and not current.unsure
+        return current.claim.request_id == claim.request_id and not current.is_unsure
     vote = claims.votes.get(claim.key)
     if vote is not None:
         return vote.claim.request_id == claim.request_id
@@ -112,7 +112,7 @@
     vote = state.claims.votes.get(message.key)
     if vote is not None and vote.claim.request_id == message.request_id:
         del state.claims.votes[message.key]
-        state.claims.due.add(message.key)
+        state.claims.keys_to_evaluate.add(message.key)
 
 
 def release(state: State, request_id: RequestId, key: str) -> list[Effect]:
@@ -122,7 +122,7 @@
     if vote is None or vote.claim.request_id != request_id:
         return []
     del claims.votes[key]
-    claims.due.add(key)
+    claims.keys_to_evaluate.add(key)
     view = claims.ledger.views.current
     if view is None:
         return []
@@ -137,33 +137,35 @@
 # --- records of the log ----------------------------------------------------------------------
 
 
-def note_folded(state: State, now: float, offset: int, folded: Folded) -> None:
+def note_folded(state: State, now: float, offset: int, folded: ClaimFoldResult) -> None:
     """Drop the agreements that a record of the log has settled."""
     claims = state.claims
-    for key in folded.touched:
+    for key in folded.touched_keys:
         holder = holder_of(claims.ledger, state.options, key)
         vote = claims.votes.get(key)
         if holder is not None and vote is not None and holder.claim == vote.claim:
             del claims.votes[key]
     batch = folded.batch
-    if batch is None or not folded.valid:
+    if batch is None or not folded.is_valid:
         return
     for withdrawn in batch.withdrawn:
         on_release(state, ClaimRelease(withdrawn.key, withdrawn.request_id))
-    if batch.writer.incarnation == state.me.incarnation and claims.sealed is not None:
+    if batch.writer.incarnation == state.me.incarnation and claims.view_append_number is not None:
         # A record with this or a higher number voids all earlier records that have not landed.
-        claims.sealed = None if batch.number >= claims.sealed else claims.sealed
+        claims.view_append_number = (
+            None if batch.number >= claims.view_append_number else claims.view_append_number
+        )
     _apply_new_view(state, now, offset, folded)
 
 
-def _apply_new_view(state: State, now: float, offset: int, folded: Folded) -> None:
+def _apply_new_view(state: State, now: float, offset: int, folded: ClaimFoldResult) -> None:
     claims = state.claims
     view = claims.ledger.views.current
     if view is None or view.epoch == claims.vote_epoch:
         return
     claims.vote_epoch = view.epoch
     # All claims that ran under the previous view are in the ledger now.
-    claims.due.update(claims.votes, claims.waiting)
+    claims.keys_to_evaluate.update(claims.votes, claims.waiting)
     claims.votes.clear()
     change = None if folded.batch is None else folded.batch.change
     if view.epoch != offset or change is None:
@@ -181,7 +183,7 @@
     """
     claims = state.claims
     entered = claims.ledger.claims.get(claim.key)
-    if entered is None or entered.claimed_at != offset or entered.holder != holder:
+    if entered is None or entered.claim_offset != offset or entered.holder != holder:
         return
     request_id = RequestId(claim.request_id)
     if holder.incarnation != state.me.incarnation or _is_pending(claims, request_id):
@@ -194,7 +196,7 @@
     """Return whether a request may still run, or its claim or end is still kept here."""
     return (
         request_id in claims.waits
-        or request_id in claims.held
+        or request_id in claims.held_keys
         or request_id in claims.outbox.claims
         or request_id in claims.outbox.ends
         or request_id in claims.answers.entries
--- a/packages/turmericweir-core/turmericweir_core/credits/credit.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit.py
@@ -48,14 +48,14 @@
     """Request credit for the waiting requests of a pool, and withdraw demand that has ended."""
     if state.config.policy is not Policy.CREDITS:
         return []
-    if not state.credits.asking and not queue_state.anything_waits(state.queues, pool):
+    if not state.credits.demanded_servers and not queue_state.has_waiting(state.queues, pool):
         return []
     wanted = credit_demand.wanted_credit(state, now, pool)
     return _demand(state, now, {*wanted, *_asked_servers(state, pool)}, wanted)
 
 
 def _asked_servers(state: State, pool: str) -> Iterable[ServerName]:
-    for name in state.credits.asking:
+    for name in state.credits.demanded_servers:
         server = state.servers.by_name.get(name)
         if server is not None and server.service.name == pool:
             yield name
@@ -72,7 +72,7 @@
     for name in sorted(names):
         server = state.servers.by_name.get(name)
         if server is None:
-            state.credits.asking.discard(name)
+            state.credits.demanded_servers.discard(name)
             continue
         effects += _send_demand_if_due(state, now, server, wanted.get(name, []))
     return effects
@@ -90,15 +90,15 @@
 
 def note_freed(state: State, now: float, server: Server) -> list[Effect]:
     """Report the end of an attempt to the dispatcher if the server is contended."""
-    credit = state.credits.held.get(server.entry.name)
+    credit = state.credits.held_by_server.get(server.entry.name)
     if state.config.policy is not Policy.CREDITS or credit is None:
         return []
     credit.used_at = now
-    if not credit.contended:
+    if not credit.is_contended:
         return []
-    if queue_state.anything_waits(state.queues, server.service.name):
+    if queue_state.has_waiting(state.queues, server.service.name):
         # The dispatch that follows sends the demand, as it may start another attempt here.
-        state.credits.asking.add(server.entry.name)
+        state.credits.demanded_servers.add(server.entry.name)
         return []
     return _send_demand_if_due(state, now, server, [])
 
@@ -119,10 +119,10 @@
     if not credit_holder.apply_grant(state, now, sender, grant):
         return [Count("credit.grant_ignored")]
     server = state.servers.by_name.get(ServerName(grant.server))
-    credit = state.credits.held[ServerName(grant.server)]
-    if server is None or not credit.confirm:
+    credit = state.credits.held_by_server[ServerName(grant.server)]
+    if server is None or not credit.needs_confirmation:
         return []
-    waiting = [replace(each, running=0) for each in credit.asked if each.waiting]
+    waiting = [replace(each, running=0) for each in credit.newest_demand if each.waiting]
     return _send_demand_if_due(state, now, server, waiting)
 
 
@@ -143,10 +143,10 @@
 def on_tick(state: State, now: float) -> list[Effect]:
     """Renew credit, run deferred settlements, and detect dispatchers that do not answer."""
     if state.config.policy is not Policy.CREDITS:
-        if state.credits.held or state.credits.given:
+        if state.credits.held_by_server or state.credits.granted_by_server:
             state.credits = CreditState()
         return []
-    if now >= state.credits.live_due:
+    if now >= state.credits.next_live_update_at:
         update_live_instances(state, now)
     effects: list[Effect] = [
         Count("credit.no_answer") for _ in credit_holder.check_answers(state, now)
@@ -155,7 +155,7 @@
         effects += _send(state, now, outgoing.instance, outgoing.grant)
     may_need = [
         name
-        for name, credit in state.credits.held.items()
+        for name, credit in state.credits.held_by_server.items()
         if credit_demand.may_need_demand(credit, state.options, now)
     ]
     wanted: dict[ServerName, list[TierDemand]] = {}
@@ -167,7 +167,7 @@
 
 def on_peer_unreachable(state: State, now: float, peer: InstanceName) -> None:
     """Use local counts for the servers whose dispatcher cannot be reached."""
-    for credit in state.credits.held.values():
+    for credit in state.credits.held_by_server.values():
         if credit.dispatcher == peer:
             credit_holder.fall_back(credit, state.options, now)
 
@@ -180,7 +180,7 @@
     """
     if leads(state, now, server):
         return True
-    if server.entry.name not in state.subsets.used:
+    if server.entry.name not in state.subsets.used_servers:
         return False
     # A server that was unreachable from this instance is probed before it is used again.
     was_unreachable = server.unreachable_until > 0.0
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_assured.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_assured.py
@@ -12,33 +12,35 @@
 
 from turmericweir_core.base.tiers import tier_shares
 from turmericweir_core.credits.credit_allocation import Capacity
-from turmericweir_core.state.credit_state import NEVER, Ledger
+from turmericweir_core.state.credit_state import NEVER, CreditLedger
 
 if TYPE_CHECKING:
     from turmericweir_core.base.options import Options
     from turmericweir_core.state.state import State
 
 
-def update_assured_tiers(state: State, now: float, ledger: Ledger, capacity: Capacity) -> None:
+def update_assured_tiers(
+    state: State, now: float, ledger: CreditLedger, capacity: Capacity
+) -> None:
     """Credit slot seconds to starved tiers, and charge them to tiers that have an assured slot."""
     options = state.options
     elapsed = min(1.0, now - ledger.settled_at) if ledger.settled_at != NEVER else 0.0
     shares = tier_shares(state.config)
     for tier in _active_tiers(ledger):
-        saved = ledger.saved.get(tier, 0.0)
+        saved = ledger.accrued_slot_s.get(tier, 0.0)
         waiting, running = _tier_totals(ledger, tier)
         if tier in ledger.assured:
             saved -= elapsed
         elif waiting and not running:
             saved += elapsed * capacity.slots * shares.get(tier, 0.0)
-        ledger.saved[tier] = min(saved, 2.0 * options.credit_assured_s)
+        ledger.accrued_slot_s[tier] = min(saved, 2.0 * options.credit_assured_s)
         _update_assured_tier(options, ledger, tier, bool(waiting), bool(running))
 
 
 def _update_assured_tier(
-    options: Options, ledger: Ledger, tier: int, waiting: bool, running: bool
+    options: Options, ledger: CreditLedger, tier: int, waiting: bool, running: bool
 ) -> None:
-    saved = ledger.saved[tier]
+    saved = ledger.accrued_slot_s[tier]
     if tier not in ledger.assured:
         if saved >= options.credit_assured_s:
             ledger.assured.add(tier)
@@ -49,11 +51,11 @@
         ledger.assured.discard(tier)
 
 
-def _active_tiers(ledger: Ledger) -> Iterable[int]:
+def _active_tiers(ledger: CreditLedger) -> Iterable[int]:
     tiers = {tier for each in ledger.holdings.values() for tier in each.demand}
     return tiers | ledger.assured
 
 
-def _tier_totals(ledger: Ledger, tier: int) -> tuple[int, int]:
+def _tier_totals(ledger: CreditLedger, tier: int) -> tuple[int, int]:
     demands = [each.demand[tier] for each in ledger.holdings.values() if tier in each.demand]
     return sum(each.waiting for each in demands), sum(each.running for each in demands)
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -32,7 +32,7 @@
 from turmericweir_core.state.concurrency import limited_slots
 from turmericweir_core.state.credit_state import HeldCredit
 from turmericweir_core.state.pool_load import pool_load
-from turmericweir_core.state.server_table import Server, preferred
+from turmericweir_core.state.server_table import Server, preferred_servers
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
@@ -50,7 +50,7 @@
     displacing = pool_load(state.pool_loads, pool).displacing
     queues = queue_state.pool_queues(state.queues, pool)
     for queue in sorted(queues, key=lambda queue: queue.service_class.priority):
-        servers = preferred(open_servers(state, now, queue.target), queue.head())
+        servers = preferred_servers(open_servers(state, now, queue.target), queue.head())
         unserved = len(queue)
         if _is_contended(state, servers):
             displaceable = _count_displaceable(state, now, servers, queue.service_class.priority)
@@ -73,11 +73,11 @@
 
 def _is_contended(state: State, servers: list[Server]) -> bool:
     """Return whether a model server is known to have more demand than slots."""
-    held_credit = state.credits.held
+    held_credit = state.credits.held_by_server
     return any(
         server.service.kind is Kind.MODEL
         and server.entry.name in held_credit
-        and held_credit[server.entry.name].contended
+        and held_credit[server.entry.name].is_contended
         for server in servers
     )
 
@@ -99,7 +99,7 @@
     Prevents all dispatchers from reserving a slot for a request that needs one.
     """
     # Servers already asked come first. Prevents new demands with every load report.
-    asked = state.credits.asking
+    asked = state.credits.demanded_servers
     ask_last = _server_to_ask_last(state, now, servers)
     servers.sort(
         key=lambda server: (
@@ -121,24 +121,24 @@
     other servers have free ones. If credit was lost at several servers, there are more instances
     than slots everywhere, and the order of the subset is used for `credit_stay_s`.
     """
-    held_credit = state.credits.held
+    held_credit = state.credits.held_by_server
     if any(
-        server.entry.name in held_credit and held_credit[server.entry.name].contended
+        server.entry.name in held_credit and held_credit[server.entry.name].is_contended
         for server in servers
     ):
         return None
     servers_without_credit = [server for server in servers if _has_lost_credit(state, server)]
     if len(servers_without_credit) > 1:
-        state.credits.stays_until = now + state.options.credit_stay_s
+        state.credits.in_subset_order_until = now + state.options.credit_stay_s
     return (
         servers_without_credit[0]
-        if servers_without_credit and now >= state.credits.stays_until
+        if servers_without_credit and now >= state.credits.in_subset_order_until
         else None
     )
 
 
 def _has_lost_credit(state: State, server: Server) -> bool:
-    credit = state.credits.held.get(server.entry.name)
+    credit = state.credits.held_by_server.get(server.entry.name)
     return credit is not None and not sum(credit.slots.values())
 
 
@@ -197,11 +197,11 @@
 ) -> CreditDemand | None:
     """Return the demand to send for a server, or None if none is due."""
     name = server.entry.name
-    credit = state.credits.held.get(name)
+    credit = state.credits.held_by_server.get(name)
     if credit is None:
         if not waiting:
             return None
-        credit = state.credits.held[name] = HeldCredit(dispatcher)
+        credit = state.credits.held_by_server[name] = HeldCredit(dispatcher)
     if credit.dispatcher != dispatcher:
         _change_dispatcher(credit, dispatcher)
     tiers = _demand_tiers(server, waiting)
@@ -210,20 +210,20 @@
     if not _is_demand_due(credit, state.options, now, tiers):
         return None
     # Answers that the dispatcher waits for are exempt from the budget.
-    is_awaited = credit.confirm or _has_ended_beyond_credit(credit, tiers)
-    reserved = _reserved_budget_share(tiers, credit.asked)
+    is_awaited = credit.needs_confirmation or _has_ended_beyond_credit(credit, tiers)
+    reserved = _reserved_budget_share(tiers, credit.newest_demand)
     if not _take_from_budget(state, now, reserved) and not is_awaited:
         return None
     credit.seq += 1
     credit.sent_at[credit.seq] = now
-    credit.asked = tiers
-    credit.asked_at = now
-    credit.confirm = False
+    credit.newest_demand = tiers
+    credit.demand_sent_at = now
+    credit.needs_confirmation = False
     state.credits.demands_sent += 1
     if any(each.waiting for each in tiers):
-        state.credits.asking.add(name)
+        state.credits.demanded_servers.add(name)
     else:
-        state.credits.asking.discard(name)
+        state.credits.demanded_servers.discard(name)
     limit = limited_slots(state.server_limits, name, server.slots)
     return CreditDemand(name, credit.seq, credit.grant_number, limit, list(tiers))
 
@@ -264,8 +264,8 @@
     credit.dispatcher = dispatcher
     credit.grant_number = 0
     credit.sent_at.clear()
-    credit.asked = ()
-    credit.asked_at = float("-inf")
+    credit.newest_demand = ()
+    credit.demand_sent_at = float("-inf")
 
 
 def _demand_tiers(server: Server, waiting: list[TierDemand]) -> tuple[TierDemand, ...]:
@@ -278,12 +278,16 @@
 def _is_demand_due(
     credit: HeldCredit, options: Options, now: float, tiers: tuple[TierDemand, ...]
 ) -> bool:
-    if credit.confirm or _has_ended_beyond_credit(credit, tiers):
+    if credit.needs_confirmation or _has_ended_beyond_credit(credit, tiers):
         # The dispatcher waits for this message to grant the slot to another instance.
         return True
-    since_demand_s = now - credit.asked_at
+    since_demand_s = now - credit.demand_sent_at
     is_fallback = now < credit.fallback_until
-    if not credit.sent_at and not is_fallback and _has_more_urgent_wait(tiers, credit.asked):
+    if (
+        not credit.sent_at
+        and not is_fallback
+        and _has_more_urgent_wait(tiers, credit.newest_demand)
+    ):
         # The last demand was answered and did not contain this tier.
         return True
     if since_demand_s < (options.credit_answer_s if is_fallback else options.credit_demand_gap_s):
@@ -291,20 +295,24 @@
     has_waiting = any(each.waiting for each in tiers)
     if has_waiting and now >= credit.valid_until and not credit.sent_at:
         return True
-    if _has_more_demand(tiers, credit.asked) or _has_unneeded_slots(credit, tiers):
+    if _has_more_demand(tiers, credit.newest_demand) or _has_unneeded_slots(credit, tiers):
         return True
-    if credit.contended and since_demand_s >= options.credit_lazy_s and tiers != credit.asked:
+    if (
+        credit.is_contended
+        and since_demand_s >= options.credit_lazy_s
+        and tiers != credit.newest_demand
+    ):
         return True
     if any(each.running for each in tiers):
         return since_demand_s >= options.credit_renew_s
     # Idle credit is renewed only if it was used since the last demand.
-    return credit.used_at > credit.asked_at and since_demand_s >= options.credit_renew_idle_s
+    return credit.used_at > credit.demand_sent_at and since_demand_s >= options.credit_renew_idle_s
 
 
 def _has_ended_beyond_credit(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
     """Return whether an attempt beyond the credit has ended."""
     running = sum(each.running for each in tiers)
-    reported = sum(each.running for each in credit.asked)
+    reported = sum(each.running for each in credit.newest_demand)
     return running < reported > sum(credit.slots.values())
 
 
@@ -327,11 +335,11 @@
     """Return whether the dispatcher reserves slots that are no longer needed here."""
     if any(each.waiting for each in tiers):
         return False
-    if any(each.waiting for each in credit.asked):
+    if any(each.waiting for each in credit.newest_demand):
         return True
     running = sum(each.running for each in tiers)
-    reported = sum(each.running for each in credit.asked)
-    return credit.contended and running < reported
+    reported = sum(each.running for each in credit.newest_demand)
+    return credit.is_contended and running < reported
 
 
 def _has_more_urgent_wait(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
@@ -345,6 +353,10 @@
 
 def may_need_demand(credit: HeldCredit, options: Options, now: float) -> bool:
     """Return whether a demand for a server may be due, as a cheap check before `make_demand`."""
-    if credit.confirm or credit.contended or any(each.waiting for each in credit.asked):
+    if (
+        credit.needs_confirmation
+        or credit.is_contended
+        or any(each.waiting for each in credit.newest_demand)
+    ):
         return True
-    return now - credit.asked_at >= options.credit_renew_s
+    return now - credit.demand_sent_at >= options.credit_renew_s
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
@@ -50,8 +50,8 @@
     TierGrant,
 )
 from turmericweir_core.state.concurrency import limited_slots
-from turmericweir_core.state.credit_state import Holding, Ledger
-from turmericweir_core.state.server_table import Server, any_target, is_open
+from turmericweir_core.state.credit_state import CreditHolding, CreditLedger
+from turmericweir_core.state.server_table import Server, any_target, can_take_work
 
 if TYPE_CHECKING:
     from turmericweir_core.base.options import Options
@@ -76,14 +76,14 @@
     if server is None or _is_cut_off(server, now):
         # Without an answer the sender uses its local counts.
         return []
-    ledger = state.credits.given.setdefault(server.entry.name, Ledger())
+    ledger = state.credits.granted_by_server.setdefault(server.entry.name, CreditLedger())
     holding = _record_demand(state.options, now, ledger, sender, demand)
     if holding is None:
         return []
     capacity = _capacity(state, now, server, ledger)
     if _grant_from_free(state.options, now, ledger, holding, capacity):
         return [_outgoing(state, now, server, ledger, sender, holding)]
-    ledger.unsettled = True
+    ledger.is_settlement_pending = True
     recalled_from = _recall_if_idle(state.options, now, ledger, holding, capacity)
     if recalled_from:
         # The answers to the recall trigger the settlement.
@@ -107,8 +107,8 @@
 
 
 def _record_demand(
-    options: Options, now: float, ledger: Ledger, sender: InstanceName, demand: CreditDemand
-) -> Holding | None:
+    options: Options, now: float, ledger: CreditLedger, sender: InstanceName, demand: CreditDemand
+) -> CreditHolding | None:
     """Record a demand and return its holding, or None if a newer demand was received before."""
     holding = ledger.holdings.get(sender)
     is_restarted = demand.seq == 1
@@ -117,10 +117,12 @@
     if holding is None or is_restarted or demand.grant_number < holding.confirmed:
         # Numbers continue from the sender's. Prevents the sender from ignoring the answer as stale.
         number = demand.grant_number + 1
-        holding = ledger.holdings[sender] = Holding(demand.seq, now, number=number, used_at=now)
+        holding = ledger.holdings[sender] = CreditHolding(
+            demand.seq, now, number=number, used_at=now
+        )
     update_use_of(options, now, holding)
     holding.seq = demand.seq
-    holding.heard_at = now
+    holding.received_at = now
     holding.demand = {each.tier: each for each in demand.tiers}
     holding.confirmed = demand.grant_number
     holding.limit = demand.limit
@@ -130,10 +132,14 @@
 
 
 def _grant_from_free(
-    options: Options, now: float, ledger: Ledger, holding: Holding, capacity: Capacity
+    options: Options, now: float, ledger: CreditLedger, holding: CreditHolding, capacity: Capacity
 ) -> bool:
     """Grant an instance its demand from free slots; return False if there are too few."""
-    if ledger.unsettled or ledger.short_since is not None or now < ledger.contended_until:
+    if (
+        ledger.is_settlement_pending
+        or ledger.short_since is not None
+        or now < ledger.contended_until
+    ):
         return False
     wants = demand_by_tier(holding)
     additional = sum(wants.values()) - holding.total()
@@ -155,7 +161,7 @@
 
 
 def _recall_if_idle(
-    options: Options, now: float, ledger: Ledger, holding: Holding, capacity: Capacity
+    options: Options, now: float, ledger: CreditLedger, holding: CreditHolding, capacity: Capacity
 ) -> list[InstanceName]:
     """Recall idle slots of other holders for an instance that is short; return those holders.
 
@@ -170,20 +176,20 @@
         return []
     ledger.short_since = now
     # An instance that is still short at that time is in a real shortage.
-    ledger.look_due = min(ledger.look_due, now + options.credit_short_s)
+    ledger.next_check_at = min(ledger.next_check_at, now + options.credit_short_s)
     return recall_idle_slots(options, now, ledger, capacity)
 
 
 # --- capacity --------------------------------------------------------------------------------
 
 
-def _capacity(state: State, now: float, server: Server, ledger: Ledger) -> Capacity:
+def _capacity(state: State, now: float, server: Server, ledger: CreditLedger) -> Capacity:
     options = state.options
     limits = [each.limit for each in ledger.holdings.values() if each.limit > 0]
     # The holders measure the server's latency; this instance may have no traffic there.
     limit = median_low(limits) if limits else server.slots
     limit = min(limit, limited_slots(state.server_limits, server.entry.name, server.slots))
-    slots = limit + options.slack_slots if is_open(server, now) else 0
+    slots = limit + options.slack_slots if can_take_work(server, now) else 0
     lower = slots
     if server.service.kind is Kind.PLAIN:
         # A running plain call cannot be preempted, so slots are reserved for the most urgent tier.
@@ -202,7 +208,7 @@
 # --- settlement ------------------------------------------------------------------------------
 
 
-def settle_if_due(state: State, now: float, server: Server, ledger: Ledger) -> list[Outgoing]:
+def settle_if_due(state: State, now: float, server: Server, ledger: CreditLedger) -> list[Outgoing]:
     """Divide a server's slots again, unless the last settlement was too recent."""
     is_contended = now < ledger.contended_until
     gap_s = state.options.credit_settle_s * len(ledger.holdings)
@@ -210,7 +216,9 @@
     # recall freed from staying idle until the next tick. The number is limited, as each settlement
     # can cause several answers and each answer another settlement.
     may_follow_at_once = not is_contended and ledger.settlements < state.options.credit_settle_burst
-    if not ledger.unsettled or (not may_follow_at_once and now - ledger.settled_at < gap_s):
+    if not ledger.is_settlement_pending or (
+        not may_follow_at_once and now - ledger.settled_at < gap_s
+    ):
         return []
     _drop_lapsed(state, now, ledger)
     capacity = _capacity(state, now, server, ledger)
@@ -218,7 +226,7 @@
     update_assured_tiers(state, now, ledger, capacity)
     ledger.settled_at = now
     ledger.settlements += 1
-    ledger.unsettled = False
+    ledger.is_settlement_pending = False
     shares = divide(state.options, ledger, capacity)
     changed = recall_credit(ledger, capacity, shares)
     changed |= raise_grants(ledger, capacity, shares)
@@ -232,10 +240,10 @@
     ]
 
 
-def _drop_lapsed(state: State, now: float, ledger: Ledger) -> None:
+def _drop_lapsed(state: State, now: float, ledger: CreditLedger) -> None:
     for name, holding in list(ledger.holdings.items()):
         # Counts from the receipt of the last demand, so the holder's credit expires before this.
-        has_lapsed = now - holding.heard_at > state.options.credit_ttl_s
+        has_lapsed = now - holding.received_at > state.options.credit_ttl_s
         if has_lapsed or name not in state.credits.alive:
             del ledger.holdings[name]
 
@@ -245,24 +253,24 @@
 
 def on_tick(state: State, now: float) -> Iterator[Outgoing]:
     """Run deferred settlements and periodic checks; yield the grants to send."""
-    for name, ledger in list(state.credits.given.items()):
+    for name, ledger in list(state.credits.granted_by_server.items()):
         server = state.servers.by_name.get(name)
         if server is None or not ledger.holdings:
             # The holders fall back on local counts and send demands to a new dispatcher.
-            del state.credits.given[name]
+            del state.credits.granted_by_server[name]
             continue
         if _is_cut_off(server, now):
             continue
         ledger.settlements = 0
         # Prevents the check from counting a slot that is already free as a shortage.
         yield from settle_if_due(state, now, server, ledger)
-        if now >= ledger.look_due or now < ledger.contended_until:
-            ledger.look_due = now + state.options.credit_look_s
+        if now >= ledger.next_check_at or now < ledger.contended_until:
+            ledger.next_check_at = now + state.options.credit_look_s
             _check_for_shortage(state, now, server, ledger)
             yield from settle_if_due(state, now, server, ledger)
 
 
-def _check_for_shortage(state: State, now: float, server: Server, ledger: Ledger) -> None:
+def _check_for_shortage(state: State, now: float, server: Server, ledger: CreditLedger) -> None:
     options = state.options
     holdings = ledger.holdings.values()
     capacity = _capacity(state, now, server, ledger)
@@ -276,12 +284,14 @@
     if is_short:
         ledger.contended_until = now + options.credit_contended_s
     was_contended = any(each.contended for each in holdings)
-    has_lapsed = any(now - each.heard_at > options.credit_ttl_s for each in holdings)
+    has_lapsed = any(now - each.received_at > options.credit_ttl_s for each in holdings)
     if is_short or was_contended or has_lapsed or ledger.assured:
-        ledger.unsettled = True
+        ledger.is_settlement_pending = True
 
 
-def _is_lasting_shortage(options: Options, now: float, ledger: Ledger, capacity: Capacity) -> bool:
+def _is_lasting_shortage(
+    options: Options, now: float, ledger: CreditLedger, capacity: Capacity
+) -> bool:
     if ledger.short_since is None:
         return False
     if now < ledger.contended_until:
@@ -295,9 +305,9 @@
     state: State,
     now: float,
     server: Server,
-    ledger: Ledger,
+    ledger: CreditLedger,
     name: InstanceName,
-    holding: Holding,
+    holding: CreditHolding,
 ) -> Outgoing:
     holding.contended = now < ledger.contended_until
     tiers = [
@@ -314,7 +324,7 @@
         ttl_s=state.options.credit_ttl_s,
         contended=holding.contended,
         # Repeated with every grant, as the first one may be lost.
-        keep=holding.keep,
+        keep=holding.attempts_to_keep,
         displace_above=holding.displace_above,
         tiers=tiers,
         load=_load_update(state, now, server, holding),
@@ -322,7 +332,9 @@
     return Outgoing(name, grant)
 
 
-def _load_update(state: State, now: float, server: Server, holding: Holding) -> ServerLoad | None:
+def _load_update(
+    state: State, now: float, server: Server, holding: CreditHolding
+) -> ServerLoad | None:
     report = server.report
     if report is None or report.seq == holding.load_seq:
         return None
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
@@ -45,13 +45,13 @@
     name = server.entry.name
     if dispatcher_of(state, now, server) is None:
         return True
-    credit = state.credits.held.get(name)
+    credit = state.credits.held_by_server.get(name)
     return credit is not None and now < credit.fallback_until
 
 
 def has_credit(state: State, now: float, name: ServerName) -> bool:
     """Return whether a grant for a server is valid."""
-    credit = state.credits.held.get(name)
+    credit = state.credits.held_by_server.get(name)
     return credit is not None and now < credit.valid_until
 
 
@@ -74,7 +74,7 @@
     On a model server any tier may use any slot, since attempts can be preempted. On a plain server
     a tier may use the slots of less urgent tiers only. Assured slots are used by their tier alone.
     """
-    credit = state.credits.held.get(server.entry.name)
+    credit = state.credits.held_by_server.get(server.entry.name)
     if credit is None or now >= credit.valid_until:
         return -1
     used = used_by_tier(server)
@@ -101,13 +101,13 @@
     attempts as in use, so an upper request may replace one as long as their total does not grow.
     Prevents the upper request from waiting until all attempts beyond the credit have ended.
     """
-    credit = state.credits.held.get(server.entry.name)
+    credit = state.credits.held_by_server.get(server.entry.name)
     if credit is None or now >= credit.valid_until or server.service.kind is not Kind.MODEL:
         return -1
-    reported = sum(each.running for each in credit.asked)
+    reported = sum(each.running for each in credit.newest_demand)
     # Attempts displaced for other instances are not replaced here.
-    limit = reported if credit.keep is None else min(reported, credit.keep)
-    reported_lower = sum(each.running for each in credit.asked if each.tier > tier)
+    limit = reported if credit.attempts_to_keep is None else min(reported, credit.attempts_to_keep)
+    reported_lower = sum(each.running for each in credit.newest_demand if each.tier > tier)
     running_lower = sum(1 for each in server.in_flight.values() if each > tier)
     return min(limit - len(server.in_flight), reported_lower - running_lower)
 
@@ -124,17 +124,17 @@
 
 def is_assured(state: State, server: Server, tier: int) -> bool:
     """Return whether all attempts of a tier on a server are within its assured slots."""
-    credit = state.credits.held.get(server.entry.name)
+    credit = state.credits.held_by_server.get(server.entry.name)
     assured = credit.assured.get(tier, 0) if credit else 0
     return 0 < assured >= used_by_tier(server).get(tier, 0)
 
 
 def excess(state: State, server: Server) -> int:
     """Return the number of attempts to stop on a server because its credit was recalled."""
-    credit = state.credits.held.get(server.entry.name)
-    if credit is None or credit.keep is None:
+    credit = state.credits.held_by_server.get(server.entry.name)
+    if credit is None or credit.attempts_to_keep is None:
         return 0
-    return len(server.in_flight) - max(credit.keep, sum(credit.slots.values()))
+    return len(server.in_flight) - max(credit.attempts_to_keep, sum(credit.slots.values()))
 
 
 def displaceable_attempts(state: State, now: float, server: Server, tier: int) -> int:
@@ -154,19 +154,19 @@
 def check_answers(state: State, now: float) -> Iterator[ServerName]:
     """Fall back on local counts where a dispatcher does not answer; yield the servers."""
     options = state.options
-    for name, credit in list(state.credits.held.items()):
+    for name, credit in list(state.credits.held_by_server.items()):
         if credit.sent_at and now - min(credit.sent_at.values()) > options.credit_answer_s:
             fall_back(credit, options, now)
             yield name
         elif now - credit.used_at > options.credit_ttl_s and now >= credit.valid_until:
-            del state.credits.held[name]
+            del state.credits.held_by_server[name]
 
 
 def fall_back(credit: HeldCredit, options: Options, now: float) -> None:
     """Use local counts for `credit_fallback_s`, then send demands again."""
     credit.fallback_until = now + options.credit_fallback_s
     credit.sent_at.clear()
-    credit.asked = ()
+    credit.newest_demand = ()
 
 
 # --- grants ----------------------------------------------------------------------------------
@@ -175,7 +175,7 @@
 def apply_grant(state: State, now: float, sender: InstanceName, grant: CreditGrant) -> bool:
     """Apply a grant; return False if it is stale or from another dispatcher."""
     name = ServerName(grant.server)
-    credit = state.credits.held.get(name)
+    credit = state.credits.held_by_server.get(name)
     if credit is None or credit.dispatcher != sender or grant.number < credit.grant_number:
         # Stale, or from a former dispatcher.
         return False
@@ -186,16 +186,16 @@
     if grant.number > credit.grant_number:
         credit.slots = {each.tier: each.slots for each in grant.tiers}
         credit.assured = {each.tier: each.assured for each in grant.tiers if each.assured}
-        credit.confirm = credit.confirm or sum(credit.slots.values()) < before
+        credit.needs_confirmation = credit.needs_confirmation or sum(credit.slots.values()) < before
     credit.grant_number = grant.number
-    credit.contended = grant.contended
+    credit.is_contended = grant.contended
     if (
         grant.demand_seq == credit.seq
         and not grant.contended
-        and grant_covers(grant.tiers, credit.asked)
+        and grant_covers(grant.tiers, credit.newest_demand)
     ):
         _record_started(state, credit, name)
-    credit.keep = grant.keep
+    credit.attempts_to_keep = grant.keep
     credit.displace_above = grant.displace_above
     # Counts from the sending of the demand, and the dispatcher from its receipt. Prevents the use
     # of a delayed grant whose slots were already granted to another instance.
@@ -203,7 +203,7 @@
     credit.fallback_until = float("-inf")
     state.credits.grants_taken += 1
     _apply_load(state, now, name, grant.load)
-    if credit.keep is not None and name in state.servers.by_name:
+    if credit.attempts_to_keep is not None and name in state.servers.by_name:
         state.credits.recalled.add(name)
     return True
 
@@ -213,8 +213,8 @@
 
     Prevents a second demand for each request, only to report that it no longer waits.
     """
-    credit.asked = demand_once_started(credit.asked)
-    state.credits.asking.discard(name)
+    credit.newest_demand = demand_once_started(credit.newest_demand)
+    state.credits.demanded_servers.discard(name)
 
 
 def _take_sending_time(credit: HeldCredit, seq: int) -> float | None:
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_ledger.py
@@ -6,7 +6,7 @@
 
 from turmericweir_core.credits.credit_allocation import Capacity
 from turmericweir_core.messages.peer_messages import TierDemand, TierGrant
-from turmericweir_core.state.credit_state import Holding, Ledger
+from turmericweir_core.state.credit_state import CreditHolding, CreditLedger
 
 
 def grant_covers(granted: Iterable[TierGrant], demand: Iterable[TierDemand]) -> bool:
@@ -20,18 +20,18 @@
     return tuple(TierDemand(each.tier, each.running + each.waiting, 0) for each in demand)
 
 
-def demand_by_tier(holding: Holding) -> dict[int, int]:
+def demand_by_tier(holding: CreditHolding) -> dict[int, int]:
     """Return the slots that an instance could use, by tier."""
     return {tier: each.running + each.waiting for tier, each in holding.demand.items()}
 
 
-def lower_demand(holding: Holding, capacity: Capacity) -> int:
+def lower_demand(holding: CreditHolding, capacity: Capacity) -> int:
     """Return the slots that an instance could use below the most urgent tier."""
     wants = demand_by_tier(holding)
     return sum(slots for tier, slots in wants.items() if tier != capacity.most_urgent)
 
 
-def missing_slots(holding: Holding, capacity: Capacity) -> int:
+def missing_slots(holding: CreditHolding, capacity: Capacity) -> int:
     """Return the slots that an instance needs in addition to its grant.
 
     If slots are granted by tier, those of a more urgent tier do not count for a lower one.
@@ -47,26 +47,26 @@
     return short
 
 
-def exceeds_capacity(ledger: Ledger, capacity: Capacity) -> bool:
+def exceeds_capacity(ledger: CreditLedger, capacity: Capacity) -> bool:
     """Return whether the last demands of all holders exceed the capacity."""
     wants = sum(sum(demand_by_tier(each).values()) for each in ledger.holdings.values())
     lower = sum(lower_demand(each, capacity) for each in ledger.holdings.values())
     return wants > capacity.slots or lower > capacity.lower_slots
 
 
-def free_slots(ledger: Ledger, capacity: Capacity) -> int:
+def free_slots(ledger: CreditLedger, capacity: Capacity) -> int:
     """Return the number of slots that no instance may be using."""
     return capacity.slots - sum(each.committed() for each in ledger.holdings.values())
 
 
-def free_lower_slots(ledger: Ledger, capacity: Capacity) -> int:
+def free_lower_slots(ledger: CreditLedger, capacity: Capacity) -> int:
     """Return the number of free slots for tiers below the most urgent one."""
     used = sum(each.committed_below(capacity.most_urgent) for each in ledger.holdings.values())
     return capacity.lower_slots - used
 
 
 def set_granted(
-    holding: Holding, capacity: Capacity, slots: dict[int, int], assured: dict[int, int]
+    holding: CreditHolding, capacity: Capacity, slots: dict[int, int], assured: dict[int, int]
 ) -> bool:
     """Set the grant of an instance; return whether its slots changed."""
     is_unchanged = slots == holding.granted
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
@@ -22,10 +22,10 @@
     missing_slots,
     set_granted,
 )
-from turmericweir_core.state.credit_state import Holding, Ledger
+from turmericweir_core.state.credit_state import CreditHolding, CreditLedger
 
 
-def divide(options: Options, ledger: Ledger, capacity: Capacity) -> dict[InstanceName, Share]:
+def divide(options: Options, ledger: CreditLedger, capacity: Capacity) -> dict[InstanceName, Share]:
     """Return the share of each instance."""
     order = sorted(ledger.holdings, key=lambda name: _rank(options, ledger.holdings[name]))
     wants = [
@@ -37,13 +37,13 @@
     return allocate(capacity, order, wants, sorted(ledger.assured, reverse=True))
 
 
-def _rank(options: Options, holding: Holding) -> tuple[int, bool, float]:
+def _rank(options: Options, holding: CreditHolding) -> tuple[int, bool, float]:
     """Return a sort key that puts instances with the least recent use first, in coarse steps."""
     use_steps = int(holding.used_s / options.credit_turn_s)
     return (use_steps, not holding.total(), holding.used_s)
 
 
-def update_use(options: Options, now: float, ledger: Ledger) -> None:
+def update_use(options: Options, now: float, ledger: CreditLedger) -> None:
     """Update the recent use of all instances.
 
     Prevents an instance that always has requests from keeping a slot that others wait for.
@@ -52,7 +52,7 @@
         update_use_of(options, now, holding)
 
 
-def update_use_of(options: Options, now: float, holding: Holding) -> None:
+def update_use_of(options: Options, now: float, holding: CreditHolding) -> None:
     """Add the reported attempts since the last update to the recent use of an instance.
 
     Called before the reported demand changes. Prevents attempts that have just started from being
@@ -64,7 +64,7 @@
     holding.used_s += holding.running() * min(options.credit_use_window_s, elapsed)
 
 
-def pressed_tiers(ledger: Ledger, capacity: Capacity) -> dict[int, int]:
+def pressed_tiers(ledger: CreditLedger, capacity: Capacity) -> dict[int, int]:
     """Return by tier the requests that need displacement here and that no grant covers yet."""
     pressed: dict[int, int] = {}
     for holding in ledger.holdings.values():
@@ -77,7 +77,7 @@
     return pressed
 
 
-def assign_displacements(ledger: Ledger, pressed: dict[int, int]) -> set[InstanceName]:
+def assign_displacements(ledger: CreditLedger, pressed: dict[int, int]) -> set[InstanceName]:
     """Assign attempts to displace, the least urgent first; return the instances with a change."""
     changed: set[InstanceName] = set()
     above = min(pressed, default=0)
@@ -89,19 +89,19 @@
         displace = max(0, min(holding.running() - holding.total(), wanted - assigned))
         assigned += displace
         keep = holding.running() - displace if displace else None
-        if keep != holding.keep:
-            holding.keep = keep
+        if keep != holding.attempts_to_keep:
+            holding.attempts_to_keep = keep
             changed.add(name)
         holding.displace_above = above
     return changed
 
 
-def _lowest_running(holding: Holding) -> int:
+def _lowest_running(holding: CreditHolding) -> int:
     return max((each.tier for each in holding.demand.values() if each.running), default=-1)
 
 
 def recall_credit(
-    ledger: Ledger, capacity: Capacity, shares: dict[InstanceName, Share]
+    ledger: CreditLedger, capacity: Capacity, shares: dict[InstanceName, Share]
 ) -> set[InstanceName]:
     """Lower grants above their share if others need the slots; return the changed instances."""
     holdings = ledger.holdings.values()
@@ -122,7 +122,7 @@
     return changed
 
 
-def _missing_lower_slots(ledger: Ledger, capacity: Capacity) -> int:
+def _missing_lower_slots(ledger: CreditLedger, capacity: Capacity) -> int:
     return sum(
         max(0, lower_demand(each, capacity) - each.committed_below(capacity.most_urgent))
         for each in ledger.holdings.values()
@@ -130,7 +130,7 @@
 
 
 def recall_idle_slots(
-    options: Options, now: float, ledger: Ledger, capacity: Capacity
+    options: Options, now: float, ledger: CreditLedger, capacity: Capacity
 ) -> list[InstanceName]:
     """Recall a slot each from the holders with the oldest demands, or none if that is too little.
 
@@ -147,9 +147,9 @@
     names = [
         name
         for name, holding in ledger.holdings.items()
-        if holding.heard_at <= received_before and holding.total() and not holding.assured
+        if holding.received_at <= received_before and holding.total() and not holding.assured
     ]
-    names.sort(key=lambda name: ledger.holdings[name].heard_at)
+    names.sort(key=lambda name: ledger.holdings[name].received_at)
     if not 0 < missing <= len(names):
         return []
     for name in names[:missing]:
@@ -157,14 +157,14 @@
     return names[:missing]
 
 
-def _recall_one_slot(holding: Holding, capacity: Capacity) -> None:
+def _recall_one_slot(holding: CreditHolding, capacity: Capacity) -> None:
     slots = dict(holding.granted)
     lowest = max(tier for tier, count in slots.items() if count)
     slots[lowest] -= 1
     set_granted(holding, capacity, {tier: count for tier, count in slots.items() if count}, {})
 
 
-def _surplus(ledger: Ledger, shares: dict[InstanceName, Share], name: InstanceName) -> int:
+def _surplus(ledger: CreditLedger, shares: dict[InstanceName, Share], name: InstanceName) -> int:
     return ledger.holdings[name].total() - shares[name].total()
 
 
@@ -180,7 +180,7 @@
 
 
 def raise_grants(
-    ledger: Ledger, capacity: Capacity, shares: dict[InstanceName, Share]
+    ledger: CreditLedger, capacity: Capacity, shares: dict[InstanceName, Share]
 ) -> set[InstanceName]:
     """Raise grants below their share from the free slots; return the changed instances."""
     usable = sum(each.usable() for each in ledger.holdings.values())
@@ -194,7 +194,9 @@
     }
 
 
-def _raise_grant(holding: Holding, share: Share, free: _FreeSlots, capacity: Capacity) -> bool:
+def _raise_grant(
+    holding: CreditHolding, share: Share, free: _FreeSlots, capacity: Capacity
+) -> bool:
     """Raise one grant as far as possible and subtract it from the free slots."""
     if share.total() <= holding.total():
         return False
@@ -214,7 +216,7 @@
 
 
 def _urgency(
-    ledger: Ledger, shares: dict[InstanceName, Share], name: InstanceName
+    ledger: CreditLedger, shares: dict[InstanceName, Share], name: InstanceName
 ) -> tuple[int, float]:
     holding = ledger.holdings[name]
     short = [
--- a/packages/turmericweir-core/turmericweir_core/credits/dispatcher_selection.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/dispatcher_selection.py
@@ -34,7 +34,7 @@
 
 def update_live_instances(state: State, now: float) -> None:
     """Update the live instances; clear the cached dispatchers if they have changed."""
-    state.credits.live_due = now + state.options.credit_live_s
+    state.credits.next_live_update_at = now + state.options.credit_live_s
     members = membership.live_instances(state, now)
     state.credits.alive = frozenset(member.name for member in members)
     live: dict[str, list[InstanceName]] = {}
--- a/packages/turmericweir-core/turmericweir_core/duties/capacity.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity.py
@@ -19,7 +19,7 @@
 from turmericweir_core.leases import lease_flow
 from turmericweir_core.messages.effects import Count, Effect, Log, OrderServers
 from turmericweir_core.messages.events import DutyAnswered, DutyOutcome
-from turmericweir_core.state.duty_state import CapacityBook, DutyState, Ordered
+from turmericweir_core.state.duty_state import CapacityOrder, CapacityState, DutyState
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
@@ -51,9 +51,9 @@
     if not lease_flow.is_own(state, election.SCOPE):
         capacity_state.since = None
         return []
-    if now < capacity_state.look_due or state.servers.listed_at is None:
+    if now < capacity_state.next_check_at or state.servers.listed_at is None:
         return []
-    capacity_state.look_due = now + _EVALUATION_INTERVAL_S
+    capacity_state.next_check_at = now + _EVALUATION_INTERVAL_S
     if capacity_state.since is None:
         capacity_state.since = now
     effects: list[Effect] = []
@@ -71,7 +71,7 @@
     unavailable = frozenset(
         name for name in present if _is_unavailable(state, now, (service.name, name, True))
     )
-    initial_counts = _capacity(state).kept.setdefault(
+    initial_counts = _capacity(state).initial_servers.setdefault(
         service.name,
         {name: servers.lasting + servers.spot for name, servers in present.items()},
     )
@@ -127,14 +127,14 @@
     work_ms = engine_pools.total_work_ms(state, now, service.name)
     current_need = ceil(work_ms / (_MS_PER_S * _TARGET_UTILIZATION))
     initial_need = _first_need(service, present_count) if not current_need else present_count
-    recorded_need, recorded_at = capacity_state.needed.get(service.name, (initial_need, now))
+    recorded_need, recorded_at = capacity_state.recent_need.get(service.name, (initial_need, now))
     if current_need >= recorded_need or now - recorded_at >= _NEED_RETENTION_S:
         recorded_need, recorded_at = current_need, now
     if capacity_state.since is None or now - capacity_state.since < _OBSERVATION_S:
         recorded_need = max(
-            recorded_need, capacity_state.needed.get(service.name, (recorded_need, now))[0]
+            recorded_need, capacity_state.recent_need.get(service.name, (recorded_need, now))[0]
         )
-    capacity_state.needed[service.name] = (recorded_need, recorded_at)
+    capacity_state.recent_need[service.name] = (recorded_need, recorded_at)
     return recorded_need
 
 
@@ -145,7 +145,7 @@
 
 def _is_unavailable(state: State, now: float, subject: OrderSubject) -> bool:
     order = _capacity(state).orders.get(subject)
-    return order is not None and now < order.dry_until
+    return order is not None and now < order.unavailable_until
 
 
 def _order_servers(
@@ -162,7 +162,7 @@
     if previous is None and count == present_count:
         return []
     if previous is not None:
-        if subject in capacity_state.calls.values() or now < previous.dry_until:
+        if subject in capacity_state.calls_in_flight.values() or now < previous.unavailable_until:
             return []
         waited_s = now - previous.at
         is_done = count == present_count or waited_s < capacity.boot_s + _ORDER_REPEAT_S
@@ -174,12 +174,12 @@
     if lease is None:
         lease_flow.rest(state, election.SCOPE, resting=False)
         return []
-    if len(capacity_state.calls) >= _PENDING_ORDERS_MAX:
+    if len(capacity_state.calls_in_flight) >= _PENDING_ORDERS_MAX:
         return []
     duties.number += 1
     token = f"order-{duties.number}"
-    capacity_state.calls[token] = subject
-    capacity_state.orders[subject] = Ordered(count, now)
+    capacity_state.calls_in_flight[token] = subject
+    capacity_state.orders[subject] = CapacityOrder(count, now)
     service, data_centre, spot = subject
     fields = {"service": service, "data_centre": data_centre, "spot": spot, "count": count}
     return [
@@ -194,13 +194,13 @@
 def on_answered(state: State, now: float, event: DutyAnswered) -> list[Effect]:
     """Record the outcome of an order."""
     capacity_state = _capacity(state)
-    subject = capacity_state.calls.pop(event.token, None)
+    subject = capacity_state.calls_in_flight.pop(event.token, None)
     if subject is None:
         return []
     order = capacity_state.orders[subject]
     order.is_taken = event.outcome is DutyOutcome.DONE
     if event.outcome is DutyOutcome.NONE_LEFT:
-        order.dry_until = now + _UNAVAILABLE_S
+        order.unavailable_until = now + _UNAVAILABLE_S
     service, data_centre, spot = subject
     fields = {"service": service, "data_centre": data_centre, "spot": spot, "count": order.count}
     outcome = {"outcome": event.outcome.value, "error": event.error}
@@ -213,12 +213,12 @@
 def has_work(state: State) -> bool:
     """Return whether orders are pending or have to be repeated."""
     capacity_state = _capacity(state)
-    return bool(capacity_state.calls) or any(
+    return bool(capacity_state.calls_in_flight) or any(
         not order.is_taken for order in capacity_state.orders.values()
     )
 
 
-def _capacity(state: State) -> CapacityBook:
+def _capacity(state: State) -> CapacityState:
     return _duties(state).capacity
 
 
--- a/packages/turmericweir-core/turmericweir_core/duties/election.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/election.py
@@ -19,7 +19,7 @@
 from turmericweir_core.messages.peer_messages import DutyStatus
 from turmericweir_core.records.lease_record import Scope
 from turmericweir_core.state.duty_state import DutyState
-from turmericweir_core.state.lease_state import Held
+from turmericweir_core.state.lease_state import HeldLease
 from turmericweir_core.state.membership_state import Member
 
 if TYPE_CHECKING:
@@ -48,8 +48,8 @@
 def candidates(state: State, now: float) -> list[Member]:
     """Return the instances that may hold the lease, in the order in which they try for it."""
     duties = _duties(state)
-    if now >= duties.look_due:
-        duties.look_due = now + _PICK_INTERVAL_S
+    if now >= duties.next_candidates_at:
+        duties.next_candidates_at = now + _PICK_INTERVAL_S
         live = [member for member in membership.live_instances(state, now) if not member.leaving]
         ranked = relays.members_for_duty(live, _DUTY, len(live))
         duties.candidates = _alternate_centres(ranked)[:_CANDIDATES_MAX]
@@ -94,10 +94,10 @@
     started_at = state.members.started_at
     if started_at is None or now < max(started_at + _START_PHASE_S, duties.barred_until):
         return False
-    if duties.heard_at is None:
+    if duties.holder_seen_at is None:
         # No status was received since the start; candidates try one after the other.
         return now - started_at - _START_PHASE_S >= _NEXT_CANDIDATE_DELAY_S * position
-    return now - duties.heard_at >= _HOLDER_TIMEOUT_S + _NEXT_CANDIDATE_DELAY_S * position
+    return now - duties.holder_seen_at >= _HOLDER_TIMEOUT_S + _NEXT_CANDIDATE_DELAY_S * position
 
 
 def _has_failed(duties: DutyState, now: float) -> bool:
@@ -108,16 +108,16 @@
     duties = _duties(state)
     duties.barred_until = now + _RETRY_DELAY_S
     duties.failing_since = None
-    duties.heard_at = now
+    duties.holder_seen_at = now
     lease_flow.release_lease(state, SCOPE)
     return [Log("duties_given_up", {"barred_s": _RETRY_DELAY_S})]
 
 
 def _send_status(state: State, now: float) -> list[Effect]:
     duties = _duties(state)
-    if now < duties.status_due:
+    if now < duties.next_status_at:
         return []
-    duties.status_due = now + _STATUS_INTERVAL_S
+    duties.next_status_at = now + _STATUS_INTERVAL_S
     status = DutyStatus(lease_flow.known_fence(state, SCOPE))
     others = [member for member in candidates(state, now) if member.name != state.me.name]
     return [SendDatagram(member.name, member.peer_address, status) for member in others]
@@ -127,7 +127,7 @@
     """Record the status of a holder that can do the duties."""
     duties = _duties(state)
     if status.fence >= lease_flow.known_fence(state, SCOPE):
-        duties.heard_at = now
+        duties.holder_seen_at = now
 
 
 def note_ledger(state: State, now: float) -> None:
@@ -136,9 +136,9 @@
     if lease is None or lease.released or lease_flow.is_own(state, SCOPE):
         return
     duties = _duties(state)
-    if (lease.incarnation, lease.fence) != duties.read_lease:
-        duties.read_lease = (lease.incarnation, lease.fence)
-        duties.heard_at = now
+    if (lease.incarnation, lease.fence) != duties.foreign_lease:
+        duties.foreign_lease = (lease.incarnation, lease.fence)
+        duties.holder_seen_at = now
 
 
 def note_result(state: State, now: float, *, works: bool) -> None:
@@ -150,12 +150,12 @@
         duties.failing_since = now
 
 
-def usable_lease(state: State, now: float) -> Held | None:
+def usable_lease(state: State, now: float) -> HeldLease | None:
     """Return the lease if this instance may act under it now."""
     lease = lease_flow.held(state, now, SCOPE)
     if lease is None:
         return None
-    if lease.taken_over and not _duties(state).settings.checks_fence:
+    if lease.is_taken_over and not _duties(state).settings.checks_fence:
         # Calls of the previous holder may still be executed, and the platform does not refuse them.
         return lease if now - lease.since >= state.options.order_longest_s else None
     return lease
--- a/packages/turmericweir-core/turmericweir_core/duties/usage.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/usage.py
@@ -24,7 +24,7 @@
 from turmericweir_core.messages.peer_messages import UsageCounts, WindowCounts
 from turmericweir_core.records.usage_note import UsageNote, read_note, write_note
 from turmericweir_core.state import usage_meter
-from turmericweir_core.state.duty_state import DutyState, ToldUsage
+from turmericweir_core.state.duty_state import DutyState, ReportedUsage
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.usage_meter import UsageMeter
 
@@ -59,7 +59,7 @@
     usage = duties.usage
     current = usage_meter.window_at(meter, now)
     is_over = current != usage.sent_window
-    if now < usage.send_due and not is_over:
+    if now < usage.next_send_at and not is_over:
         return []
     receivers = [
         member for member in election.candidates(state, now) if member.name != state.me.name
@@ -70,7 +70,7 @@
     if not (has_changed or is_over or newcomers):
         return []
     interval_s = max(_SEND_INTERVAL_S, _SEND_INTERVAL_PER_INSTANCE_S * len(state.members.by_name))
-    usage.send_due = now + interval_s * state.rng.uniform(0.9, 1.1)
+    usage.next_send_at = now + interval_s * state.rng.uniform(0.9, 1.1)
     usage.sent_at = now
     usage.sent_window = current
     usage.sent_to = names
@@ -107,13 +107,13 @@
 
 def on_told(state: State, now: float, sender: InstanceName, message: UsageCounts) -> None:
     """Record the counts received from another instance."""
-    received = _duties(state).usage.told
+    received = _duties(state).usage.counts_by_incarnation
     record = received.get((sender, message.incarnation))
     if record is None:
-        record = received[sender, message.incarnation] = ToldUsage(-1, 0, now)
+        record = received[sender, message.incarnation] = ReportedUsage(-1, 0, now)
     if message.seq <= record.seq:
         return
-    record.seq, record.open_window, record.heard_at = message.seq, message.open_window, now
+    record.seq, record.open_window, record.received_at = message.seq, message.open_window, now
     for window_counts in message.windows:
         record.windows[window_counts.window] = window_counts.counts
 
@@ -125,12 +125,12 @@
         return
     usage = _duties(state).usage
     oldest = current - _WINDOWS_STORED
-    for key, entry in list(usage.told.items()):
+    for key, entry in list(usage.counts_by_incarnation.items()):
         entry.windows = {
             window: counts for window, counts in entry.windows.items() if window >= oldest
         }
         if not entry.windows and entry.open_window < oldest:
-            del usage.told[key]
+            del usage.counts_by_incarnation[key]
     usage.reported = {entry for entry in usage.reported if entry >= oldest}
 
 
@@ -192,7 +192,7 @@
 def _first_window(state: State, current: int) -> int:
     """Return the first window to report if none has been reported."""
     windows = [*_meter(state).windows]
-    for entry in _duties(state).usage.told.values():
+    for entry in _duties(state).usage.counts_by_incarnation.values():
         windows += entry.windows
     return min([current, *(entry for entry in windows if entry >= current - _WINDOWS_STORED)])
 
@@ -211,7 +211,7 @@
     """Return whether a live instance has not reported the end of a window."""
     if _open_window(state, now) <= window:
         return True
-    received = _duties(state).usage.told
+    received = _duties(state).usage.counts_by_incarnation
     for member in membership.live_instances(state, now):
         if member.name == state.me.name:
             continue
@@ -223,7 +223,7 @@
 
 def _total_counts(state: State, window: int) -> dict[str, int]:
     total: dict[str, int] = dict(_meter(state).windows.get(window, {}))
-    for record in _duties(state).usage.told.values():
+    for record in _duties(state).usage.counts_by_incarnation.values():
         for customer, count in record.windows.get(window, {}).items():
             total[customer] = total.get(customer, 0) + count
     return total
@@ -234,14 +234,14 @@
     duties = _duties(state)
     usage = duties.usage
     waiting = sorted(window for window in note.counts if window not in usage.reported)
-    if not waiting or usage.calling is not None or now < usage.call_due:
+    if not waiting or usage.call_in_flight is not None or now < usage.next_call_at:
         return []
     lease = election.usable_lease(state, now)
     if lease is None:
         return []
     duties.number += 1
     token = f"usage-{duties.number}"
-    usage.calling = (token, waiting[0])
+    usage.call_in_flight = (token, waiting[0])
     counts = note.counts[waiting[0]]
     return [ReportUsage(token, waiting[0], counts, lease.fence, lease.expires_at)]
 
@@ -250,10 +250,10 @@
     """Record the outcome of a report; one that was not accepted is sent again unchanged."""
     duties = _duties(state)
     usage = duties.usage
-    if usage.calling is None or usage.calling[0] != event.token:
+    if usage.call_in_flight is None or usage.call_in_flight[0] != event.token:
         return []
-    window = usage.calling[1]
-    usage.calling = None
+    window = usage.call_in_flight[1]
+    usage.call_in_flight = None
     fields: dict[str, Any] = {"window": window, "outcome": event.outcome.value}
     log = Log("usage_answered", {**fields, "error": event.error})
     if event.outcome is DutyOutcome.DONE:
@@ -262,7 +262,7 @@
         return [log, Count("duty.usage.done")]
     usage.failures += 1
     pause_s = min(_RETRY_MAX_S, _RETRY_S * 2.0 ** (usage.failures - 1))
-    usage.call_due = now + pause_s * state.rng.uniform(0.5, 1.0)
+    usage.next_call_at = now + pause_s * state.rng.uniform(0.5, 1.0)
     return [log, Count(f"duty.usage.{event.outcome.value}")]
 
 
--- a/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
@@ -31,13 +31,17 @@
     handover = state.handover
     if handover.started_at is None:
         handover.started_at = now
-    if handover.told or now < handover.ask_due or now - handover.started_at > _GIVE_UP_S:
+    if (
+        handover.has_cache_contents
+        or now < handover.next_query_at
+        or now - handover.started_at > _GIVE_UP_S
+    ):
         return []
     me = state.me.name
     peers = [each for each in membership.region_instances(state, now) if each.name != me]
     if not peers:
         return []
-    handover.ask_due = now + _ASK_INTERVAL_S
+    handover.next_query_at = now + _ASK_INTERVAL_S
     peer = state.rng.choice(peers)
     return [SendPeer(peer.name, peer.peer_address, CachesAsk())]
 
@@ -65,9 +69,9 @@
 
 def on_told(state: State, sender: InstanceName, message: CachesSend) -> list[Effect]:
     """Record a peer's cache data; parts observed here since the start count as newer."""
-    if state.handover.told:
+    if state.handover.has_cache_contents:
         return []
-    state.handover.told = True
+    state.handover.has_cache_contents = True
     part_count = 0
     for row in message.servers:
         server = state.servers.by_name.get(ServerName(row.server))
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
@@ -28,7 +28,7 @@
 from turmericweir_core.messages.peer_messages import SentPart
 from turmericweir_core.state import engine_speed
 from turmericweir_core.state.engine_speed import EngineSpeed
-from turmericweir_core.state.engine_state import EngineBook, EngineLoad, Pending, Prefill
+from turmericweir_core.state.engine_state import EngineInfo, EngineLoad, PendingPrompt, Prefill
 from turmericweir_core.state.server_table import Server
 
 if TYPE_CHECKING:
@@ -57,11 +57,11 @@
 _PREFILL_TIMEOUT_MARGIN_S: Final = 0.3
 
 
-def book_of(state: State, server: ServerName) -> EngineBook:
+def book_of(state: State, server: ServerName) -> EngineInfo:
     """Return the model record of a server."""
     record = state.engines.by_server.get(server)
     if record is None:
-        record = state.engines.by_server[server] = EngineBook()
+        record = state.engines.by_server[server] = EngineInfo()
     return record
 
 
@@ -69,14 +69,14 @@
     """Return the speed of the engines that serve a target."""
     speed = state.engines.speeds.get(target)
     if speed is None:
-        speed = state.engines.speeds[target] = engine_speed.common(state.options)
+        speed = state.engines.speeds[target] = engine_speed.reference_speed(state.options)
     return speed
 
 
 # --- what a request costs --------------------------------------------------------------------
 
 
-def uncached_tokens(record: EngineBook, req: Request) -> int:
+def uncached_tokens(record: EngineInfo, req: Request) -> int:
     """Count the tokens of a prompt that an engine would have to prefill."""
     cached_tokens = 0
     for part, tokens in req.parts:
@@ -86,7 +86,7 @@
     return max(0, req.prompt_tokens - cached_tokens)
 
 
-def pending_prefill_tokens(record: EngineBook, now: float, req: Request) -> int:
+def pending_prefill_tokens(record: EngineInfo, now: float, req: Request) -> int:
     """Count the tokens that an engine is prefilling now for another request with the same parts.
 
     An engine checks its cache when it accepts a request, so a request sent before the prefill ends
@@ -96,7 +96,7 @@
     for part, size in req.parts:
         if part in record.cached:
             continue
-        if record.reading.get(part, now) <= now:
+        if record.uncached_parts.get(part, now) <= now:
             break
         tokens += size
     return tokens
@@ -166,7 +166,7 @@
     return tokens * options.prefill_ms_per_token + pairs * options.prefill_ms_per_pair
 
 
-def own_work_ms(state: State, record: EngineBook, req: Request, saved_tokens: int = 0) -> float:
+def own_work_ms(state: State, record: EngineInfo, req: Request, saved_tokens: int = 0) -> float:
     """Return the time for which an engine would prefill a request's prompt, in milliseconds.
 
     Saved tokens are those that are prefilled for another request or fetched by then.
@@ -176,42 +176,50 @@
 
 
 def _common_engine_ms(
-    options: Options, record: EngineBook, req: Request, saved_tokens: int
+    options: Options, record: EngineInfo, req: Request, saved_tokens: int
 ) -> float:
     tokens = max(0, uncached_tokens(record, req) - saved_tokens)
     return prefill_ms(options, tokens, req.prompt_tokens)
 
 
-def load_at(record: EngineBook, now: float) -> EngineLoad:
+def load_at(record: EngineInfo, now: float) -> EngineLoad:
     """Return the load of all instances on a server."""
     own = (len(record.prefills), len(record.running))
     load = record.load
-    if load is None or load.at != now or load.changes != record.changes or load.own != own:
+    if (
+        load is None
+        or load.at != now
+        or load.load_version != record.load_version
+        or load.own != own
+    ):
         load = record.load = _sum_load(record, now, own)
     return load
 
 
-def _sum_load(record: EngineBook, now: float, own: tuple[int, int]) -> EngineLoad:
-    pending = [Pending(each.work_ms, each.rank, each.sent_at) for each in record.prefills.values()]
+def _sum_load(record: EngineInfo, now: float, own: tuple[int, int]) -> EngineLoad:
+    pending = [
+        PendingPrompt(each.work_ms, each.rank, each.sent_at) for each in record.prefills.values()
+    ]
     requests = sum(own)
     tokens = sum(each.tokens for each in record.prefills.values()) + sum(record.running.values())
     for peer in record.peers.values():
-        if now - peer.heard.at <= PEER_LOAD_VALID_S:
+        if now - peer.last_receipt.received_at <= PEER_LOAD_VALID_S:
             pending += peer.pending
             requests += len(peer.pending) + peer.running
             tokens += peer.tokens
     in_hand, left_ms = _current_prefills(record, pending, now) if pending else ([], 0.0)
-    return EngineLoad(now, record.changes, own, pending, in_hand, left_ms, requests, tokens)
+    return EngineLoad(now, record.load_version, own, pending, in_hand, left_ms, requests, tokens)
 
 
-def has_pending(record: EngineBook, now: float) -> bool:
+def has_pending(record: EngineInfo, now: float) -> bool:
     """Return whether an engine has prompts that it has not begun to answer."""
     return bool(record.prefills) or any(
-        peer.pending and now - peer.heard.at <= PEER_LOAD_VALID_S for peer in record.peers.values()
+        peer.pending and now - peer.last_receipt.received_at <= PEER_LOAD_VALID_S
+        for peer in record.peers.values()
     )
 
 
-def waiting_ms(record: EngineBook, now: float, rank: int) -> float:
+def waiting_ms(record: EngineInfo, now: float, rank: int) -> float:
     """Return the prefill time before a new prompt of a rank, in milliseconds.
 
     A new prompt waits for the rest of the current prefill, whatever its rank, and for all prompts
@@ -221,24 +229,24 @@
     if not load.pending:
         return 0.0
     work_before_ms = sum(
-        each.work_ms for each in load.pending if each.rank <= rank and each not in load.in_hand
+        each.work_ms for each in load.pending if each.rank <= rank and each not in load.in_prefill
     )
-    return load.in_hand_ms + work_before_ms
+    return load.prefill_left_ms + work_before_ms
 
 
 def _current_prefills(
-    record: EngineBook, pending: list[Pending], now: float
-) -> tuple[list[Pending], float]:
+    record: EngineInfo, pending: list[PendingPrompt], now: float
+) -> tuple[list[PendingPrompt], float]:
     """Return the prompts that an engine is prefilling, and the time left for them.
 
     The current one is the first by rank and age among those present when the engine took its next
     prompt. A chunk can hold the end of one prompt and the start of the next, so near its end the
     next one counts as well.
     """
-    present = [each for each in pending if each.sent_at <= record.reading_since] or pending
+    present = [each for each in pending if each.sent_at <= record.prefilling_since] or pending
     order = sorted(present, key=lambda each: (each.rank, each.sent_at))
     current = order[0]
-    started_at = max(record.reading_since, current.sent_at)
+    started_at = max(record.prefilling_since, current.sent_at)
     # An overdue prefill is assumed to go on for some time.
     left_ms = max(current.work_ms - (now - started_at) * _MS, _LEFT_SHARE_MIN * current.work_ms)
     if left_ms > _CHUNK_MS or len(order) == 1:
@@ -246,12 +254,12 @@
     return order[:2], left_ms + order[1].work_ms
 
 
-def request_count(record: EngineBook, now: float) -> int:
+def request_count(record: EngineInfo, now: float) -> int:
     """Return the number of requests of all instances on a server."""
     return load_at(record, now).requests
 
 
-def tokens_at(record: EngineBook, now: float) -> int:
+def tokens_at(record: EngineInfo, now: float) -> int:
     """Return the tokens of all instances' requests in an engine's memory."""
     return load_at(record, now).tokens
 
@@ -269,8 +277,8 @@
 ) -> None:
     """Record a request that is being sent to a server."""
     record = book_of(state, attempt.server)
-    state.engines.changed = True
-    record.changes += 1
+    state.engines.has_unsent_load = True
+    record.load_version += 1
     if not req.prompt_tokens:
         record.running[attempt.attempt_id] = 0
         return
@@ -282,7 +290,7 @@
     rank = rank_of(req.service_class)
     wait_ms = waiting_ms(record, now, rank)
     if not wait_ms:
-        record.reading_since = now
+        record.prefilling_since = now
     predicted_first_token_ms = wait_ms + own_ms + speed_of(state, req.target).first_ms
     is_unaffected = not wait_ms and fetch is None
     common_ms = (
@@ -302,17 +310,17 @@
         sent_part = SentPart(
             attempt.server, part, tokens, read=False, for_ms=round((prefill_until - now) * _MS)
         )
-        state.engines.unsaid.append(sent_part)
+        state.engines.unsent_parts.append(sent_part)
 
 
-def record_prefilling(record: EngineBook, part: str, until: float) -> None:
+def record_prefilling(record: EngineInfo, part: str, until: float) -> None:
     """Record that an engine is expected to prefill a part until a time."""
-    record.reading[part] = max(until, record.reading.get(part, until))
+    record.uncached_parts[part] = max(until, record.uncached_parts.get(part, until))
 
 
-def record_cached(record: EngineBook, server: Server, part: str, tokens: int) -> None:
+def record_cached(record: EngineInfo, server: Server, part: str, tokens: int) -> None:
     """Record that an engine holds a part, and evict its least recently used parts."""
-    record.reading.pop(part, None)
+    record.uncached_parts.pop(part, None)
     previous_tokens = record.cached.pop(part, None)
     record.cached[part] = tokens
     record.cached_tokens += tokens - (previous_tokens or 0)
@@ -340,20 +348,22 @@
     prefill = record.prefills.pop(attempt.attempt_id, None)
     if prefill is None:
         return
-    state.engines.changed = True
-    record.changes += 1
+    state.engines.has_unsent_load = True
+    record.load_version += 1
     record.running[attempt.attempt_id] = prefill.tokens
-    record.reading_since = now
+    record.prefilling_since = now
     server = state.servers.by_name.get(attempt.server)
     if server is not None:
         for part, tokens in req.parts:
             if part not in record.cached:
                 sent_part = SentPart(attempt.server, part, tokens, read=True, for_ms=0)
-                state.engines.unsaid.append(sent_part)
+                state.engines.unsent_parts.append(sent_part)
             record_cached(record, server, part, tokens)
-    if prefill.common_ms is not None:
+    if prefill.reference_ms is not None:
         took_ms = (now - prefill.sent_at) * _MS
-        engine_speed.learn(speed_of(state, req.target), prefill.common_ms * record.pace, took_ms)
+        engine_speed.update_speed(
+            speed_of(state, req.target), prefill.reference_ms * record.pace, took_ms
+        )
     own_share = prefill.work_ms / max(1.0, prefill.predicted_ms)
     if own_share < _PACE_OWN_SHARE or prefill.work_ms < _PACE_MIN_MS:
         return
@@ -366,10 +376,10 @@
     record = state.engines.by_server.get(attempt.server)
     if record is None:
         return
-    record.changes += 1
+    record.load_version += 1
     pending = record.prefills.pop(attempt.attempt_id, None)
     if record.running.pop(attempt.attempt_id, None) is not None or pending is not None:
-        state.engines.changed = True
+        state.engines.has_unsent_load = True
 
 
 def forget(state: State, server: ServerName) -> None:
@@ -378,8 +388,8 @@
     if record is None:
         return
     record.cached.clear()
-    record.reading.clear()
+    record.uncached_parts.clear()
     record.cached_tokens = 0
     record.pace = 1.0
-    record.changes += 1
+    record.load_version += 1
     record.peers.clear()
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
@@ -35,7 +35,7 @@
 from turmericweir_core.membership.subset import rendezvous_weight
 from turmericweir_core.messages.peer_messages import DemandRow
 from turmericweir_core.queueing import urgent_first
-from turmericweir_core.state.pool_state import Demand, Split, ToldDemand
+from turmericweir_core.state.pool_state import EngineDemand, EngineSplit, ReportedDemand
 from turmericweir_core.state.server_table import Server
 
 if TYPE_CHECKING:
@@ -84,7 +84,7 @@
     if _is_gap_tolerant(state, gap_s, service):
         return PromptKind.LONG
     split = state.pools.splits.get(req.target)
-    shortest_s = None if split is None else split.shortest_gap_s
+    shortest_s = None if split is None else split.lowest_gap_target_s
     # A prefill of this many steps slows every step of an event.
     is_long = req.prompt_tokens > (service.event_tokens - 1) * state.options.chunk_tokens
     if is_long and gap_s is not None and shortest_s is not None and gap_s > shortest_s:
@@ -108,7 +108,7 @@
     """Record the work of a new request, at the engine with the least work for it."""
     if not engines or not req.prompt_tokens:
         return
-    demand = state.pools.own.setdefault(req.target, Demand(at=now))
+    demand = state.pools.own.setdefault(req.target, EngineDemand(at=now))
     _decay(demand, now)
     records = (engine_model.book_of(state, each.entry.name) for each in engines)
     work = min(engine_model.own_work_ms(state, record, req) for record in records)
@@ -116,11 +116,11 @@
     work += _slot_ms(state, req, engines[0])
     match prompt_kind(state, req, engines[0].service):
         case PromptKind.LONG:
-            demand.long_ms += work
+            demand.long_prompt_ms += work
         case PromptKind.MEDIUM:
-            demand.middle_ms += work
+            demand.medium_prompt_ms += work
         case PromptKind.SHORT:
-            demand.quick_ms += work
+            demand.short_prompt_ms += work
 
 
 def _slot_ms(state: State, req: Request, engine: Server) -> float:
@@ -152,12 +152,12 @@
     )
 
 
-def _decay(demand: Demand, now: float) -> None:
+def _decay(demand: EngineDemand, now: float) -> None:
     """Decay the demand to the current time."""
     decay_factor = exp((demand.at - now) / _DEMAND_WINDOW_S)
-    demand.long_ms *= decay_factor
-    demand.quick_ms *= decay_factor
-    demand.middle_ms *= decay_factor
+    demand.long_prompt_ms *= decay_factor
+    demand.short_prompt_ms *= decay_factor
+    demand.medium_prompt_ms *= decay_factor
     demand.at = now
 
 
@@ -168,10 +168,10 @@
         _decay(demand, now)
         row = DemandRow(
             target,
-            round(demand.long_ms / _DEMAND_WINDOW_S),
-            round(demand.quick_ms / _DEMAND_WINDOW_S),
+            round(demand.long_prompt_ms / _DEMAND_WINDOW_S),
+            round(demand.short_prompt_ms / _DEMAND_WINDOW_S),
             urgent_first.late_rank(state, now, target),
-            round(demand.middle_ms / _DEMAND_WINDOW_S),
+            round(demand.medium_prompt_ms / _DEMAND_WINDOW_S),
         )
         rows.append(row)
     return rows
@@ -183,7 +183,7 @@
     """Record a peer's demand."""
     for row in rows:
         peer_demand = state.pools.peers.setdefault(Target(row.target), {})
-        peer_demand[sender] = ToldDemand(now, row.long_ms_s, row.quick_ms_s, row.middle_ms_s)
+        peer_demand[sender] = ReportedDemand(now, row.long_ms_s, row.quick_ms_s, row.middle_ms_s)
         urgent_first.record_late_rank(state, now, sender, Target(row.target), row.late_rank)
 
 
@@ -262,27 +262,27 @@
 def prefill_engine_count(state: State, target: Target) -> int:
     """Return the number of prefill engines, for logs."""
     split = state.pools.splits.get(target)
-    return 0 if split is None else split.reading
+    return 0 if split is None else split.prefill_count
 
 
 def _prefill_engine_count(state: State, now: float, target: Target, engines: int) -> int:
     split = state.pools.splits.get(target)
     if split is None:
-        split = state.pools.splits[target] = Split(ceil(_START_SHARE * engines))
-    if split.settings != state.config.offset:
-        split.settings = state.config.offset
-        split.quick_first = _is_decode_first(state, target)
-        split.shortest_gap_s = _shortest_gap_s(state, target)
+        split = state.pools.splits[target] = EngineSplit(ceil(_START_SHARE * engines))
+    if split.cached_settings != state.config.offset:
+        split.cached_settings = state.config.offset
+        split.is_short_first = _is_decode_first(state, target)
+        split.lowest_gap_target_s = _shortest_gap_s(state, target)
     plan = _plan(state, now, target, engines, split)
-    split.reading = max(plan.needed_count, min(split.reading, plan.available_count))
-    if split.reading == plan.fair_count:
-        split.moves_since = None
-    elif split.moves_since is None:
-        split.moves_since = now
-    elif now - split.moves_since >= _move_interval_s(engines):
-        split.reading += 1 if plan.fair_count > split.reading else -1
-        split.moves_since = now
-    return min(split.reading, engines - 1)
+    split.prefill_count = max(plan.needed_count, min(split.prefill_count, plan.available_count))
+    if split.prefill_count == plan.fair_count:
+        split.mismatch_since = None
+    elif split.mismatch_since is None:
+        split.mismatch_since = now
+    elif now - split.mismatch_since >= _move_interval_s(engines):
+        split.prefill_count += 1 if plan.fair_count > split.prefill_count else -1
+        split.mismatch_since = now
+    return min(split.prefill_count, engines - 1)
 
 
 def _move_interval_s(engines: int) -> float:
@@ -298,20 +298,23 @@
     """
     split = state.pools.splits[target]
     demand = _total_demand(state, now, target)
-    if engines < _SEPARATE_MEDIUM_MIN or not demand.middle_ms:
+    if engines < _SEPARATE_MEDIUM_MIN or not demand.medium_prompt_ms:
         return engines
-    for_medium = min(engines - 1, _engines_needed(demand.middle_ms, _PLANNED_BUSY_SHARE))
-    for_short = min(engines - 1, _engines_needed(demand.quick_ms, _PLANNED_BUSY_SHARE))
+    for_medium = min(engines - 1, _engines_needed(demand.medium_prompt_ms, _PLANNED_BUSY_SHARE))
+    for_short = min(engines - 1, _engines_needed(demand.short_prompt_ms, _PLANNED_BUSY_SHARE))
     proportional = round(engines * for_short / (for_medium + for_short))
     target_count = max(1, min(proportional, engines - 1))
-    if not split.quick:
-        split.quick, split.quick_moved_at = target_count, now
-    elif split.quick != target_count and now - split.quick_moved_at >= _move_interval_s(engines):
-        split.quick += 1 if target_count > split.quick else -1
-        split.quick_moved_at = now
-    split.quick = max(split.quick, for_short)
+    if not split.short_prompt_count:
+        split.short_prompt_count, split.short_changed_at = target_count, now
+    elif (
+        split.short_prompt_count != target_count
+        and now - split.short_changed_at >= _move_interval_s(engines)
+    ):
+        split.short_prompt_count += 1 if target_count > split.short_prompt_count else -1
+        split.short_changed_at = now
+    split.short_prompt_count = max(split.short_prompt_count, for_short)
     short_min = for_short if for_short + for_medium <= engines else 1
-    return max(short_min, min(split.quick, engines - for_medium))
+    return max(short_min, min(split.short_prompt_count, engines - for_medium))
 
 
 class _Plan(Struct, frozen=True):
@@ -325,21 +328,27 @@
     fair_count: int
 
 
-def _plan(state: State, now: float, target: Target, engines: int, split: Split) -> _Plan:
+def _plan(state: State, now: float, target: Target, engines: int, split: EngineSplit) -> _Plan:
     """Return the needed, the possible and the fair number of prefill engines."""
     demand = _total_demand(state, now, target)
     prefill_max = engines - 1
-    long_need = min(prefill_max, _engines_needed(demand.long_ms, _PLANNED_BUSY_SHARE))
+    long_need = min(prefill_max, _engines_needed(demand.long_prompt_ms, _PLANNED_BUSY_SHARE))
     available = prefill_max
-    if split.quick_first:
+    if split.is_short_first:
         available = max(
-            1, engines - _engines_needed(demand.quick_ms + demand.middle_ms, _SHORTAGE_BUSY_SHARE)
+            1,
+            engines
+            - _engines_needed(
+                demand.short_prompt_ms + demand.medium_prompt_ms, _SHORTAGE_BUSY_SHARE
+            ),
         )
     needed = min(long_need, available)
-    if demand.long_ms + demand.quick_ms + demand.middle_ms < _DEMAND_MIN_MS:
+    if demand.long_prompt_ms + demand.short_prompt_ms + demand.medium_prompt_ms < _DEMAND_MIN_MS:
         # Too little demand to derive a fair share.
-        return _Plan(needed, available, max(needed, min(available, split.reading)))
-    decode_need = _engines_needed(demand.quick_ms + demand.middle_ms, _PLANNED_BUSY_SHARE)
+        return _Plan(needed, available, max(needed, min(available, split.prefill_count)))
+    decode_need = _engines_needed(
+        demand.short_prompt_ms + demand.medium_prompt_ms, _PLANNED_BUSY_SHARE
+    )
     fair_count = round(engines * long_need / (long_need + _DECODE_WEIGHT * decode_need))
     return _Plan(needed, available, max(needed, min(available, fair_count)))
 
@@ -380,24 +389,24 @@
     for target, each in state.config.service_by_target.items():
         if each.name == service:
             demand = _total_demand(state, now, target)
-            total += demand.long_ms + demand.quick_ms + demand.middle_ms
+            total += demand.long_prompt_ms + demand.short_prompt_ms + demand.medium_prompt_ms
     return total
 
 
-def _total_demand(state: State, now: float, target: Target) -> ToldDemand:
+def _total_demand(state: State, now: float, target: Target) -> ReportedDemand:
     """Return the demand of all instances, in milliseconds of work per second."""
     long_ms = quick_ms = middle_ms = 0.0
     own_demand = state.pools.own.get(target)
     if own_demand is not None:
         _decay(own_demand, now)
         long_ms, quick_ms = (
-            own_demand.long_ms / _DEMAND_WINDOW_S,
-            own_demand.quick_ms / _DEMAND_WINDOW_S,
+            own_demand.long_prompt_ms / _DEMAND_WINDOW_S,
+            own_demand.short_prompt_ms / _DEMAND_WINDOW_S,
         )
-        middle_ms = own_demand.middle_ms / _DEMAND_WINDOW_S
+        middle_ms = own_demand.medium_prompt_ms / _DEMAND_WINDOW_S
     for peer_demand in state.pools.peers.get(target, {}).values():
         if now - peer_demand.at <= _PEER_DEMAND_VALID_S:
-            long_ms += peer_demand.long_ms
-            quick_ms += peer_demand.quick_ms
-            middle_ms += peer_demand.middle_ms
-    return ToldDemand(now, long_ms, quick_ms, middle_ms)
+            long_ms += peer_demand.long_prompt_ms
+            quick_ms += peer_demand.short_prompt_ms
+            middle_ms += peer_demand.medium_prompt_ms
+    return ReportedDemand(now, long_ms, quick_ms, middle_ms)
--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -29,8 +29,8 @@
     LoadRow,
 )
 from turmericweir_core.queueing import urgent_first
-from turmericweir_core.state.engine_state import EngineBook, Pending
-from turmericweir_core.state.load_state import TellingPlan
+from turmericweir_core.state.engine_state import EngineInfo, PendingPrompt
+from turmericweir_core.state.load_state import RelayPlan
 from turmericweir_core.state.membership_state import Member
 
 if TYPE_CHECKING:
@@ -62,38 +62,42 @@
 _SUM_SUFFIX: Final = "+"
 
 
-def plan(state: State, now: float) -> TellingPlan:
+def plan(state: State, now: float) -> RelayPlan:
     """Return the instances to which this one sends its load."""
-    current_plan = state.news.plan
+    current_plan = state.load_updates.plan
     # With direct updates, a newly discovered peer gets the next update as well.
-    is_outdated = current_plan.is_direct and state.engines.changed
-    if now < current_plan.due and not is_outdated and not _is_relay_unresponsive(state, now):
+    is_outdated = current_plan.is_direct and state.engines.has_unsent_load
+    if (
+        now < current_plan.next_plan_at
+        and not is_outdated
+        and not _is_relay_unresponsive(state, now)
+    ):
         return current_plan
     me = state.me.name
     if relays.is_direct(state, now):
         region = membership.region_instances(state, now)
-        current_plan = TellingPlan(direct=[each for each in region if each.name != me])
+        current_plan = RelayPlan(direct=[each for each in region if each.name != me])
     else:
         current_plan = _plan_with_relays(state, now)
-    current_plan.due = now + _PLAN_INTERVAL_S
-    state.news.plan = current_plan
+    current_plan.next_plan_at = now + _PLAN_INTERVAL_S
+    state.load_updates.plan = current_plan
     return current_plan
 
 
 def _is_relay_unresponsive(state: State, now: float) -> bool:
-    update_state = state.news
+    update_state = state.load_updates
     return (
-        update_state.plan.teller is not None
-        and now - update_state.teller_heard_at > _RELAY_TIMEOUT_S
+        update_state.plan.own_relay is not None
+        and now - update_state.relay_seen_at > _RELAY_TIMEOUT_S
     )
 
 
-def _plan_with_relays(state: State, now: float) -> TellingPlan:
+def _plan_with_relays(state: State, now: float) -> RelayPlan:
     """Return the plan of an instance that uses a relay, or is one."""
-    update_state = state.news
-    if _is_relay_unresponsive(state, now) and update_state.plan.teller is not None:
-        update_state.silent_teller, update_state.silent_until = (
-            update_state.plan.teller.name,
+    update_state = state.load_updates
+    if _is_relay_unresponsive(state, now) and update_state.plan.own_relay is not None:
+        update_state.unresponsive_relay, update_state.avoid_relay_until = (
+            update_state.plan.own_relay.name,
             now + _RELAY_RETRY_AFTER_S,
         )
     local_instances = membership.live_instances(state, now, state.me.data_centre)
@@ -101,21 +105,21 @@
     me = state.me.name
     other_relays = [each for each in relays.all_tellers(state, now) if each.name != me]
     if any(each.name == me for each in local_relays):
-        return TellingPlan(is_direct=False, tellers=other_relays)
+        return RelayPlan(is_direct=False, other_relays=other_relays)
     usable_relays = [
         each
         for each in local_relays
-        if each.name != update_state.silent_teller or now > update_state.silent_until
+        if each.name != update_state.unresponsive_relay or now > update_state.avoid_relay_until
     ]
     name = relays.teller_of(usable_relays or local_relays, me)
     relay = None if name is None else membership.member(state, name)
     if (
-        update_state.plan.teller is None
+        update_state.plan.own_relay is None
         or relay is None
-        or update_state.plan.teller.name != relay.name
+        or update_state.plan.own_relay.name != relay.name
     ):
-        update_state.teller_heard_at = now
-    return TellingPlan(is_direct=False, teller=relay, tellers=other_relays)
+        update_state.relay_seen_at = now
+    return RelayPlan(is_direct=False, own_relay=relay, other_relays=other_relays)
 
 
 # --- relaying --------------------------------------------------------------------------------
@@ -124,10 +128,10 @@
 def gather_update(state: State, now: float, sender: InstanceName, update: LoadNews) -> None:
     """Keep an update of an instance of this relay's group, to pass it on."""
     peer = membership.member(state, sender)
-    if state.news.plan.is_direct or peer is None:
+    if state.load_updates.plan.is_direct or peer is None:
         return
-    relay_state = state.news.passed_on
-    relay_state.told_by[sender] = (peer.peer_address, now)
+    relay_state = state.load_updates.relayed_updates
+    relay_state.relayed_peers[sender] = (peer.peer_address, now)
     # Bounded, because an instance that is wrongly taken for a relay never passes them on.
     relay_state.parts = [*relay_state.parts, *update.parts][-_PARTS_PER_BUNDLE_MAX:]
     _gather(state, now, sender, update)
@@ -137,12 +141,12 @@
     state: State, now: float, sender: InstanceName, origin: InstanceName, update: LoadNews
 ) -> None:
     """Keep the sum that another relay sent, for this relay's group."""
-    if origin == sender + _SUM_SUFFIX and state.news.passed_on.told_by:
+    if origin == sender + _SUM_SUFFIX and state.load_updates.relayed_updates.relayed_peers:
         _gather(state, now, origin, update)
 
 
 def _gather(state: State, now: float, origin: InstanceName, update: LoadNews) -> None:
-    gathered = state.news.passed_on.news
+    gathered = state.load_updates.relayed_updates.newest_updates
     previous = gathered.get(origin)
     if previous is not None:
         update = _merge(previous[1], update)
@@ -160,36 +164,37 @@
 
 def send_gathered(state: State, now: float, build: Build) -> list[Effect]:
     """Send the gathered updates: sums to the other relays, and all of them to the group."""
-    relay_state = state.news.passed_on
-    if now < relay_state.send_due:
+    relay_state = state.load_updates.relayed_updates
+    if now < relay_state.next_send_at:
         return []
-    relay_state.send_due = state.news.send_due = now + _GATHER_INTERVAL_S
+    relay_state.next_send_at = state.load_updates.next_send_at = now + _GATHER_INTERVAL_S
     effects = _drop_unresponsive(state, now)
     own_update = build(state, now)
     sum_update = _sum_group(state, now, own_update)
     has_changes = bool(sum_update.news.rows or sum_update.news.parts)
-    is_bundle_due = now >= relay_state.bundle_due
+    is_bundle_due = now >= relay_state.next_bundle_at
     if has_changes or (is_bundle_due and relay_state.rows):
-        effects += _send_bundle(sum_update, state.news.plan.tellers)
-    if not (has_changes or relay_state.news or is_bundle_due):
+        effects += _send_bundle(sum_update, state.load_updates.plan.other_relays)
+    if not (has_changes or relay_state.newest_updates or is_bundle_due):
         return effects
-    relay_state.bundle_due = now + _BUNDLE_INTERVAL_MAX_S
+    relay_state.next_bundle_at = now + _BUNDLE_INTERVAL_MAX_S
     bundled = [
         BundledNews(origin, update, round((now - received_at) * _MS))
-        for origin, (received_at, update) in relay_state.news.items()
+        for origin, (received_at, update) in relay_state.newest_updates.items()
     ]
-    relay_state.news.clear()
+    relay_state.newest_updates.clear()
     bundled.append(BundledNews(state.me.name, own_update, 0))
     bundle = LoadBundle(bundled)
     bundles = [
-        SendDatagram(name, address, bundle) for name, (address, _) in relay_state.told_by.items()
+        SendDatagram(name, address, bundle)
+        for name, (address, _) in relay_state.relayed_peers.items()
     ]
     return [*effects, *bundles]
 
 
 def _drop_unresponsive(state: State, now: float) -> list[Effect]:
     """Drop the instances of the group that sent no recent update."""
-    group = state.news.passed_on.told_by
+    group = state.load_updates.relayed_updates.relayed_peers
     removed = [
         name for name, (_, received_at) in group.items() if now - received_at > _GROUP_TIMEOUT_S
     ]
@@ -205,8 +210,8 @@
 
 def _sum_group(state: State, now: float, own_update: LoadNews) -> BundledNews:
     """Return the sum of the group's load; rows that have not changed are left out."""
-    relay_state = state.news.passed_on
-    is_complete = now >= relay_state.whole_due
+    relay_state = state.load_updates.relayed_updates
+    is_complete = now >= relay_state.next_full_send_at
     rows: list[LoadRow] = []
     current_rows: dict[ServerName, LoadRow] = {}
     for name, record in state.engines.by_server.items():
@@ -221,7 +226,7 @@
             rows.append(row)
     relay_state.rows = current_rows
     if is_complete:
-        relay_state.whole_due = now + _COMPLETE_SUM_INTERVAL_S
+        relay_state.next_full_send_at = now + _COMPLETE_SUM_INTERVAL_S
     relay_state.seq += 1
     parts = [*relay_state.parts, *own_update.parts][-_PARTS_PER_BUNDLE_MAX:]
     relay_state.parts.clear()
@@ -230,14 +235,19 @@
     return BundledNews(state.me.name + _SUM_SUFFIX, update, 0)
 
 
-def _sum_row(state: State, now: float, name: ServerName, record: EngineBook) -> LoadRow | None:
+def _sum_row(state: State, now: float, name: ServerName, record: EngineInfo) -> LoadRow | None:
     """Return the sum of the group's load on a server, or None without any."""
-    group = state.news.passed_on.told_by
-    pending = [Pending(each.work_ms, each.rank, each.sent_at) for each in record.prefills.values()]
+    group = state.load_updates.relayed_updates.relayed_peers
+    pending = [
+        PendingPrompt(each.work_ms, each.rank, each.sent_at) for each in record.prefills.values()
+    ]
     running = len(record.running)
     tokens = sum(each.tokens for each in record.prefills.values()) + sum(record.running.values())
     for origin, peer in record.peers.items():
-        if origin in group and now - peer.heard.at <= engine_model.PEER_LOAD_VALID_S:
+        if (
+            origin in group
+            and now - peer.last_receipt.received_at <= engine_model.PEER_LOAD_VALID_S
+        ):
             pending += peer.pending
             running += peer.running
             tokens += peer.tokens
@@ -258,7 +268,7 @@
 
 def _sum_demand(state: State, now: float, own: list[DemandRow]) -> list[DemandRow]:
     """Return the sum of the group's demand."""
-    group = state.news.passed_on.told_by
+    group = state.load_updates.relayed_updates.relayed_peers
     rows_by_target = {each.target: each for each in own}
     for target, peers in state.pools.peers.items():
         group_demand = [row for origin, row in peers.items() if origin in group]
@@ -268,9 +278,9 @@
         ranks = [own_row.late_rank, *urgent_first.reported_late_ranks(state, now, target, group)]
         rows_by_target[target] = DemandRow(
             target,
-            own_row.long_ms_s + round(sum(each.long_ms for each in group_demand)),
-            own_row.quick_ms_s + round(sum(each.quick_ms for each in group_demand)),
+            own_row.long_ms_s + round(sum(each.long_prompt_ms for each in group_demand)),
+            own_row.quick_ms_s + round(sum(each.short_prompt_ms for each in group_demand)),
             min((each for each in ranks if each is not None), default=None),
-            own_row.middle_ms_s + round(sum(each.middle_ms for each in group_demand)),
+            own_row.middle_ms_s + round(sum(each.medium_prompt_ms for each in group_demand)),
         )
     return list(rows_by_target.values())
--- a/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
@@ -17,8 +17,8 @@
 from turmericweir_core.engines import engine_model, engine_pools, load_relay
 from turmericweir_core.messages.effects import Effect, SendDatagram
 from turmericweir_core.messages.peer_messages import LoadBundle, LoadNews, LoadRow
-from turmericweir_core.state.engine_state import EngineBook, Heard, PeerLoad, Pending
-from turmericweir_core.state.load_state import Origin
+from turmericweir_core.state.engine_state import EngineInfo, PeerLoad, PendingPrompt, ReceiptTime
+from turmericweir_core.state.load_state import UpdateSource
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
@@ -43,42 +43,44 @@
 
 def due_news(state: State, now: float) -> list[Effect]:
     """Send a load update to the other instances if one is due."""
-    update_state = state.news
-    if now < update_state.send_due or state.config.policy is not Policy.PREDICTED:
+    update_state = state.load_updates
+    if now < update_state.next_send_at or state.config.policy is not Policy.PREDICTED:
         return []
     plan = load_relay.plan(state, now)
-    if plan.teller is not None:
+    if plan.own_relay is not None:
         return _send_to_relay(state, now)
     if not plan.is_direct:
         return load_relay.send_gathered(state, now, _build_update)
-    is_renewal_due = now >= update_state.renew_due and update_state.told_load
-    if not (state.engines.changed or is_renewal_due):
+    is_renewal_due = now >= update_state.next_renewal_at and update_state.needs_renewal
+    if not (state.engines.has_unsent_load or is_renewal_due):
         return []
-    update_state.send_due = now + max(_INTERVAL_MIN_S, _INTERVAL_PER_PEER_S * len(plan.direct))
+    update_state.next_send_at = now + max(_INTERVAL_MIN_S, _INTERVAL_PER_PEER_S * len(plan.direct))
     update = _build_update(state, now)
     # An empty update is sent once more, in case the first one is lost.
-    update_state.told_load = bool(update.rows) or (update_state.told_load and not is_renewal_due)
+    update_state.needs_renewal = bool(update.rows) or (
+        update_state.needs_renewal and not is_renewal_due
+    )
     return [SendDatagram(each.name, each.peer_address, update) for each in plan.direct]
 
 
 def _send_to_relay(state: State, now: float) -> list[Effect]:
     """Send an update to the relay; empty ones too, since it passes updates only to its senders."""
-    update_state = state.news
-    relay = update_state.plan.teller
-    if relay is None or not (state.engines.changed or now >= update_state.renew_due):
+    update_state = state.load_updates
+    relay = update_state.plan.own_relay
+    if relay is None or not (state.engines.has_unsent_load or now >= update_state.next_renewal_at):
         return []
-    update_state.send_due = now + _RELAY_INTERVAL_S
+    update_state.next_send_at = now + _RELAY_INTERVAL_S
     return [SendDatagram(relay.name, relay.peer_address, _build_update(state, now))]
 
 
 def _build_update(state: State, now: float) -> LoadNews:
     """Return an update with all load of this instance and the parts not announced yet."""
-    update_state = state.news
+    update_state = state.load_updates
     update_state.seq += 1
-    update_state.renew_due = now + _RENEWAL_INTERVAL_S
-    state.engines.changed = False
-    parts = [each for each in state.engines.unsaid if each.tokens >= _PART_TOKENS_MIN]
-    state.engines.unsaid.clear()
+    update_state.next_renewal_at = now + _RENEWAL_INTERVAL_S
+    state.engines.has_unsent_load = False
+    parts = [each for each in state.engines.unsent_parts if each.tokens >= _PART_TOKENS_MIN]
+    state.engines.unsent_parts.clear()
     rows = [
         load_row(name, record, now)
         for name, record in state.engines.by_server.items()
@@ -90,7 +92,7 @@
     )
 
 
-def load_row(name: ServerName, record: EngineBook, now: float) -> LoadRow:
+def load_row(name: ServerName, record: EngineInfo, now: float) -> LoadRow:
     """Return the row of a load update for a server."""
     works = [
         [round(each.work_ms), each.rank, round((now - each.sent_at) * _MS)]
@@ -111,9 +113,9 @@
 
 def on_bundle(state: State, now: float, sender: InstanceName, bundle: LoadBundle) -> None:
     """Record the updates that a relay passed on."""
-    plan = state.news.plan
-    if plan.teller is not None and plan.teller.name == sender:
-        state.news.teller_heard_at = now
+    plan = state.load_updates.plan
+    if plan.own_relay is not None and plan.own_relay.name == sender:
+        state.load_updates.relay_seen_at = now
     for each in bundle.news:
         origin = InstanceName(each.origin)
         if origin != state.me.name and record_update(state, now, origin, each.news, each.held_ms):
@@ -124,14 +126,16 @@
     state: State, now: float, origin: InstanceName, update: LoadNews, held_ms: float = 0.0
 ) -> bool:
     """Record an update; return False where it is not newer than the last one of its incarnation."""
-    origin_state = state.news.origins.get(origin)
+    origin_state = state.load_updates.origins.get(origin)
     if origin_state is None or origin_state.incarnation != update.incarnation:
         _forget_origin(state, origin)
-        origin_state = state.news.origins[origin] = Origin(update.incarnation, -1, Heard(now))
+        origin_state = state.load_updates.origins[origin] = UpdateSource(
+            update.incarnation, -1, ReceiptTime(now)
+        )
     if update.seq <= origin_state.seq:
         return False
     origin_state.seq = update.seq
-    origin_state.heard.at = now
+    origin_state.last_receipt.received_at = now
     engine_pools.record_peer_demand(state, now, origin, update.demand)
     _record_rows(state, now - held_ms / _MS, origin, origin_state, update)
     _record_parts(state, now, update)
@@ -139,7 +143,7 @@
 
 
 def _record_rows(
-    state: State, sent_at: float, origin: InstanceName, origin_state: Origin, update: LoadNews
+    state: State, sent_at: float, origin: InstanceName, origin_state: UpdateSource, update: LoadNews
 ) -> None:
     reported_servers: set[ServerName] = set()
     for row in update.rows:
@@ -148,33 +152,37 @@
             _drop_load(state, origin, origin_state, name)
         elif name in state.servers.by_name:
             reported_servers.add(name)
-            _record_row(engine_model.book_of(state, name), sent_at, origin, origin_state.heard, row)
+            _record_row(
+                engine_model.book_of(state, name), sent_at, origin, origin_state.last_receipt, row
+            )
     if update.whole:
         for name in origin_state.servers - reported_servers:
             _drop_load(state, origin, origin_state, name)
     origin_state.servers |= reported_servers
 
 
-def _drop_load(state: State, origin: InstanceName, origin_state: Origin, name: ServerName) -> None:
+def _drop_load(
+    state: State, origin: InstanceName, origin_state: UpdateSource, name: ServerName
+) -> None:
     origin_state.servers.discard(name)
     record = state.engines.by_server.get(name)
     if record is not None:
-        record.changes += 1
+        record.load_version += 1
         record.peers.pop(origin, None)
 
 
 def _record_row(
-    record: EngineBook, sent_at: float, origin: InstanceName, receipt: Heard, row: LoadRow
+    record: EngineInfo, sent_at: float, origin: InstanceName, receipt: ReceiptTime, row: LoadRow
 ) -> None:
     previous = record.peers.get(origin)
     has_fewer_prompts = previous is not None and len(row.works) < len(previous.pending)
     if has_fewer_prompts or not engine_model.has_pending(record, sent_at):
-        record.reading_since = sent_at
+        record.prefilling_since = sent_at
     pending = [
-        Pending(float(work), rank, sent_at - age / _MS)
+        PendingPrompt(float(work), rank, sent_at - age / _MS)
         for work, rank, age in _valid_works(row.works)
     ]
-    record.changes += 1
+    record.load_version += 1
     record.peers[origin] = PeerLoad(receipt, pending, row.running, row.tokens)
 
 
@@ -195,7 +203,7 @@
 
 
 def _forget_origin(state: State, origin: InstanceName) -> None:
-    origin_state = state.news.origins.pop(origin, None)
+    origin_state = state.load_updates.origins.pop(origin, None)
     if origin_state is not None:
         for name in list(origin_state.servers):
             _drop_load(state, origin, origin_state, name)
@@ -205,8 +213,8 @@
     """Forget the load of instances without a recent update."""
     stale_origins = [
         origin
-        for origin, origin_state in state.news.origins.items()
-        if now - origin_state.heard.at > _FORGET_AFTER_S
+        for origin, origin_state in state.load_updates.origins.items()
+        if now - origin_state.last_receipt.received_at > _FORGET_AFTER_S
     ]
     for origin in stale_origins:
         _forget_origin(state, origin)
--- a/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
@@ -36,8 +36,15 @@
     Scope,
     encode,
 )
-from turmericweir_core.state.lease_ledger import Folded, Lease, adopt, begin, fold, free_at
-from turmericweir_core.state.lease_state import Held, LeaseState, SentBatch
+from turmericweir_core.state.lease_ledger import (
+    Lease,
+    LeaseFoldResult,
+    fold,
+    free_at,
+    start_at_end,
+    start_from_newest,
+)
+from turmericweir_core.state.lease_state import HeldLease, LeaseState, SentBatch
 from turmericweir_core.state.state import State
 
 # --- interface for other reducers --------------------------------------------------------------
@@ -51,15 +58,15 @@
 def release_lease(state: State, scope: Scope) -> None:
     """Stop wanting the lease of a scope, which releases it."""
     state.leases.wanted.pop(scope, None)
-    state.leases.resting.discard(scope)
+    state.leases.idle_scopes.discard(scope)
 
 
 def rest(state: State, scope: Scope, *, resting: bool) -> None:
     """Let a lease expire while there are no orders under it, or resume its renewal."""
     if resting:
-        state.leases.resting.add(scope)
+        state.leases.idle_scopes.add(scope)
     else:
-        state.leases.resting.discard(scope)
+        state.leases.idle_scopes.discard(scope)
 
 
 def set_note(state: State, now: float, scope: Scope, note: object) -> bool:
@@ -81,7 +88,7 @@
     return None if lease is None else lease.note
 
 
-def held(state: State, now: float, scope: Scope) -> Held | None:
+def held(state: State, now: float, scope: Scope) -> HeldLease | None:
     """Return the lease of a scope if this instance holds it now.
 
     Prevents a holder that was paused past its lease from sending orders that conflict with its
@@ -109,7 +116,7 @@
     state.leases.dropped.add(scope)
     # A newer fencing number exists; reading the log finds it.
     state.leases.ledger.caught_up_at = float("-inf")
-    state.leases.read_due = now
+    state.leases.next_read_at = now
     fields = {"scope": str(scope), "fence": lease.fence if lease else NO_OFFSET}
     return [Count("lease.dropped"), Log("lease_dropped", fields)]
 
@@ -126,7 +133,7 @@
     effects = _drop_expired(state, now)
     effects += _time_out_append(state, now)
     if any(_must_read(leases, state, scope) for scope in leases.wanted):
-        effects += _read_next(state, now) if now >= leases.read_due else []
+        effects += _read_next(state, now) if now >= leases.next_read_at else []
     return effects + _append_due(state, now)
 
 
@@ -143,7 +150,7 @@
     for scope, lease in list(state.leases.held.items()):
         if now >= lease.expires_at:
             del state.leases.held[scope]
-            if scope in state.leases.resting:
+            if scope in state.leases.idle_scopes:
                 continue
             effects += [
                 Count("lease.lapsed"),
@@ -237,7 +244,7 @@
     is_noted = scope not in leases.notes or (
         ledger_lease is not None and ledger_lease.note == leases.notes[scope]
     )
-    if is_noted and scope in leases.resting:
+    if is_noted and scope in leases.idle_scopes:
         return None
     if held_lease is not None:
         renew_at = held_lease.expires_at - options.lease_s + options.lease_renew_s
@@ -262,7 +269,7 @@
     if lease.released or scope in state.leases.dropped:
         return False
     # An own record at an uncertain position may follow another instance's grant.
-    return lease.sure and lease.incarnation == state.me.incarnation
+    return lease.is_sure and lease.incarnation == state.me.incarnation
 
 
 def _record(state: State, act: Act, scope: Scope, fence: int) -> LeaseRecord:
@@ -322,7 +329,7 @@
 def _read_next(state: State, now: float) -> list[Effect]:
     """Read the stream from the ledger's offset, one read at a time."""
     leases = state.leases
-    leases.read_due = now + state.options.lease_read_s
+    leases.next_read_at = now + state.options.lease_read_s
     reading_since = leases.reading_since
     if reading_since is not None and now - reading_since < state.options.lease_call_s:
         return []
@@ -344,7 +351,7 @@
         case LogNewest():
             return _on_newest(state, now, event)
         case LogExpired():
-            begin(state.leases.ledger, event.end, now)
+            start_at_end(state.leases.ledger, event.end, now)
             state.leases.ledger.caught_up_at = now
             fields = {"stream": LEASES_STREAM, "end": event.end}
             return [Log("leases_gap", fields)]
@@ -354,7 +361,7 @@
 
 def _on_newest(state: State, now: float, event: LogNewest) -> list[Effect]:
     leases = state.leases
-    malformed = adopt(leases.ledger, now, event.records, event.end)
+    malformed = start_from_newest(leases.ledger, now, event.records, event.end)
     leases.ledger.caught_up_at = now
     for scope in [*leases.held, *leases.notes]:
         lease = leases.ledger.leases.get(scope)
@@ -373,12 +380,12 @@
     ledger = state.leases.ledger
     effects: list[Effect] = []
     if ledger.start is None:
-        begin(ledger, event.end if event.end > len(event.records) else 0, now)
+        start_at_end(ledger, event.end if event.end > len(event.records) else 0, now)
     elif event.end < ledger.offset:
         # The platform has lost records; leases from before are left to expire.
         fields = {"stream": LEASES_STREAM, "end": event.end, "offset": ledger.offset}
         effects.append(Log("log_shorter", fields))
-        begin(ledger, event.end, now)
+        start_at_end(ledger, event.end, now)
     for record in event.records:
         if record.offset == ledger.offset:
             effects += _apply_record(state, now, record)
@@ -396,12 +403,12 @@
         return [Count("lease.malformed"), _malformed_log(record.offset)]
     if folded.record.incarnation == state.me.incarnation:
         return _apply_own_record(state, now, folded, taken_over=taken_over)
-    if not folded.valid:
+    if not folded.is_valid:
         return []
     # Another instance has the lease now, so the refused number no longer matters.
     leases.dropped.discard(folded.record.scope)
     leases.notes.pop(folded.record.scope, None)
-    leases.resting.discard(folded.record.scope)
+    leases.idle_scopes.discard(folded.record.scope)
     if leases.held.pop(folded.record.scope, None) is None:
         return []
     return [Log("lease_lost", {"scope": str(folded.record.scope), "to": folded.record.instance})]
@@ -414,7 +421,7 @@
     lease = ledger.leases.get(scope) if scope is not None else None
     if lease is None:
         # There was no holder if every record was read.
-        return ledger.start != 0 and not ledger.whole
+        return ledger.start != 0 and not ledger.has_all_scopes
     # After a release no orders are pending, and own orders are not from another holder.
     return not lease.released and lease.incarnation != state.me.incarnation
 
@@ -430,14 +437,14 @@
 
 
 def _apply_own_record(
-    state: State, now: float, folded: Folded, *, taken_over: bool
+    state: State, now: float, folded: LeaseFoldResult, *, taken_over: bool
 ) -> list[Effect]:
     """Record the lease that an own record has established, for its remaining time."""
     leases = state.leases
     record = folded.record
     assert record is not None
     sent_at = leases.sent.pop(record.number, None)
-    if not (folded.valid and folded.sure):
+    if not (folded.is_valid and folded.is_sure):
         return [Count("lease.void")]
     if record.act is Act.RELEASE or sent_at is None:
         return []
@@ -452,10 +459,13 @@
         return []
     previous = leases.held.get(scope)
     if previous is not None and previous.fence == lease.fence:
-        leases.held[scope] = Held(
-            lease.fence, max(expires_at, previous.expires_at), previous.since, previous.taken_over
+        leases.held[scope] = HeldLease(
+            lease.fence,
+            max(expires_at, previous.expires_at),
+            previous.since,
+            previous.is_taken_over,
         )
         return []
-    leases.held[scope] = Held(lease.fence, expires_at, now, taken_over)
+    leases.held[scope] = HeldLease(lease.fence, expires_at, now, taken_over)
     fields = {"scope": str(scope), "fence": lease.fence, "act": record.act.value}
     return [Count("lease.held"), Log("lease_held", fields)]
--- a/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
@@ -22,8 +22,8 @@
 from turmericweir_core.messages.peer_messages import ModelDemand, ModelUse
 from turmericweir_core.records.lease_record import Scope
 from turmericweir_core.state.membership_state import Member
-from turmericweir_core.state.model_state import Reported, Usage
-from turmericweir_core.state.server_table import Server, is_open
+from turmericweir_core.state.model_state import ModelUsage, ReportedModelUsage
+from turmericweir_core.state.server_table import Server, can_take_work
 from turmericweir_core.state.state import State
 
 # Reporting periods after which an instance's use no longer counts.
@@ -86,13 +86,13 @@
     models = state.models
     if not state.config.wants:
         return []
-    if now >= models.sample_due:
-        models.sample_due = now + state.options.model_sample_s
+    if now >= models.next_sample_at:
+        models.next_sample_at = now + state.options.model_sample_s
         _sample_use(state)
-    if now < models.demand_due and not _has_urgent_demand(state, now):
+    if now < models.next_demand_at and not _has_urgent_demand(state, now):
         return []
-    models.demand_due = now + state.options.model_demand_s
-    models.alarm_due = now + state.options.model_alarm_s
+    models.next_demand_at = now + state.options.model_demand_s
+    models.next_alarm_at = now + state.options.model_alarm_s
     effects = _send_use(state, now)
     models.sampled.clear()
     models.samples = 0
@@ -106,8 +106,8 @@
         if req.target not in state.config.wants or req.phase is Phase.DONE:
             continue
         is_waiting = req.phase is Phase.WAITING
-        previous = models.sampled.get(req.target, Usage())
-        models.sampled[req.target] = Usage(
+        previous = models.sampled.get(req.target, ModelUsage())
+        models.sampled[req.target] = ModelUsage(
             previous.busy + (0.0 if is_waiting else 1.0),
             previous.waiting + (1 if is_waiting else 0),
         )
@@ -115,7 +115,7 @@
 
 def _has_urgent_demand(state: State, now: float) -> bool:
     """Return whether requests wait for a model without a server and an early report is due."""
-    if now < state.models.alarm_due:
+    if now < state.models.next_alarm_at:
         return False
     return any(
         usage.waiting and is_model_missing(state, now, model)
@@ -126,7 +126,7 @@
 def is_model_missing(state: State, now: float, model: str) -> bool:
     """Return whether no open server has a model."""
     return not any(
-        is_open(server, now) and _may_have_model(server, model)
+        can_take_work(server, now) and _may_have_model(server, model)
         for server in state.servers.by_name.values()
     )
 
@@ -179,11 +179,11 @@
 def _record_use(
     state: State, now: float, scope: Scope, sender: InstanceName, uses: list[ModelUse]
 ) -> None:
-    by_model = {use.model: Usage(max(0.0, use.busy), max(0, use.waiting)) for use in uses}
-    state.models.reported.setdefault(scope, {})[sender] = Reported(now, by_model)
+    by_model = {use.model: ModelUsage(max(0.0, use.busy), max(0, use.waiting)) for use in uses}
+    state.models.reported.setdefault(scope, {})[sender] = ReportedModelUsage(now, by_model)
 
 
-def total_usage(state: State, now: float, scope: Scope, model: str) -> Usage:
+def total_usage(state: State, now: float, scope: Scope, model: str) -> ModelUsage:
     """Return the total use of a model on all instances, without outdated reports."""
     reports = state.models.reported.get(scope, {})
     oldest_at = now - _VALID_PERIODS * state.options.model_demand_s
@@ -192,7 +192,7 @@
         if reported.at < oldest_at:
             del reports[name]
             continue
-        usage = reported.by_model.get(model, Usage())
+        usage = reported.by_model.get(model, ModelUsage())
         busy += usage.busy
         waiting += usage.waiting
-    return Usage(busy, waiting)
+    return ModelUsage(busy, waiting)
--- a/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
@@ -43,8 +43,8 @@
     """Run a round when it is due, then process the orders."""
     models = state.models
     effects: list[Effect] = []
-    if now >= models.round_due:
-        models.round_due = now + state.options.model_round_s
+    if now >= models.next_round_at:
+        models.next_round_at = now + state.options.model_round_s
         effects += _run_round(state, now)
     return effects + order_flow.on_tick(state, now)
 
@@ -228,13 +228,13 @@
         has_stranded_requests=has_no_server and usage.waiting > 0,
     )
     choose_count(target, state.options, now, count_input)
-    target.chosen = choose_servers(str(scope), model, target, holdings, label_counts)
-    for name in target.chosen:
+    target.chosen_servers = choose_servers(str(scope), model, target, holdings, label_counts)
+    for name in target.chosen_servers:
         label_counts[name] = label_counts.get(name, 0) + 1
     # A model in use keeps its last server even if the bounds allow none.
     is_used = usage.waiting > 0 or usage.busy > 0
     least = max(min(bounds.least, len(holdings)), 1 if is_used else 0)
-    wanted = WantedModel(model, want.version, target.chosen, least, has_no_server)
+    wanted = WantedModel(model, want.version, target.chosen_servers, least, has_no_server)
     return wanted, _log_count(scope, model, previous_count, target)
 
 
--- a/packages/turmericweir-core/turmericweir_core/leases/model_placement.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_placement.py
@@ -20,7 +20,7 @@
 from turmericweir_core.base.model_label import ModelLabel
 from turmericweir_core.base.options import Options
 from turmericweir_core.membership.subset import rendezvous_weight
-from turmericweir_core.state.model_state import ModelTarget, Usage
+from turmericweir_core.state.model_state import ModelTarget, ModelUsage
 
 
 class Holding(Struct, frozen=True):
@@ -68,7 +68,7 @@
     return seats.get(data_centre, 0)
 
 
-def note_demand(target: ModelTarget, options: Options, now: float, usage: Usage) -> None:
+def note_demand(target: ModelTarget, options: Options, now: float, usage: ModelUsage) -> None:
     """Update the average of running and waiting requests."""
     sample = usage.busy + usage.waiting
     if sample > 0 or target.demand is None:
@@ -147,7 +147,7 @@
         has_model = holding.has_model(model) or (
             holding.has_or_loads(model) and model not in holding.failing
         )
-        is_chosen = holding.server in target.chosen
+        is_chosen = holding.server in target.chosen_servers
         is_failing = model in holding.failing
         return (
             not has_model,
--- a/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
@@ -21,9 +21,15 @@
 from turmericweir_core.messages.effects import AskWeights, Count, Effect, Log, SendOrder
 from turmericweir_core.messages.events import OrderDone, ServerReport, WeightsAnswered
 from turmericweir_core.records.lease_record import Scope
-from turmericweir_core.state.lease_state import Held
-from turmericweir_core.state.model_state import Order, OrderKind, OutOrder, Seen, Tries
-from turmericweir_core.state.server_table import is_open
+from turmericweir_core.state.lease_state import HeldLease
+from turmericweir_core.state.model_state import (
+    DirectReport,
+    Order,
+    OrderAttempts,
+    OrderKind,
+    SentOrder,
+)
+from turmericweir_core.state.server_table import can_take_work
 from turmericweir_core.state.state import State
 
 OrderKey: TypeAlias = tuple[ServerName, OrderKind, str]
@@ -38,12 +44,12 @@
 
 def has_open_orders(state: State, scope: Scope) -> bool:
     """Return whether an order of a scope is unanswered."""
-    return any(out.order.scope == scope for out in state.models.out.values())
+    return any(out.order.scope == scope for out in state.models.orders_in_flight.values())
 
 
-def pending_orders(state: State, server: ServerName) -> Iterator[tuple[OrderKey, Tries]]:
+def pending_orders(state: State, server: ServerName) -> Iterator[tuple[OrderKey, OrderAttempts]]:
     """Yield the orders to a server whose effect is not reported yet."""
-    for key, tries in state.models.tries.items():
+    for key, tries in state.models.order_attempts.items():
         if key[0] == server:
             yield key, tries
 
@@ -56,7 +62,7 @@
     if Scope(server.entry.service, server.entry.data_centre) not in state.models.plans:
         state.models.seen.pop(report.server, None)
         return
-    state.models.seen[report.server] = Seen(report, now)
+    state.models.seen[report.server] = DirectReport(report, now)
     loaded = {parse_label(text) for text in report.models}
     loading = {parse_label(text) for text in report.loading}
     for key, _ in list(pending_orders(state, report.server)):
@@ -66,7 +72,7 @@
         else:
             is_effective = label not in loaded and label not in loading
         if is_effective:
-            del state.models.tries[key]
+            del state.models.order_attempts[key]
 
 
 # --- sending ------------------------------------------------------------------------------------
@@ -75,44 +81,46 @@
 def send_orders(state: State, now: float, orders: list[Order]) -> list[Effect]:
     """Send the due orders that may be sent now, and queue the loads."""
     effects: list[Effect] = []
-    state.models.loads = []
+    state.models.pending_loads = []
     for order in orders:
         if not _may_change(state, now, order):
             continue
         if order.kind is OrderKind.LOAD:
-            state.models.loads.append(order)
+            state.models.pending_loads.append(order)
         elif not _has_open_order(state, order.server):
             effects += _send_order(state, now, order)
-    state.models.loads.sort(key=lambda load: (not load.urgent, load.holders, load.server))
+    state.models.pending_loads.sort(
+        key=lambda load: (not load.is_urgent, load.holder_count, load.server)
+    )
     return effects + _ask_weights(state, now)
 
 
 def _may_change(state: State, now: float, order: Order) -> bool:
-    tries = state.models.tries.get(order.key)
+    tries = state.models.order_attempts.get(order.key)
     if tries is not None:
         # This order was sent before; a repetition is not another change.
         return now >= tries.next_at
-    if order.urgent or order.follows:
+    if order.is_urgent or order.is_follow_up:
         return True
     changed_at = state.models.changed_at.get(order.server)
     return changed_at is None or now - changed_at >= state.options.model_server_gap_s
 
 
 def _has_open_order(state: State, server: ServerName) -> bool:
-    return any(out.order.server == server for out in state.models.out.values())
+    return any(out.order.server == server for out in state.models.orders_in_flight.values())
 
 
-def _lease_for(state: State, now: float, order: Order) -> Held | None:
+def _lease_for(state: State, now: float, order: Order) -> HeldLease | None:
     """Return the lease under which an order may be sent now."""
     lease = lease_flow.held(state, now, order.scope)
     server = state.servers.by_name.get(order.server)
-    if lease is None or server is None or not is_open(server, now):
+    if lease is None or server is None or not can_take_work(server, now):
         return None
     # Prevents a delayed order of the previous holder from undoing this one on a server that does
     # not check fencing numbers. An order of a process that was paused between check and send may
     # come even later; a later round repairs its effect.
     ready_at = lease.since
-    if lease.taken_over and not server.service.checks_fence:
+    if lease.is_taken_over and not server.service.checks_fence:
         ready_at += state.options.order_longest_s
     last_report = state.models.seen.get(order.server)
     return lease if last_report is not None and last_report.at >= ready_at <= now else None
@@ -125,7 +133,7 @@
     models = state.models
     models.number += 1
     token = f"{state.me.incarnation}-{models.number}"
-    models.out[token] = OutOrder(order, lease.fence, now)
+    models.orders_in_flight[token] = SentOrder(order, lease.fence, now)
     _record_try(state, now, order)
     models.changed_at[order.server] = now
     fields = {
@@ -138,7 +146,7 @@
     return [_order_effect(state, order, lease, token), Count("order.sent"), Log("order", fields)]
 
 
-def _order_effect(state: State, order: Order, lease: Held, token: str) -> SendOrder:
+def _order_effect(state: State, order: Order, lease: HeldLease, token: str) -> SendOrder:
     label = order.label
     return SendOrder(
         server=order.server,
@@ -155,10 +163,10 @@
 
 
 def _record_try(state: State, now: float, order: Order) -> None:
-    tries = state.models.tries.setdefault(order.key, Tries())
+    tries = state.models.order_attempts.setdefault(order.key, OrderAttempts())
     # The opposite order no longer applies.
     opposite = OrderKind.UNLOAD if order.kind is OrderKind.LOAD else OrderKind.LOAD
-    state.models.tries.pop((order.server, opposite, str(order.label)), None)
+    state.models.order_attempts.pop((order.server, opposite, str(order.label)), None)
     options = state.options
     pause_s = min(options.order_retry_max_s, options.order_retry_s * 2.0 ** min(tries.count, 10))
     tries.count += 1
@@ -171,7 +179,7 @@
 
 def on_order_done(state: State, now: float, event: OrderDone) -> list[Effect]:
     """Record the outcome of an order; its effect is verified by the server's report."""
-    out = state.models.out.pop(event.token, None)
+    out = state.models.orders_in_flight.pop(event.token, None)
     if out is None:
         return []
     if event.ok:
@@ -188,7 +196,7 @@
     return effects
 
 
-def _is_lease_current(state: State, out: OutOrder) -> bool:
+def _is_lease_current(state: State, out: SentOrder) -> bool:
     """Return whether the lease is still the one under which the order was sent."""
     lease = state.leases.held.get(out.order.scope)
     return lease is not None and lease.fence == out.fence
@@ -198,14 +206,14 @@
     """Drop orders that are no longer awaited, and ask the weight store when it allows."""
     models = state.models
     timeout_s = _ANSWER_TIMEOUTS * state.options.order_timeout_s
-    for token, out in list(models.out.items()):
+    for token, out in list(models.orders_in_flight.items()):
         if now - out.sent_at >= timeout_s:
-            del models.out[token]
-    for key, tries in list(models.tries.items()):
+            del models.orders_in_flight[token]
+    for key, tries in list(models.order_attempts.items()):
         if now - tries.next_at >= _PENDING_RETENTION_S:
-            del models.tries[key]
-    if models.asking is not None and now - models.asked_at >= timeout_s:
-        models.asking = None
+            del models.order_attempts[key]
+    if models.queried_load is not None and now - models.queried_at >= timeout_s:
+        models.queried_load = None
     return _ask_weights(state, now)
 
 
@@ -214,12 +222,12 @@
 
 def _ask_weights(state: State, now: float) -> list[Effect]:
     models = state.models
-    if models.asking is not None or now < models.weights_due:
+    if models.queried_load is not None or now < models.next_weights_query_at:
         return []
-    for order in models.loads:
+    for order in models.pending_loads:
         if not _has_open_order(state, order.server) and _lease_for(state, now, order) is not None:
-            models.asking = order
-            models.asked_at = now
+            models.queried_load = order
+            models.queried_at = now
             return [AskWeights(order.label.model, order.label.version), Count("weights.asked")]
     return []
 
@@ -227,14 +235,14 @@
 def on_weights(state: State, now: float, event: WeightsAnswered) -> list[Effect]:
     """Send the load that was granted, or wait for as long as the store demands."""
     models = state.models
-    order = models.asking
+    order = models.queried_load
     if order is None or (order.label.model, order.label.version) != (event.model, event.version):
         return []
-    models.asking = None
+    models.queried_load = None
     if not event.granted:
-        models.weights_due = now + event.retry_after_s
+        models.next_weights_query_at = now + event.retry_after_s
         return [Count("weights.refused")]
-    models.loads = [load for load in models.loads if load.key != order.key]
+    models.pending_loads = [load for load in models.pending_loads if load.key != order.key]
     sent = [] if _has_open_order(state, order.server) else _send_order(state, now, order)
     if not sent:
         # The lease expired or the server left while the store was asked.
--- a/packages/turmericweir-core/turmericweir_core/leases/order_steps.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_steps.py
@@ -58,7 +58,9 @@
             continue
         is_rolling = is_rolling or is_replacement
         orders.append(
-            Order(scope, holding.server, OrderKind.LOAD, label, wanted.missing, holders=holders)
+            Order(
+                scope, holding.server, OrderKind.LOAD, label, wanted.missing, holder_count=holders
+            )
         )
     return orders
 
@@ -122,6 +124,13 @@
     scope: Scope, holding: Holding, labels: list[ModelLabel], holders: int, *, follows: bool
 ) -> list[Order]:
     return [
-        Order(scope, holding.server, OrderKind.UNLOAD, label, holders=holders, follows=follows)
+        Order(
+            scope,
+            holding.server,
+            OrderKind.UNLOAD,
+            label,
+            holder_count=holders,
+            is_follow_up=follows,
+        )
         for label in labels
     ]
--- a/packages/turmericweir-core/turmericweir_core/limits/limit.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit.py
@@ -34,11 +34,11 @@
 from turmericweir_core.state.limit_state import (
     Bucket,
     Charge,
-    Demand,
-    Holding,
-    LimitState,
+    DemandAverage,
+    HeldShare,
+    LimitParticipants,
     Quantity,
-    Reach,
+    RateLimits,
     SubjectKey,
     customer_key,
     is_team,
@@ -112,17 +112,17 @@
     return predicted if req.max_tokens is None else min(predicted, float(req.max_tokens))
 
 
-def _record_use(state: State, now: float, key: SubjectKey, tokens: float) -> Holding:
+def _record_use(state: State, now: float, key: SubjectKey, tokens: float) -> HeldShare:
     """Add a request to the demand of a subject and update its buckets."""
     limits = state.rate_limits
     holding = limits.held.get(key)
     if holding is None:
-        holding = limits.held[key] = Holding()
+        holding = limits.held[key] = HeldShare()
     _apply_limit(state, now, key, holding)
     holding.used_at = now
     _add_demand(state, now, holding.requests, 1.0)
     _add_demand(state, now, holding.tokens, tokens)
-    limits.touched.add(key)
+    limits.touched_subjects.add(key)
     return holding
 
 
@@ -138,7 +138,7 @@
         demand.add(size, options.rate_slow_s, options.rate_fast_s)
 
 
-def _apply_limit(state: State, now: float, key: SubjectKey, holding: Holding) -> None:
+def _apply_limit(state: State, now: float, key: SubjectKey, holding: HeldShare) -> None:
     """Update a holding to the limit in the settings."""
     limit = limit_home.subject_limit(state, key)
     split = _reach(state, now).split
@@ -165,14 +165,14 @@
         # One request is admitted before the home answers; the rest use an even split.
         even_rate = limit / split
         bucket = Bucket(even_rate, _depth(state, even_rate, unit), unit, now)
-        return Quantity(bucket, Demand(now, unit=unit))
+        return Quantity(bucket, DemandAverage(now, unit=unit))
     if quantity.bucket.rate > limit:
         # The limit was lowered; the home applies it at the next request for a share.
         quantity.bucket.set_rate(now, limit, quantity.bucket.depth)
     return quantity
 
 
-def _draw_both(holding: Holding, requests: float, tokens: float) -> None:
+def _draw_both(holding: HeldShare, requests: float, tokens: float) -> None:
     if holding.requests is not None:
         _draw(holding.requests.bucket, requests)
     if holding.tokens is not None:
@@ -197,10 +197,10 @@
     if not limits.held and not limits.home:
         return []
     _reach(state, now)
-    keys = list(limits.touched)
-    limits.touched.clear()
-    if now >= limits.scan_due:
-        limits.scan_due = now + state.options.rate_scan_s
+    keys = list(limits.touched_subjects)
+    limits.touched_subjects.clear()
+    if now >= limits.next_scan_at:
+        limits.next_scan_at = now + state.options.rate_scan_s
         keys = list(limits.held)
     demands: dict[InstanceName, list[LimitDemand]] = {}
     for key in keys:
@@ -225,17 +225,17 @@
         _record_request(state, now, holding, home)
 
 
-def _is_idle(state: State, now: float, key: SubjectKey, holding: Holding) -> bool:
+def _is_idle(state: State, now: float, key: SubjectKey, holding: HeldShare) -> bool:
     if limit_home.subject_limit(state, key) == NO_LIMIT:
         return True
     return now - holding.used_at > state.options.rate_lease_s
 
 
-def _is_request_due(state: State, now: float, holding: Holding) -> bool:
+def _is_request_due(state: State, now: float, holding: HeldShare) -> bool:
     options = state.options
     if holding.asked_at is not None:
         return now - holding.asked_at >= holding.answer_wait_s
-    if now >= holding.ask_due:
+    if now >= holding.next_query_at:
         return now - holding.used_at <= options.rate_idle_s
     return any(_has_changed(state, now, quantity) for quantity in holding.quantities())
 
@@ -245,12 +245,12 @@
     demand = quantity.demand
     demand.decay(now, options.rate_slow_s, options.rate_fast_s)
     rate = demand.rate(options.rate_fast_s, options.rate_sigmas)
-    larger = max(rate, quantity.told)
+    larger = max(rate, quantity.reported_demand)
     noise = options.rate_sigmas * sqrt(larger * demand.unit / options.rate_slow_s)
-    return abs(rate - quantity.told) > options.rate_change_share * larger + noise
+    return abs(rate - quantity.reported_demand) > options.rate_change_share * larger + noise
 
 
-def _demand_message(state: State, now: float, key: SubjectKey, holding: Holding) -> LimitDemand:
+def _demand_message(state: State, now: float, key: SubjectKey, holding: HeldShare) -> LimitDemand:
     return LimitDemand(
         key=key,
         requests=_report_rate(state, now, holding.requests),
@@ -266,17 +266,17 @@
     options = state.options
     quantity.demand.decay(now, options.rate_slow_s, options.rate_fast_s)
     rate = quantity.demand.rate(options.rate_fast_s, options.rate_sigmas)
-    quantity.told = rate
+    quantity.reported_demand = rate
     return round(rate, 4)
 
 
-def _held_rate(holding: Holding, quantity: Quantity | None) -> float:
+def _held_rate(holding: HeldShare, quantity: Quantity | None) -> float:
     if quantity is None or not holding.home:
         return 0.0
     return round(quantity.bucket.rate, 4)
 
 
-def _record_request(state: State, now: float, holding: Holding, home: InstanceName) -> None:
+def _record_request(state: State, now: float, holding: HeldShare, home: InstanceName) -> None:
     options = state.options
     is_unanswered = holding.asked_at is not None and holding.home == home
     wait_s = min(2 * holding.answer_wait_s, options.rate_answer_max_s) if is_unanswered else 0.0
@@ -285,7 +285,7 @@
     holding.home = home
 
 
-def _shrink_share(state: State, now: float, key: SubjectKey, holding: Holding) -> None:
+def _shrink_share(state: State, now: float, key: SubjectKey, holding: HeldShare) -> None:
     """Reduce a share without a lease, which the home may have granted to others."""
     limit = limit_home.subject_limit(state, key)
     split = _reach(state, now).split
@@ -295,7 +295,7 @@
             quantity.bucket.set_rate(now, rate, _depth(state, rate, quantity.demand.unit))
 
 
-def _with_limit(holding: Holding, limit: Limit) -> list[tuple[Quantity, float]]:
+def _with_limit(holding: HeldShare, limit: Limit) -> list[tuple[Quantity, float]]:
     limited: list[tuple[Quantity, float]] = []
     if holding.requests is not None and limit.requests_s is not None:
         limited.append((holding.requests, limit.requests_s))
@@ -333,13 +333,13 @@
     return []
 
 
-def _apply_share(state: State, now: float, holding: Holding, share: LimitShare) -> None:
+def _apply_share(state: State, now: float, holding: HeldShare, share: LimitShare) -> None:
     options = state.options
     holding.asked_at = None
     holding.answer_wait_s = 0.0
     holding.valid_until = now + options.rate_lease_s
     # Random, so that renewals do not stay synchronized after a restart of many instances.
-    holding.ask_due = now + options.rate_renew_s * (0.8 + 0.4 * state.rng.random())
+    holding.next_query_at = now + options.rate_renew_s * (0.8 + 0.4 * state.rng.random())
     _set_share(state, now, holding.requests, share.requests)
     _set_share(state, now, holding.tokens, share.tokens)
 
@@ -355,7 +355,7 @@
 ) -> list[Effect]:
     effects: list[Effect] = []
     for home, home_demands in demands.items():
-        address = state.rate_limits.reach.addresses.get(home, "")
+        address = state.rate_limits.participants.addresses.get(home, "")
         for batch in _batches(state, home_demands):
             if home == state.me.name:
                 effects += on_ask(state, now, home, LimitAsk(batch))
@@ -372,7 +372,7 @@
         by_name.setdefault(name, []).append(share)
     effects: list[Effect] = []
     for name, granted in by_name.items():
-        address = state.rate_limits.reach.addresses.get(name)
+        address = state.rate_limits.participants.addresses.get(name)
         for batch in _batches(state, granted):
             if name == state.me.name:
                 on_grant(state, now, name, LimitGrant(batch))
@@ -391,7 +391,7 @@
 
 
 def _home(state: State, key: SubjectKey) -> InstanceName:
-    reach = state.rate_limits.reach
+    reach = state.rate_limits.participants
     home = reach.homes.get(key)
     if home is None:
         home = max(reach.addresses, key=lambda name: rendezvous_weight(key, name))
@@ -399,11 +399,11 @@
     return home
 
 
-def _reach(state: State, now: float) -> Reach:
+def _reach(state: State, now: float) -> LimitParticipants:
     """Return the live instances, updated at a fixed interval to limit the cost of hashing."""
-    limits: LimitState = state.rate_limits
-    reach = limits.reach
-    if now - reach.at < state.options.rate_reach_s:
+    limits: RateLimits = state.rate_limits
+    reach = limits.participants
+    if now - reach.updated_at < state.options.rate_reach_s:
         return reach
     live = membership.live_instances(state, now)
     addresses = {member.name: member.peer_address for member in live}
@@ -411,9 +411,9 @@
     if addresses.keys() != reach.addresses.keys():
         reach.homes = {}
         limit_home.mark_all_changed(state)
-    reach.at = now
+    reach.updated_at = now
     reach.addresses = addresses
-    reach.part = len(live) / (len(live) + unreachable)
+    reach.partition_share = len(live) / (len(live) + unreachable)
     reach.split = len(live) + unreachable
     return reach
 
@@ -424,5 +424,5 @@
     return sum(
         view.live
         for view in membership.data_centres(state, now)
-        if not view.reachable and now - view.heard_at <= hold_s
+        if not view.reachable and now - view.last_seen_at <= hold_s
     )
--- a/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
@@ -23,9 +23,9 @@
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.messages.peer_messages import LimitDemand, LimitShare
 from turmericweir_core.state.limit_state import (
-    Asker,
-    Claim,
     HomeSubject,
+    QuantityGrant,
+    ShareHolder,
     SubjectKey,
     is_team,
     subject_name,
@@ -76,13 +76,13 @@
     home = state.rate_limits.home.get(key)
     if home is None:
         home = state.rate_limits.home[key] = HomeSubject(since=now)
-    asker_state = home.askers.get(asker)
+    asker_state = home.share_holders.get(asker)
     if asker_state is None:
-        asker_state = home.askers[asker] = Asker()
-    asker_state.heard_at = now
+        asker_state = home.share_holders[asker] = ShareHolder()
+    asker_state.received_at = now
     asker_state.requests.demand = max(0.0, demand.requests)
     asker_state.tokens.demand = max(0.0, demand.tokens)
-    home.changed = True
+    home.has_changed_demand = True
     is_learning = now - home.since < state.options.rate_learn_s
     for claim, held_rate, max_rate, claims in (
         (asker_state.requests, demand.held_requests, limit.requests_s, _requests(home)),
@@ -93,16 +93,20 @@
     return _share_message(key, limit, asker_state)
 
 
-def _requests(home: HomeSubject) -> list[Claim]:
-    return [asker.requests for asker in home.askers.values()]
+def _requests(home: HomeSubject) -> list[QuantityGrant]:
+    return [asker.requests for asker in home.share_holders.values()]
 
 
-def _tokens(home: HomeSubject) -> list[Claim]:
-    return [asker.tokens for asker in home.askers.values()]
+def _tokens(home: HomeSubject) -> list[QuantityGrant]:
+    return [asker.tokens for asker in home.share_holders.values()]
 
 
 def _grant(
-    state: State, asker: Claim, limit: float, claims: list[Claim], held_rate: float | None
+    state: State,
+    asker: QuantityGrant,
+    limit: float,
+    claims: list[QuantityGrant],
+    held_rate: float | None,
 ) -> None:
     """Grant the wanted share as far as it is free; the next rebalancing frees the rest."""
     division = _divide(state, limit, claims)
@@ -110,17 +114,17 @@
     free = division.pool - sum(claim.granted for claim in claims if claim is not asker)
     if held_rate is not None:
         # Others may hold shares from the previous home that are unknown here.
-        even_share = division.pool / max(1, len(state.rate_limits.reach.addresses))
+        even_share = division.pool / max(1, len(state.rate_limits.participants.addresses))
         free = min(free, max(held_rate, even_share))
     asker.granted = min(wanted, max(0.0, free))
 
 
-def _divide(state: State, limit: float, claims: list[Claim]) -> Division:
-    pool = limit * state.rate_limits.reach.part
+def _divide(state: State, limit: float, claims: list[QuantityGrant]) -> Division:
+    pool = limit * state.rate_limits.participants.partition_share
     return Division(pool, sum(claim.demand for claim in claims), max(1, len(claims)))
 
 
-def _share_message(key: SubjectKey, limit: Limit, asker: Asker) -> LimitShare:
+def _share_message(key: SubjectKey, limit: Limit, asker: ShareHolder) -> LimitShare:
     requests = -1.0 if limit.requests_s is None else round(asker.requests.granted, 3)
     tokens = -1.0 if limit.tokens_s is None else round(asker.tokens.granted, 3)
     return LimitShare(key, requests, tokens)
@@ -133,16 +137,16 @@
     """Rebalance the changed limits, and return the shares that have to be sent."""
     shares: list[tuple[InstanceName, LimitShare]] = []
     for key, home in list(state.rate_limits.home.items()):
-        if now < home.push_due or not home.changed:
+        if now < home.next_push_at or not home.has_changed_demand:
             continue
-        home.push_due = now + state.options.rate_push_s
+        home.next_push_at = now + state.options.rate_push_s
         _drop_inactive(state, now, home)
-        if not home.askers:
+        if not home.share_holders:
             del state.rate_limits.home[key]
             continue
         # A new home rebalances only after all instances had time to send a request.
-        home.changed = now - home.since < state.options.rate_learn_s
-        if not home.changed:
+        home.has_changed_demand = now - home.since < state.options.rate_learn_s
+        if not home.has_changed_demand:
             shares += _changed_shares(state, key, home)
     return shares
 
@@ -150,14 +154,14 @@
 def mark_all_changed(state: State) -> None:
     """Divide all limits again at the next tick, as the live instances have changed."""
     for home in state.rate_limits.home.values():
-        home.changed = True
+        home.has_changed_demand = True
 
 
 def _drop_inactive(state: State, now: float, home: HomeSubject) -> None:
-    live = state.rate_limits.reach.addresses
-    for name, asker in list(home.askers.items()):
-        if name not in live or now - asker.heard_at > state.options.rate_lease_s:
-            del home.askers[name]
+    live = state.rate_limits.participants.addresses
+    for name, asker in list(home.share_holders.items()):
+        if name not in live or now - asker.received_at > state.options.rate_lease_s:
+            del home.share_holders[name]
 
 
 def _changed_shares(
@@ -166,7 +170,7 @@
     limit = subject_limit(state, key)
     previous = [
         (asker_state.requests.granted, asker_state.tokens.granted)
-        for asker_state in home.askers.values()
+        for asker_state in home.share_holders.values()
     ]
     for max_rate, claims in (
         (limit.requests_s, _requests(home)),
@@ -176,12 +180,12 @@
             rebalance(_divide(state, max_rate, claims), claims, state.options.rate_push_factor)
     return [
         (name, _share_message(key, limit, asker))
-        for (name, asker), previous_grant in zip(home.askers.items(), previous, strict=True)
+        for (name, asker), previous_grant in zip(home.share_holders.items(), previous, strict=True)
         if (asker.requests.granted, asker.tokens.granted) != previous_grant
     ]
 
 
-def rebalance(division: Division, claims: list[Claim], factor: float) -> None:
+def rebalance(division: Division, claims: list[QuantityGrant], factor: float) -> None:
     """Move shares to claims that hold much less than theirs, from as few others as possible.
 
     Each changed share costs a message. A few claims therefore give up shares, down to slightly
--- a/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
@@ -51,7 +51,7 @@
     is_self = member.name == state.me.name
     announced_state = InstanceState.LEAVING if member.leaving else InstanceState.LIVE
     is_live = is_self or membership.is_live(state, now, member)
-    age_s = 0.0 if is_self else max(0.0, now - member.heard_at)
+    age_s = 0.0 if is_self else max(0.0, now - member.last_seen_at)
     return InstanceVersion(
         name=member.name,
         data_centre=member.data_centre,
--- a/packages/turmericweir-core/turmericweir_core/membership/leaving.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/leaving.py
@@ -5,7 +5,7 @@
 within seconds, even when the platform's list is down or stale. Every heartbeat carries a digest of
 all notices; an instance whose digest differs for some time requests all of them.
 
-`leaving_notices` and `server_table.apply_marks` prevent a server from returning to service by an
+`leaving_notices` and `server_table.apply_notices` prevent a server from returning to service by an
 older list or report.
 """
 
@@ -14,9 +14,14 @@
 from turmericweir_core.base.ids import ServerName
 from turmericweir_core.messages.effects import Effect, Log, SendPeer
 from turmericweir_core.messages.peer_messages import Heartbeat, Mark, MarksAsk, MarksSend
-from turmericweir_core.state.leaving_notices import LeavingMark, expire_marks, hot_marks, note_mark
+from turmericweir_core.state.leaving_notices import (
+    LeavingNotice,
+    expire_notices,
+    note_notice,
+    recent_notices,
+)
 from turmericweir_core.state.membership_state import Member
-from turmericweir_core.state.server_table import Server, apply_marks
+from turmericweir_core.state.server_table import Server, apply_notices
 from turmericweir_core.state.state import State
 
 
@@ -31,14 +36,14 @@
 
 def _create_notices(state: State, now: float, server: Server) -> list[Effect]:
     effects: list[Effect] = []
-    if server.entry.leaving and not server.outlived_entry:
+    if server.entry.leaving and not server.has_outlived_entry:
         effects += _record_notice(state, now, server, server.entry.incarnation, drained=False)
     report = server.report
     incarnation = server.entry.incarnation if report is None else report.incarnation
-    notice = state.servers.marks.by_key.get((server.entry.name, incarnation))
+    notice = state.servers.leaving_notices.by_key.get((server.entry.name, incarnation))
     has_left = server.refused_leaving or (report is not None and report.leaving)
     # A report with the incarnation of the notice confirms it, so it may be renewed.
-    is_renewed = notice is not None and not notice.drained and report is not None
+    is_renewed = notice is not None and not notice.is_drained and report is not None
     if has_left or is_renewed:
         effects += _record_notice(state, now, server, incarnation, drained=False)
     if server.drained and (report is not None or not _has_notice(state, server)):
@@ -47,14 +52,16 @@
 
 
 def _has_notice(state: State, server: Server) -> bool:
-    return server.entry.name in state.servers.marks.incarnations
+    return server.entry.name in state.servers.leaving_notices.incarnations
 
 
 def _record_notice(
     state: State, now: float, server: Server, incarnation: str, *, drained: bool
 ) -> list[Effect]:
     name = server.entry.name
-    is_new = note_mark(state.servers.marks, state.options, now, now, name, incarnation, drained)
+    is_new = note_notice(
+        state.servers.leaving_notices, state.options, now, now, name, incarnation, drained
+    )
     if not is_new:
         return []
     return [Log("server_leaving", {"server": name, "drained": drained, "by": state.me.name})]
@@ -62,18 +69,18 @@
 
 def drop_expired_notices(state: State, now: float) -> None:
     """Drop the notices that no instance has renewed for some time."""
-    expire_marks(state.servers.marks, state.options, now)
+    expire_notices(state.servers.leaving_notices, state.options, now)
 
 
 def notices_to_send(state: State, now: float) -> list[Mark]:
     """Return the notices that go with the next datagram: the new ones, newest first."""
-    recent = hot_marks(state.servers.marks, state.options, now)
+    recent = recent_notices(state.servers.leaving_notices, state.options, now)
     return [_notice_message(notice, now) for notice in recent[: state.options.mark_hot_max]]
 
 
-def _notice_message(notice: LeavingMark, now: float) -> Mark:
+def _notice_message(notice: LeavingNotice, now: float) -> Mark:
     age_s = max(0, int(now - notice.seen_at))
-    return Mark(notice.server, notice.incarnation, notice.drained, age_s)
+    return Mark(notice.server, notice.incarnation, notice.is_drained, age_s)
 
 
 def take_notices(state: State, now: float, notices: list[Mark]) -> list[Effect]:
@@ -83,8 +90,8 @@
         name = ServerName(notice.server)
         # A negative age from a faulty peer must not keep the notice for ever.
         seen_at = now - max(0, notice.age_s)
-        if not note_mark(
-            state.servers.marks,
+        if not note_notice(
+            state.servers.leaving_notices,
             state.options,
             seen_at,
             now,
@@ -96,14 +103,14 @@
         effects.append(Log("server_marked", {"server": name, "drained": notice.drained}))
         server = state.servers.by_name.get(name)
         if server is not None:
-            apply_marks(state.servers, server)
+            apply_notices(state.servers, server)
     return effects
 
 
 def compare_notices(state: State, now: float, sender: Member, beat: Heartbeat) -> list[Effect]:
     """Request a peer's notices where the digests have differed for some time."""
-    differ_since = state.members.marks_differ
-    if beat.marks_hash == state.servers.marks.digest:
+    differ_since = state.members.notices_differ_since
+    if beat.marks_hash == state.servers.leaving_notices.digest:
         differ_since.pop(sender.name, None)
         return []
     if now - differ_since.setdefault(sender.name, now) < state.options.mark_ask_s:
@@ -114,5 +121,7 @@
 
 def answer_notices(state: State, now: float, sender: Member) -> list[Effect]:
     """Send all notices to a peer that requested them."""
-    notices = [_notice_message(notice, now) for notice in state.servers.marks.by_key.values()]
+    notices = [
+        _notice_message(notice, now) for notice in state.servers.leaving_notices.by_key.values()
+    ]
     return [SendPeer(sender.name, sender.peer_address, MarksSend(notices))]
--- a/packages/turmericweir-core/turmericweir_core/membership/membership.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership.py
@@ -67,11 +67,11 @@
     if member.name == state.me.name:
         return True
     if member.data_centre == state.me.data_centre:
-        return now - member.heard_at <= state.options.suspect_s
+        return now - member.last_seen_at <= state.options.suspect_s
     centre = state.members.centres.get(member.data_centre)
     if centre is None or member.name not in centre.roster:
         return False
-    return now - centre.heard_at <= state.options.centre_suspect_s
+    return now - centre.last_seen_at <= state.options.centre_suspect_s
 
 
 def data_centres(state: State, now: float) -> list[CentreView]:
@@ -87,12 +87,12 @@
 
 
 def _remote_view(state: State, now: float, centre: RemoteCentre) -> CentreView:
-    status = centre.word
+    status = centre.status_message
     return CentreView(
         name=centre.name,
         region=centre.region,
-        heard_at=centre.heard_at,
-        reachable=now - centre.heard_at <= state.options.centre_suspect_s,
+        last_seen_at=centre.last_seen_at,
+        reachable=now - centre.last_seen_at <= state.options.centre_suspect_s,
         live=status.live if status else 0,
         settings_offset=status.settings_offset if status else 0,
     )
@@ -127,7 +127,7 @@
         region=me.region,
         incarnation=me.incarnation,
         seq=state.members.seq,
-        heard_at=float("inf"),
+        last_seen_at=float("inf"),
         leaving=state.stopping_since is not None,
         settings_offset=state.settings_offset(),
         strength=me.strength,
@@ -172,7 +172,7 @@
 
 def is_retired(member: Member, incarnation: str) -> bool:
     """Return whether an incarnation was followed by another one."""
-    return incarnation in member.retired
+    return incarnation in member.retired_incarnations
 
 
 def record_counter(state: State, now: float, member: Member, seq: int) -> bool:
@@ -185,21 +185,23 @@
     # dead member from making that member live again.
     if is_first or now < state.members.trust_after:
         return False
-    member.heard_at = now
+    member.last_seen_at = now
     return True
 
 
 def restart(member: Member, incarnation: str) -> None:
     """Reset a member's state for another incarnation."""
     if member.incarnation:
-        member.retired = (*member.retired, member.incarnation)[-MAX_RETIRED:]
+        member.retired_incarnations = (*member.retired_incarnations, member.incarnation)[
+            -MAX_RETIRED:
+        ]
     if member.leaving:
-        member.left = (*member.left, member.incarnation)[-MAX_RETIRED:]
+        member.left_incarnations = (*member.left_incarnations, member.incarnation)[-MAX_RETIRED:]
     member.incarnation = incarnation
     member.seq = None
-    member.heard_at = NEVER
+    member.last_seen_at = NEVER
     # A delayed message may restore an older incarnation, which is still leaving.
-    member.leaving = incarnation in member.left
+    member.leaving = incarnation in member.left_incarnations
     member.settings_offset = 0
 
 
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_discovery.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_discovery.py
@@ -33,7 +33,7 @@
     members = state.members
     is_starting = members.started_at is None or now - members.started_at < _START_PHASE_S
     period_s = _START_CONTACT_INTERVAL_S if is_starting else state.options.candidate_s
-    return max(members.candidate_due + period_s, now)
+    return max(members.next_candidate_at + period_s, now)
 
 
 def contact_candidate(state: State, now: float) -> list[SendDatagram]:
@@ -50,7 +50,7 @@
         if member.data_centre == state.me.data_centre and not is_live(state, now, member)
     ]
     known_addresses = {
-        member.peer_address for member in members.by_name.values() if member.heard_at > NEVER
+        member.peer_address for member in members.by_name.values() if member.last_seen_at > NEVER
     }
     unknown_addresses = [
         address
@@ -72,7 +72,7 @@
 
 def _contact(state: State, now: float, to: Member) -> SendDatagram:
     """Return a full heartbeat to a member that is not known to be live."""
-    to.greeted_at = now
+    to.contacted_at = now
     statuses = membership_status.statuses_to_send(state, now)
     return membership_gossip.send_heartbeat(state, now, to, statuses, is_full=True)
 
@@ -87,7 +87,7 @@
         if member.data_centre == sender.data_centre
         and member.name != sender.name
         and not member.leaving
-        and now - member.heard_at <= state.options.suspect_s
+        and now - member.last_seen_at <= state.options.suspect_s
     ]
     if neighbours:
         chosen = state.rng.sample(neighbours, min(len(neighbours), state.options.records_max))
@@ -107,5 +107,5 @@
                 not_live.append(member)
     if len(live_instances(state, now, state.me.data_centre)) >= _ENOUGH_LIVE_MEMBERS:
         return []
-    candidates = [member for member in not_live if now - member.greeted_at > _CONTACT_RETRY_S]
+    candidates = [member for member in not_live if now - member.contacted_at > _CONTACT_RETRY_S]
     return [_contact(state, now, member) for member in candidates[:_CONTACTS_MAX]]
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
@@ -84,7 +84,7 @@
     """Increment this instance's counter and send all known counters to one peer."""
     members = state.members
     members.seq += 1
-    members.round += 1
+    members.gossip_round += 1
     refresh_roster(state, now)
     partner = _partner(state, now)
     if partner is None:
@@ -96,14 +96,16 @@
     """Return the next partner on the ring of recently seen members of this data centre."""
     oldest_at = now - state.options.partner_s
     ring = live_instances(state, now, state.me.data_centre)
-    ring = [member for member in ring if member.heard_at >= oldest_at] if len(ring) > 2 else ring
+    ring = (
+        [member for member in ring if member.last_seen_at >= oldest_at] if len(ring) > 2 else ring
+    )
     if len(ring) < 2:
         return None
     own_position = next(
         position for position, member in enumerate(ring) if member.name == state.me.name
     )
     doublings = (len(ring) - 1).bit_length()
-    distance = 1 << (state.members.round % doublings)
+    distance = 1 << (state.members.gossip_round % doublings)
     return ring[(own_position + distance) % len(ring)]
 
 
@@ -131,9 +133,9 @@
 def _heartbeat(state: State, now: float, statuses: list[Word], *, is_full: bool) -> Heartbeat:
     members = state.members
     me = self_member(state)
-    is_identified = is_full or now < members.unsettled_until
+    is_identified = is_full or now < members.rosters_differ_until
     newest_offset = max(member.settings_offset for member in (me, *roster_members(state)))
-    has_hash = is_identified or members.round % _HASH_EVERY_ROUNDS == 0
+    has_hash = is_identified or members.gossip_round % _HASH_EVERY_ROUNDS == 0
     return Heartbeat(
         data_centre=me.data_centre if is_identified else "",
         address=me.peer_address if is_identified else "",
@@ -170,7 +172,7 @@
     roster = list(zip(state.members.roster, roster_members(state), strict=True))
     limit = state.options.counters_max
     if len(roster) > limit:
-        first = state.members.round * limit % len(roster)
+        first = state.members.gossip_round * limit % len(roster)
         roster = (roster + roster)[first : first + limit]
     entries: list[int] = []
     for key, member in roster:
@@ -256,7 +258,7 @@
     members = state.members
     if beat.members_hash != members.roster_hash:
         # The receiver of the next datagrams may have yet another roster.
-        members.unsettled_until = now + state.options.settle_s
+        members.rosters_differ_until = now + state.options.settle_s
     if beat.entries:
         return _record_entries(state, now, sender, beat)
     roster = roster_by_hash(members, beat.members_hash)
@@ -312,8 +314,8 @@
 def _request_records(
     state: State, now: float, sender: Member, unknown_keys: list[int]
 ) -> list[Effect]:
-    if not unknown_keys or now < state.members.ask_due:
+    if not unknown_keys or now < state.members.next_key_request_at:
         return []
-    state.members.ask_due = now + state.options.members_ask_s
+    state.members.next_key_request_at = now + state.options.members_ask_s
     request = MembersAsk(state.me.data_centre, unknown_keys)
     return [SendDatagram(sender.name, sender.peer_address, request)]
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
@@ -35,7 +35,7 @@
         address=member.peer_address,
         incarnation=member.incarnation,
         leaving=member.leaving,
-        former=list(member.retired[-_FORMER_MAX:]),
+        former=list(member.retired_incarnations[-_FORMER_MAX:]),
         strength=member.strength,
     )
 
@@ -81,7 +81,7 @@
     member.peer_address = record.address
     member.region = record.region
     member.strength = record.strength
-    member.told_at = now
+    member.reported_at = now
     # The leaving flag of an incarnation is never cleared.
     member.leaving = member.leaving or record.leaving
     index_member(members, member)
@@ -106,11 +106,11 @@
     """Drop members that have been unresponsive for long and that no source names any more."""
     members = state.members
     for member in list(members.by_name.values()):
-        unresponsive_s = now - max(member.heard_at, member.told_at)
+        unresponsive_s = now - max(member.last_seen_at, member.reported_at)
         if unresponsive_s > _forget_after_s(state, now, member) and not is_live(state, now, member):
             unindex_member(members, member)
             del members.by_name[member.name]
-            members.marks_differ.pop(member.name, None)
+            members.notices_differ_since.pop(member.name, None)
 
 
 def _forget_after_s(state: State, now: float, member: Member) -> float:
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
@@ -51,14 +51,14 @@
     if members.started_at is None:
         members.started_at = now
     members.last_tick_at = now
-    if now >= members.round_due:
-        members.round_due = _next_due_at(members.round_due, now, state.options.heartbeat_s)
+    if now >= members.next_round_at:
+        members.next_round_at = _next_due_at(members.next_round_at, now, state.options.heartbeat_s)
         effects += _run_round(state, now)
-    if now >= members.candidate_due:
-        members.candidate_due = membership_discovery.next_contact_at(state, now)
+    if now >= members.next_candidate_at:
+        members.next_candidate_at = membership_discovery.next_contact_at(state, now)
         effects += _add_notices(state, now, membership_discovery.contact_candidate(state, now))
-    if now >= members.relay_due:
-        members.relay_due = _next_due_at(members.relay_due, now, state.options.relay_s)
+    if now >= members.next_status_at:
+        members.next_status_at = _next_due_at(members.next_status_at, now, state.options.relay_s)
         effects += _add_notices(state, now, membership_status.send_statuses(state, now))
         membership_records.drop_expired_members(state, now)
         leaving.drop_expired_notices(state, now)
@@ -86,7 +86,7 @@
             beat = replace(
                 effect.message,
                 marks=notices,
-                marks_hash=table.marks.digest,
+                marks_hash=table.leaving_notices.digest,
                 servers_hash=table.listed_hash,
                 servers_age_s=server_list.list_age_s(state, now),
             )
@@ -187,11 +187,11 @@
     if member is None:
         member = Member(listed.name, listed.data_centre, listed.peer_address)
         members.by_name[listed.name] = member
-    elif member.heard_at == NEVER:
+    elif member.last_seen_at == NEVER:
         # The list may be older than the address that the member itself sent.
         member.data_centre = listed.data_centre
         member.peer_address = listed.peer_address
-    member.told_at = now
+    member.reported_at = now
     if listed.leaving and listed.incarnation == member.incarnation:
         member.leaving = True
         index_member(members, member)
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_roster.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_roster.py
@@ -23,7 +23,10 @@
     options = state.options
     keys_and_names = [(self_key(state), state.me.name)]
     for member in state.members.by_name.values():
-        if member.data_centre == state.me.data_centre and now - member.heard_at <= options.roster_s:
+        if (
+            member.data_centre == state.me.data_centre
+            and now - member.last_seen_at <= options.roster_s
+        ):
             keys_and_names.append(
                 (member_key(member.name, member.incarnation, member.leaving), member.name)
             )
@@ -32,7 +35,7 @@
     if keys == state.members.roster:
         return
     _adopt_roster(state.members, keys, tuple(name for _, name in keys_and_names))
-    state.members.unsettled_until = now + options.settle_s
+    state.members.rosters_differ_until = now + options.settle_s
 
 
 def _adopt_roster(
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_status.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_status.py
@@ -42,9 +42,9 @@
 def statuses_to_send(state: State, now: float, to: str = "") -> list[Word]:
     """Return status messages for the next datagram: all, or a random sample if there are many."""
     fresh = [
-        centre.word
+        centre.status_message
         for _, centre in sorted(state.members.centres.items())
-        if centre.word and now - centre.heard_at <= state.options.centre_suspect_s
+        if centre.status_message and now - centre.last_seen_at <= state.options.centre_suspect_s
         if centre.name != to
     ]
     limit = len(fresh) if _is_starting(state, now) else state.options.words_max
@@ -137,8 +137,8 @@
     if now < state.members.trust_after:
         # The message may have waited in a socket of this process during a pause.
         return []
-    centre.word = status
-    centre.heard_at = now
+    centre.status_message = status
+    centre.last_seen_at = now
     _apply_status(state, now, centre)
     return _request_roster(state, now, sender, centre)
 
@@ -153,22 +153,24 @@
 
 def _apply_status(state: State, now: float, centre: RemoteCentre) -> None:
     """Apply the status of a data centre to all its members."""
-    assert centre.word is not None
+    assert centre.status_message is not None
     for name in centre.roster:
         member = state.members.by_name.get(name)
         if member is not None:
-            member.heard_at = now
-            member.settings_offset = max(member.settings_offset, centre.word.settings_offset)
+            member.last_seen_at = now
+            member.settings_offset = max(
+                member.settings_offset, centre.status_message.settings_offset
+            )
 
 
 def _request_roster(state: State, now: float, sender: Member, centre: RemoteCentre) -> list[Effect]:
-    assert centre.word is not None
-    if centre.word.members_hash == centre.roster_hash:
+    assert centre.status_message is not None
+    if centre.status_message.members_hash == centre.roster_hash:
         return []
     wait_s = _START_REQUEST_INTERVAL_S if _is_starting(state, now) else state.options.roster_ask_s
-    if now - centre.asked_at < wait_s:
+    if now - centre.roster_requested_at < wait_s:
         return []
-    centre.asked_at = now
+    centre.roster_requested_at = now
     return [SendPeer(sender.name, sender.peer_address, MembersAsk(centre.name))]
 
 
@@ -200,9 +202,9 @@
     if message.data_centre == state.me.data_centre:
         return []
     centre = state.members.centres.get(message.data_centre)
-    if centre is None or centre.word is None:
+    if centre is None or centre.status_message is None:
         return []
-    is_newest = message.members_hash == centre.word.members_hash
+    is_newest = message.members_hash == centre.status_message.members_hash
     if not is_newest and len(message.records) <= len(centre.roster):
         # The sender's roster is older than the recorded status; a later message requests it again.
         # While a data centre starts, the longer roster is preferred.
@@ -230,7 +232,7 @@
         if member.data_centre == centre.name
         and member.name not in centre.roster
         and not member.leaving
-        if now - member.heard_at <= state.options.centre_suspect_s
+        if now - member.last_seen_at <= state.options.centre_suspect_s
     ]
     if not live or not missing:
         return []
