--- a/packages/turmericweir-core/turmericweir_core/membership/server_list.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/server_list.py
@@ -63,9 +63,9 @@
         return []
     if not _wants_list(state, now, beat.servers_age_s):
         return []
-    if now < state.members.servers_ask_due:
+    if now < state.members.next_servers_request_at:
         return []
-    state.members.servers_ask_due = now + state.options.servers_ask_s
+    state.members.next_servers_request_at = now + state.options.servers_ask_s
     return [SendPeer(sender.name, sender.peer_address, ServersAsk())]
 
 
@@ -98,9 +98,9 @@
     if state.document is not None:
         # The registry is complete: servers missing from it are gone.
         table.listed = {entry.name: entry for entry in message.servers}
-        server_table.rebuild(table, state.config)
+        server_table.rebuild_table(table, state.config)
     else:
-        server_table.list_servers(table, state.config, tuple(message.servers))
+        server_table.apply_server_list(table, state.config, tuple(message.servers))
     table.listed_at = read_at
     table.listed_hash = hash_entries(state)
     fields = {"peer": sender.name, "servers": len(message.servers), "age_s": round(message.age_s)}
--- a/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
@@ -47,16 +47,18 @@
 
 def is_reader(state: State, now: float) -> bool:
     """Return whether this instance reads for others."""
-    if state.registry.stands_in:
+    if state.registry.is_fallback_reader:
         return True
     started_at = state.members.started_at
     if started_at is None or now - started_at < _START_PHASE_S:
         return False
     registry = state.registry
-    if now >= registry.pick_due:
-        registry.pick_due = now + _PICK_INTERVAL_S
-        registry.is_picked = any(member.name == state.me.name for member in readers(state, now))
-    return registry.is_picked
+    if now >= registry.next_choice_at:
+        registry.next_choice_at = now + _PICK_INTERVAL_S
+        registry.is_chosen_reader = any(
+            member.name == state.me.name for member in readers(state, now)
+        )
+    return registry.is_chosen_reader
 
 
 # --- peers to send to ---------------------------------------------------------------------------
@@ -112,14 +114,14 @@
     Does not apply to the first read, which all instances make when they start.
     """
     if state.registry.read_at > _NEVER and is_registry_overdue(state, now):
-        state.registry.stands_in = True
+        state.registry.is_fallback_reader = True
 
 
 def note_reader(state: State, now: float, reader: InstanceName) -> None:
     """Stop being a fallback reader if the announcing peer is picked or has the higher weight."""
     is_picked = reader in {member.name for member in readers(state, now)}
     if is_picked or rendezvous_weight(_DUTY, reader) > rendezvous_weight(_DUTY, state.me.name):
-        state.registry.stands_in = False
+        state.registry.is_fallback_reader = False
 
 
 def is_registry_overdue(state: State, now: float) -> bool:
--- a/packages/turmericweir-core/turmericweir_core/membership/subset.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/subset.py
@@ -15,7 +15,7 @@
 
 from turmericweir_core.base.ids import Target
 from turmericweir_core.membership import membership
-from turmericweir_core.state.server_table import Server, is_open, servers_for
+from turmericweir_core.state.server_table import Server, can_take_work, servers_for
 from turmericweir_core.state.subset_state import TargetSubset
 
 if TYPE_CHECKING:
@@ -49,7 +49,9 @@
     local = [server for server in serving if server.entry.data_centre == me.data_centre]
     others = [server for server in serving if server.entry.data_centre != me.data_centre]
     # Servers of another region are used only if this region has none.
-    near = [server for server in others if server.entry.data_centre not in state.subsets.foreign]
+    near = [
+        server for server in others if server.entry.data_centre not in state.subsets.foreign_centres
+    ]
     others = near if local or near else others
     size = state.options.subset_size
     local_part = local[: max(size - len(others), size - state.options.subset_remote)]
@@ -61,7 +63,9 @@
 def open_servers(state: State, now: float, target: Target) -> list[Server]:
     """Return the servers of the subset that may receive new work now."""
     subset = target_subset(state, target)
-    available = _without_unproven([server for server in subset.servers if is_open(server, now)])
+    available = _without_unproven(
+        [server for server in subset.servers if can_take_work(server, now)]
+    )
     if available or subset.total <= len(subset.servers):
         return available
     # Prevents requests from waiting while idle servers exist: if the whole subset is unavailable,
@@ -89,19 +93,19 @@
 def on_tick(state: State, now: float) -> None:
     """Update the number of instances in this region and the servers in use here."""
     subsets = state.subsets
-    if now < subsets.used_due:
+    if now < subsets.next_used_update_at:
         return
-    subsets.used_due = now + state.options.subset_look_s
+    subsets.next_used_update_at = now + state.options.subset_look_s
     foreign = frozenset(
         centre.name
         for centre in state.members.centres.values()
         if centre.region and centre.region != state.me.region
     )
-    if foreign != subsets.foreign:
-        subsets.foreign = foreign
+    if foreign != subsets.foreign_centres:
+        subsets.foreign_centres = foreign
         subsets.by_target.clear()
     subsets.instances = max(1, len(membership.region_instances(state, now)))
-    subsets.used = frozenset(
+    subsets.used_servers = frozenset(
         server.entry.name
         for target in state.queues.targets
         for server in target_subset(state, target).servers
--- a/packages/turmericweir-core/turmericweir_core/placement/admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/admission.py
@@ -135,7 +135,7 @@
         if queue.service_class.priority < req.priority:
             upper_work += queue.work
         elif queue.service_class.priority == req.priority:
-            own_work += queue.work - queue.late_work
+            own_work += queue.work - queue.overdue_work
     return upper_work + own_work
 
 
@@ -157,14 +157,18 @@
     if state.config.policy is Policy.PREDICTED:
         return unservable
     for queue in queue_state.pool_queues(state.queues, pool):
-        rate = drain_rate(load, idle_slots_share(state, now, queue.target)) if queue.late else None
+        rate = (
+            drain_rate(load, idle_slots_share(state, now, queue.target))
+            if queue.overdue_requests
+            else None
+        )
         if rate is None:
             continue
         # Arrivals of the same tier are on time and are served first, so they count as well.
         upper_arrival_rate = arrival_rate(
             load, state.options, now, queue.service_class.priority + 1
         )
-        for req, late_work_ahead in queue.late_ends():
+        for req, late_work_ahead in queue.overdue_ends():
             work_ahead = _work_ahead(state, req, pool) + late_work_ahead
             wait_s = _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
             is_hopeless = not req.may_have_run and wait_s > req.deadline - now
--- a/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
@@ -40,8 +40,8 @@
     The server gets no new work until its pace shows that it has recovered.
     """
     attempt.late_gaps += 1
-    was_late_before = straggler.was_late_before(state.stragglers, now, attempt.server, gap_s)
-    straggler.note_late(state.stragglers, now, attempt.server)
+    was_late_before = straggler.is_repeated_gap(state.stragglers, now, attempt.server, gap_s)
+    straggler.note_overdue_token(state.stragglers, now, attempt.server)
     if attempt.late_gaps < state.options.move_late_gaps and not was_late_before:
         return []
     if not _can_move(state, req, attempt) or not _would_move_help(state, now, req, attempt, gap_s):
@@ -50,7 +50,9 @@
         return []
     req.moved = True
     effects: list[Effect] = [Count(f"moved.{req.service_class.name}")]
-    if straggler.stop(state.stragglers, state.options, now, attempt.pool, attempt.server, gap_s):
+    if straggler.stop_straggler(
+        state.stragglers, state.options, now, attempt.pool, attempt.server, gap_s
+    ):
         effects.append(Count("straggler.found"))
         effects.append(Log("straggler", {"peer": attempt.server, "step": "late"}))
     return effects + cancel(req, CancelReason.MOVED)
@@ -69,7 +71,7 @@
 ) -> bool:
     server = state.servers.by_name.get(attempt.server)
     # Ordered by cost: most calls end at the comparison with other servers.
-    if server is None or not straggler.is_behind(
+    if server is None or not straggler.is_gap_outlier(
         state.stragglers, state.options, server.service.name, attempt.server, gap_s
     ):
         return False
@@ -103,7 +105,7 @@
                 running_attempt.server, False
             )
     for name in in_time_by_server:
-        in_time_by_server[name] &= not straggler.was_late(
+        in_time_by_server[name] &= not straggler.has_overdue_token(
             state.stragglers, state.options, now, name
         )
     return not in_time_by_server or 2 * sum(in_time_by_server.values()) > len(in_time_by_server)
@@ -113,7 +115,7 @@
     return any(
         server.entry.name != attempt.server
         and server.entry.name not in req.avoid
-        and not straggler.was_late(state.stragglers, state.options, now, server.entry.name)
+        and not straggler.has_overdue_token(state.stragglers, state.options, now, server.entry.name)
         and (headroom(state, now, server, req.priority) > 0 or _can_get_credit(state, now, server))
         for server in open_servers(state, now, req.target)
     )
@@ -129,5 +131,5 @@
         return False
     if straggler.server_weight(state.stragglers, server.entry.name) < 1.0:
         return False
-    credit = state.credits.held.get(server.entry.name)
-    return (credit is None or not credit.contended) and not goes_by_counts(state, now, server)
+    credit = state.credits.held_by_server.get(server.entry.name)
+    return (credit is None or not credit.is_contended) and not goes_by_counts(state, now, server)
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
@@ -153,7 +153,7 @@
     """Sample running attempts, judge servers by them, and adapt their limits."""
     if state.config.policy is Policy.BASELINE:
         return []
-    if not straggler.sample_is_due(state.stragglers, state.options, now):
+    if not straggler.begin_sampling(state.stragglers, state.options, now):
         return []
     urgent = most_urgent(state.config)
     for req in state.requests.values():
@@ -171,7 +171,7 @@
     _forget_removed_servers(state)
     _adjust_engine_limits(state, now)
     effects: list[Effect] = []
-    for name in straggler.judge_all(state.stragglers, state.options, now):
+    for name in straggler.update_weights(state.stragglers, state.options, now):
         effects.append(Count("straggler.found"))
         effects.append(Log("straggler", {"peer": name, "step": "judge"}))
     return effects
--- a/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
@@ -48,7 +48,7 @@
     for name in sorted(unresponsive):
         server = state.servers.by_name.get(name)
         suspicion = suspicions.get(name)
-        if server is None or (suspicion is not None and now < suspicion.try_due):
+        if server is None or (suspicion is not None and now < suspicion.next_probe_at):
             continue
         # Probed again after this interval unless it answers before.
         suspicions[name] = Suspicion(
@@ -72,7 +72,7 @@
     suspicion = state.dead.by_server.get(name)
     if suspicion is not None:
         suspicion.failures = 0
-        suspicion.try_due = now + _ANSWERING_PROBE_INTERVAL_S
+        suspicion.next_probe_at = now + _ANSWERING_PROBE_INTERVAL_S
 
 
 def on_unreachable(state: State, now: float, name: ServerName) -> list[Effect]:
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -22,7 +22,7 @@
 from turmericweir_core.placement import attempt_accounting, displacement, predicted_placement
 from turmericweir_core.placement.placement import pick_server
 from turmericweir_core.state import queue_state
-from turmericweir_core.state.server_table import Server, known_incarnation
+from turmericweir_core.state.server_table import Server, reported_incarnation
 from turmericweir_core.state.state import State
 
 # Waiting requests of one class that a pass checks. Bounds the cost of a pass.
@@ -56,7 +56,7 @@
     if pool is None:
         return []
     if state.config.policy is not Policy.BASELINE:
-        queue_state.move_late(state.queues, now)
+        queue_state.move_overdue(state.queues, now)
     effects = _bind_waiting(state, now, pool)
     # Local lower work is displaced before other instances are asked to displace theirs.
     effects += make_room(state, now, pool)
@@ -73,7 +73,7 @@
     """Bind the waiting requests of all pools."""
     effects: list[Effect] = []
     for pool, targets in state.queues.pools.items():
-        if targets and queue_state.anything_waits(state.queues, pool):
+        if targets and queue_state.has_waiting(state.queues, pool):
             effects += dispatch(state, now, targets[0])
     return effects
 
@@ -107,7 +107,7 @@
     """
     for queue in _serving_order(state, pool):
         tier = _running_tier(state, pool, queue)
-        for req in queue.in_turn(_CHECKED_MAX):
+        for req in queue.first_in_order(_CHECKED_MAX):
             server = pick_server(state, now, req, tier)
             if server is not None:
                 queue_state.note_dispatched(state.queues, queue, req)
@@ -119,7 +119,7 @@
     if state.config.policy is Policy.BASELINE:
         nonempty = queue_state.pool_queues(state.queues, pool)
         return sorted(nonempty, key=lambda queue: queue.head().arrived)
-    return queue_state.in_order(state.queues, pool)
+    return queue_state.queues_in_order(state.queues, pool)
 
 
 def _running_tier(state: State, pool: str, queue: queue_state.ClassQueue) -> int:
@@ -131,7 +131,9 @@
     if state.config.policy is Policy.BASELINE:
         return most_urgent(state.config)
     tier = queue.service_class.priority
-    if queue_state.is_owed(queue) and queue_state.upper_waits(state.queues, pool, tier):
+    if queue_state.has_earned_next(queue) and queue_state.has_upper_waiting(
+        state.queues, pool, tier
+    ):
         return most_urgent(state.config)
     return tier
 
@@ -143,11 +145,11 @@
     name = attempt_id(req.request_id, req.attempts)
     req.attempts += 1
     attempt = Attempt(name, server.entry.name, now, tier=req.priority if tier is None else tier)
-    attempt.incarnation = known_incarnation(server)
+    attempt.incarnation = reported_incarnation(server)
     req.attempt = attempt
     req.phase = Phase.RUNNING
     server.in_flight[name] = attempt.tier
-    server.sent += 1
+    server.sent_count += 1
     effects: list[Effect] = []
     fetch_from = ""
     if state.config.policy is Policy.PREDICTED:
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -22,8 +22,8 @@
 from turmericweir_core.placement.placement import headroom
 from turmericweir_core.queueing.displacement_delay import count_ripe
 from turmericweir_core.state import queue_state
-from turmericweir_core.state.pool_load import lower_running, pool_load
-from turmericweir_core.state.server_table import Server, preferred
+from turmericweir_core.state.pool_load import is_lower_tier_running, pool_load
+from turmericweir_core.state.server_table import Server, preferred_servers
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
@@ -41,7 +41,7 @@
         tier = queue.service_class.priority
         waiting_count += count_ripe(state.options, now, queue, load.displacing + 1)
         # At most one attempt for each waiting request; displaced attempts that still run count.
-        if waiting_count <= load.displacing or not lower_running(load, tier):
+        if waiting_count <= load.displacing or not is_lower_tier_running(load, tier):
             continue
         victim = _attempt_blocking_head(state, now, queue.head(), tier)
         if victim is not None:
@@ -59,7 +59,7 @@
     started_before = now - state.options.displace_after_s
     return _least_urgent(
         req
-        for server in preferred(open_servers(state, now, head.target), head)
+        for server in preferred_servers(open_servers(state, now, head.target), head)
         if headroom(state, now, server, tier) == 0
         for req in displaceable(state, server, tier)
         if req.attempt is not None and req.attempt.started <= started_before
@@ -102,7 +102,7 @@
 
 def requests_on_recalled_credit(state: State, server: Server) -> list[Request]:
     """List what to displace on a server because its dispatcher recalled credit."""
-    credit = state.credits.held.get(server.entry.name)
+    credit = state.credits.held_by_server.get(server.entry.name)
     excess_slots = excess(state, server)
     if credit is None or excess_slots <= 0:
         return []
--- a/packages/turmericweir-core/turmericweir_core/placement/placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/placement.py
@@ -33,7 +33,7 @@
 from turmericweir_core.state.concurrency import limited_slots
 from turmericweir_core.state.prefix import match_scores
 from turmericweir_core.state.queue_state import target_classes
-from turmericweir_core.state.server_table import Server, any_target, preferred, servers_for
+from turmericweir_core.state.server_table import Server, any_target, preferred_servers, servers_for
 
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
@@ -45,8 +45,8 @@
 def pick_server(state: State, now: float, req: Request, tier: int) -> Server | None:
     """Pick the server for a request that is to run at a tier, or None where it has to wait."""
     if state.config.policy is Policy.BASELINE:
-        return _pick_baseline(preferred(servers_for(state.servers, req.target, now), req))
-    candidates = preferred(open_servers(state, now, req.target), req)
+        return _pick_baseline(preferred_servers(servers_for(state.servers, req.target, now), req))
+    candidates = preferred_servers(open_servers(state, now, req.target), req)
     if state.config.policy is Policy.PREDICTED:
         return predicted_placement.pick(state, now, req, tier, candidates)
     probe = _straggler_to_probe(state, now, req, candidates)
@@ -60,7 +60,7 @@
     servers_with_room = [
         server for server in candidates if len(server.in_flight) < 2 * server.slots
     ]
-    return min(servers_with_room, key=lambda server: server.sent, default=None)
+    return min(servers_with_room, key=lambda server: server.sent_count, default=None)
 
 
 def _pick_least_loaded(
@@ -95,7 +95,7 @@
 def _remaining_share(state: State, now: float, server: Server) -> int:
     """Count the requests left of this instance's share of a server."""
     instance_count = sharing_instances(state, any_target(server))
-    own_requests_at_report = server.own_at_report
+    own_requests_at_report = server.in_flight_at_report
     free_slots = (
         usable_slots(state, server) - own_requests_at_report - others_load(state, now, server)
     )
@@ -197,7 +197,7 @@
     report = server.report
     if report is None or now - server.report_at > state.options.report_valid_s:
         return 0
-    return max(0, report.running + report.waiting - server.own_at_report)
+    return max(0, report.running + report.waiting - server.in_flight_at_report)
 
 
 def _counts_headroom(state: State, now: float, server: Server, tier: int) -> int:
@@ -254,7 +254,7 @@
     for server in candidates:
         if _pace_weight(state, server) > 0.0:
             continue
-        is_due = straggler.may_probe(
+        is_due = straggler.can_probe_straggler(
             state.stragglers,
             now - _lower_class_wait_s(state, req),
             server.entry.name,
@@ -283,6 +283,6 @@
     """Return whether a server should be asked for its load."""
     if state.config.policy is Policy.CREDITS:
         return credit.must_probe(state, now, server)
-    if server.report is None or server.entry.name in state.subsets.used:
+    if server.report is None or server.entry.name in state.subsets.used_servers:
         return True
     return now - server.report_at >= state.options.probe_unused_s
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
@@ -76,7 +76,7 @@
     if req.expected_tokens is None or not servers or not _is_least_urgent(state, req):
         return 0.0
     engines = engine_pools.engines_for(state, now, req, servers)
-    gap_s = straggler.gap_seen(state.stragglers, now, (server.entry.name for server in engines))
+    gap_s = straggler.recent_gap_s(state.stragglers, now, (server.entry.name for server in engines))
     if gap_s is None:
         return 0.0
     tokens = req.expected_tokens
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
@@ -229,7 +229,7 @@
     """Return the inputs of a placement for its log line."""
     name = server.entry.name
     record = engine_model.book_of(state, name)
-    update_ages_s = [now - each.heard.at for each in record.peers.values()]
+    update_ages_s = [now - each.last_receipt.received_at for each in record.peers.values()]
     fields: dict[str, object] = {
         "requests_there": engine_model.request_count(record, now),
         "peers_told": len(update_ages_s),
--- a/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
@@ -41,14 +41,14 @@
     """Return whether a queue has a request that has waited for too long."""
     oldest = next(iter(queue.on_time.values()), None)
     limit_s = _LATE_SHARE * queue.service_class.target_s
-    return bool(queue.late) or (oldest is not None and now - oldest.arrived >= limit_s)
+    return bool(queue.overdue_requests) or (oldest is not None and now - oldest.arrived >= limit_s)
 
 
 def record_late_rank(
     state: State, now: float, sender: InstanceName, target: Target, rank: int | None
 ) -> None:
     """Record the late rank that a peer reported."""
-    peer_ranks = state.late_ranks.peers.setdefault(target, {})
+    peer_ranks = state.overdue_ranks.peers.setdefault(target, {})
     if rank is None:
         peer_ranks.pop(sender, None)
     else:
@@ -59,7 +59,7 @@
     state: State, now: float, target: Target, senders: Container[InstanceName]
 ) -> list[int]:
     """List the valid late ranks that some peers reported."""
-    peer_ranks = state.late_ranks.peers.get(target, {})
+    peer_ranks = state.overdue_ranks.peers.get(target, {})
     return [
         rank
         for name, (received_at, rank) in peer_ranks.items()
@@ -70,7 +70,7 @@
 def _is_served_by_share(state: State, req: Request) -> bool:
     """Return whether the request's class is to be served by its assured share."""
     return any(
-        queue.service_class.name == req.service_class.name and queue_state.is_owed(queue)
+        queue.service_class.name == req.service_class.name and queue_state.has_earned_next(queue)
         for queue in queue_state.target_classes(state.queues, req.target)
         if len(queue)
     )
@@ -84,7 +84,7 @@
     local_late_rank = late_rank(state, now, req.target)
     if local_late_rank is not None and local_late_rank < own_rank:
         return True
-    peer_ranks = state.late_ranks.peers.get(req.target, {})
+    peer_ranks = state.overdue_ranks.peers.get(req.target, {})
     return any(
         rank < own_rank and now - received_at <= _LATE_RANK_VALID_S
         for received_at, rank in peer_ranks.values()
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
@@ -92,7 +92,7 @@
 def reduce(state: State, now: float, event: Event) -> list[Effect]:
     """Apply one event at time `now` of the runtime's clock, seconds; return the effects."""
     effects = _apply(state, now, event)
-    if state.claims.due:
+    if state.claims.keys_to_evaluate:
         effects += claim_flow.settle_due(state, now)
     return effects
 
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
@@ -106,7 +106,7 @@
             server_table.note_answered(state.servers, server)
             return dispatch.dispatch_all(state, now)
         case ListRead(servers, instances):
-            server_table.list_servers(state.servers, state.config, servers)
+            server_table.apply_server_list(state.servers, state.config, servers)
             server_list.note_list_read(state, now)
             membership_reducer.on_list(state, now, instances)
             return leaving.mark_leavers(state, now) + dispatch.dispatch_all(state, now)
@@ -171,11 +171,11 @@
     expire_accounts(state.accounts, state.options, now)
     effects: list[Effect] = []
     if state.options.probe_servers:
-        for server in server_table.due_probes(state.servers, state.options, now):
+        for server in server_table.servers_to_probe(state.servers, state.options, now):
             if placement.must_probe(state, now, server):
                 effects.append(ProbeServer(server.entry.name, server.entry.address))
     else:
-        for server in server_table.due_trials(state.servers, state.options, now):
+        for server in server_table.servers_to_retry(state.servers, state.options, now):
             effects.append(ProbeServer(server.entry.name, server.entry.address))
     return effects + membership_reducer.on_tick(state, now)
 
--- a/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
@@ -96,7 +96,7 @@
     if req.first_token_at is None:
         req.first_token_at = now
         effects.append(Timing(f"first_token.{req.service_class.name}", now - req.arrived))
-    if state.config.policy is Policy.PREDICTED and queue_state.anything_waits(
+    if state.config.policy is Policy.PREDICTED and queue_state.has_waiting(
         state.queues, attempt.pool
     ):
         # Its parts are cached now; other requests may wait for that.
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_agreement.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_agreement.py
@@ -24,25 +24,25 @@
 def can_ask_members(state: State, now: float, wait: Wait) -> bool:
     """Return whether all members may still agree to a claim."""
     view = voting_view(state)
-    if view is None or wait.yielded:
+    if view is None or wait.has_yielded:
         return False
     if wait.vote_epoch != view.epoch:
         wait.vote_epoch = view.epoch
         wait.voters = set()
-        wait.vote_due = wait.vote_since = now
+        wait.next_vote_request_at = wait.votes_requested_at = now
         wait.vote_failures = 0
-        wait.denied = False
+        wait.is_denied = False
     # A member without an answer may be paused or unreachable, which other members learn later.
-    is_overdue = now - wait.vote_since >= state.options.claim_vote_wait_s
+    is_overdue = now - wait.votes_requested_at >= state.options.claim_vote_wait_s
     has_lost_member = wait.vote_failures >= state.options.claim_ask_failures
-    if wait.denied or is_overdue or has_lost_member:
+    if wait.is_denied or is_overdue or has_lost_member:
         return False
     live_incarnations = {each.incarnation for each in live_instances(state, now)}
-    state.claims.met |= live_incarnations
+    state.claims.live_before |= live_incarnations
     # A member that was never seen live may still be running, since views travel faster than
     # heartbeats between data centres. One that is no longer live is gone, and asking it would only
     # cause delay.
-    gone_incarnations = state.claims.met - live_incarnations
+    gone_incarnations = state.claims.live_before - live_incarnations
     return not any(each.incarnation in gone_incarnations for each in view.members)
 
 
@@ -54,8 +54,8 @@
     for each in view.members:
         if each.instance == peer and each.incarnation not in wait.voters:
             wait.vote_failures += 1
-            wait.vote_due = now
-            state.claims.due.add(wait.key)
+            wait.next_vote_request_at = now
+            state.claims.keys_to_evaluate.add(wait.key)
 
 
 def ask_members(state: State, now: float, req: Request, wait: Wait) -> list[Effect]:
@@ -64,10 +64,10 @@
     if view is None:
         return []
     claim = NewClaim(wait.key, req.fingerprint, req.request_id)
-    if now < wait.vote_due or not agree(state, claim, writer_of(state)):
+    if now < wait.next_vote_request_at or not agree(state, claim, writer_of(state)):
         return []
     wait.voters.add(state.me.incarnation)
-    wait.vote_due = now + state.options.claim_vote_again_s
+    wait.next_vote_request_at = now + state.options.claim_vote_again_s
     ask = ClaimVoteAsk(
         epoch=view.epoch,
         key=wait.key,
@@ -87,7 +87,7 @@
     """Process a member's vote."""
     wait = state.claims.waits.get(RequestId(vote.request_id))
     view = voting_view(state)
-    if wait is None or wait.yielded or view is None:
+    if wait is None or wait.has_yielded or view is None:
         return []
     if vote.epoch != view.epoch or wait.vote_epoch != view.epoch:
         return []
@@ -107,7 +107,7 @@
     """Admit a request that all members agreed to."""
     claims = state.claims
     drop_wait(claims, wait.request_id)
-    claims.held[wait.request_id] = wait.key
+    claims.held_keys[wait.request_id] = wait.key
     put_claim(
         claims.outbox,
         wait.request_id,
@@ -122,16 +122,16 @@
 def _handle_denial(state: State, now: float, wait: Wait, vote: ClaimVote) -> list[Effect]:
     """Follow the request that a member prefers, or leave the claim to the log."""
     claims = state.claims
-    claims.due.add(wait.key)
-    if not vote.holder or wait.sent or is_in_doubt(claims, wait.key, wait.request_id):
+    claims.keys_to_evaluate.add(wait.key)
+    if not vote.holder or wait.is_claim_sent or is_in_doubt(claims, wait.key, wait.request_id):
         # This claim may be in the log already, so it cannot yield to another.
-        wait.denied = True
+        wait.is_denied = True
         return []
     if vote.holder > wait.request_id and not vote.in_log:
         # Of two concurrent requests the one with the lower id wins; the other yields.
         return []
     # It does not ask again. Prevents an agreement that is still in transit from counting.
-    wait.yielded = True
+    wait.has_yielded = True
     effects = release(state, wait.request_id, wait.key)
     holder = Writer(vote.holder_instance, vote.holder_incarnation, vote.holder_address)
     preferred_claim = NewClaim(wait.key, vote.holder_fingerprint, vote.holder)
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
@@ -64,9 +64,15 @@
     record_unreachable_member,
     refuse_unclaimable,
 )
-from turmericweir_core.state.claim_ledger import Claim, Folded, fold, restart, vouch_for
+from turmericweir_core.state.claim_ledger import (
+    Claim,
+    ClaimFoldResult,
+    fold,
+    note_own_writer,
+    restart,
+)
 from turmericweir_core.state.claim_state import Wait, add_wait, drop_wait
-from turmericweir_core.state.claim_view import may_claim
+from turmericweir_core.state.claim_view import can_claim
 from turmericweir_core.state.state import State
 
 # --- arrival ---------------------------------------------------------------------------------
@@ -89,11 +95,11 @@
 def settle_due(state: State, now: float) -> list[Effect]:
     """Settle the requests whose keys changed."""
     claims = state.claims
-    if not claims.due:
+    if not claims.keys_to_evaluate:
         return []
     effects: list[Effect] = []
-    while claims.due:
-        key = claims.due.pop()
+    while claims.keys_to_evaluate:
+        key = claims.keys_to_evaluate.pop()
         for request_id in list(claims.waiting.get(key, ())):
             wait = claims.waits.get(request_id)
             if wait is not None:
@@ -138,19 +144,19 @@
 def _can_write_claim(state: State) -> bool:
     """Return whether a claim of this instance counts and it can know whether it is the first."""
     ledger = state.claims.ledger
-    is_ledger_current = ledger.whole and ledger.views.current is not None
-    return is_ledger_current and may_claim(ledger.views, writer_of(state))
+    is_ledger_current = ledger.has_all_claims and ledger.views.current is not None
+    return is_ledger_current and can_claim(ledger.views, writer_of(state))
 
 
 def _admit_holder(
     state: State, now: float, req: Request, wait: Wait, holder: Claim
 ) -> list[Effect]:
     """Admit a request that holds its key."""
-    if holder.unsure:
+    if holder.is_unsure:
         # The log dropped records before this instance read them; another request may hold the key.
         return refuse_unclaimable(state, now, req)
     drop_wait(state.claims, wait.request_id)
-    state.claims.held[wait.request_id] = wait.key
+    state.claims.held_keys[wait.request_id] = wait.key
     if now >= req.deadline:
         return lifecycle.finish(state, now, req, Outcome.NOT_RUN, Reason.DEADLINE)
     return [Timing("claim", now - req.arrived), *lifecycle.admit(state, now, req)]
@@ -258,7 +264,7 @@
         # The claim may be withdrawn in records that this instance has not read yet.
         return read_on(state, now)
     wait.lost_holder = message.holder
-    state.claims.due.add(wait.key)
+    state.claims.keys_to_evaluate.add(wait.key)
     return []
 
 
@@ -274,10 +280,10 @@
             continue
         wait.failures += 1
         # A failure may be due to an idle connection; a new one is tried at once.
-        wait.ask_due = now
+        wait.next_query_at = now
         if wait.failures >= state.options.claim_ask_failures:
             wait.lost_holder = holder.claim.request_id
-        claims.due.add(wait.key)
+        claims.keys_to_evaluate.add(wait.key)
     return []
 
 
@@ -294,7 +300,7 @@
         # Its meaning depends on earlier records of other instances.
         effects += read_on(state, now)
     # Pending decisions go first, as they may leave less to write.
-    return effects if state.claims.due else effects + flush(state, now)
+    return effects if state.claims.keys_to_evaluate else effects + flush(state, now)
 
 
 def on_append_failed(state: State, now: float, event: AppendFailed) -> list[Effect]:
@@ -337,31 +343,31 @@
 def _apply_record(state: State, now: float, record: LogRecord) -> list[Effect]:
     """Apply a record to the ledger."""
     claims = state.claims
-    was_whole = claims.ledger.whole
+    was_whole = claims.ledger.has_all_claims
     folded = fold(claims.ledger, state.options, record.offset, record.value)
-    claims.due |= folded.touched
+    claims.keys_to_evaluate |= folded.touched_keys
     note_folded(state, now, record.offset, folded)
-    if claims.ledger.whole and not was_whole:
-        claims.due |= set(claims.waiting)
+    if claims.ledger.has_all_claims and not was_whole:
+        claims.keys_to_evaluate |= set(claims.waiting)
     return _record_own_batch(state, folded) + _report_bad_record(folded, record)
 
 
-def _record_own_batch(state: State, folded: Folded) -> list[Effect]:
+def _record_own_batch(state: State, folded: ClaimFoldResult) -> list[Effect]:
     """Record that a batch of this instance was read back."""
     batch = folded.batch
     if batch is None or batch.writer.incarnation != state.me.incarnation:
         return []
-    note_read_back(state.claims.outbox, batch, valid=folded.valid)
-    if folded.valid:
+    note_read_back(state.claims.outbox, batch, valid=folded.is_valid)
+    if folded.is_valid:
         state.claims.withdrawing.difference_update(each.request_id for each in batch.withdrawn)
-    state.claims.due.update(claim.key for claim in batch.claims)
+    state.claims.keys_to_evaluate.update(claim.key for claim in batch.claims)
     return []
 
 
-def _report_bad_record(folded: Folded, record: LogRecord) -> list[Effect]:
+def _report_bad_record(folded: ClaimFoldResult, record: LogRecord) -> list[Effect]:
     """Report a void or malformed record."""
     if folded.batch is not None:
-        return [] if folded.valid else [Count("claim.void")]
+        return [] if folded.is_valid else [Count("claim.void")]
     fields = {"stream": CLAIMS_STREAM, "offset": record.offset}
     return [Count("claim.malformed"), Log("record_malformed", fields)]
 
@@ -371,10 +377,10 @@
     claims = state.claims
     claims.reading_since = None
     restart(claims.ledger, event.oldest)
-    vouch_for(claims.ledger, writer_of(state))
+    note_own_writer(claims.ledger, writer_of(state))
     # Acknowledged records in the gap are never read back.
-    claims.outbox.landed.clear()
-    claims.due |= set(claims.waiting)
+    claims.outbox.acknowledged_appends.clear()
+    claims.keys_to_evaluate |= set(claims.waiting)
     fields = {"stream": CLAIMS_STREAM, "oldest": event.oldest}
     return [Log("claims_gap", fields), *read_on(state, now)]
 
@@ -397,10 +403,10 @@
         req = state.requests[wait.request_id]
         if now >= req.deadline:
             effects += _finish_expired(state, now, req, wait)
-        elif now >= wait.ask_due:
+        elif now >= wait.next_query_at:
             # Without a holder, the log may have become slow meanwhile.
-            state.claims.due.add(wait.key)
-    if now >= state.claims.read_due:
+            state.claims.keys_to_evaluate.add(wait.key)
+    if now >= state.claims.next_read_at:
         effects += read_on(state, now)
     effects += give_up_late(state, now)
     return effects + flush(state, now)
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -37,7 +37,7 @@
 )
 from turmericweir_core.records.claim_answer import KeptAnswer
 from turmericweir_core.state import queue_state
-from turmericweir_core.state.account_store import keep_account
+from turmericweir_core.state.account_store import store_account
 from turmericweir_core.state.predict import predict_tokens
 from turmericweir_core.state.state import State
 from turmericweir_core.store import document, instance_refusal
@@ -276,7 +276,7 @@
         customer=req.customer,
         elapsed_s=now - req.arrived,
     )
-    keep_account(state.accounts, state.options, now, account)
+    store_account(state.accounts, state.options, now, account)
     return [
         *note_finished(state, now, account, answer),
         FinishRequest(account),
--- a/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
@@ -32,8 +32,8 @@
     """Issue the verdicts that are due and move the suspects on."""
     effects = quarantine.on_tick(state, now)
     effects += isolated_runs.review_running(state, now)
-    if state.quarantine.look_through:
-        state.quarantine.look_through = False
+    if state.quarantine.needs_check:
+        state.quarantine.needs_check = False
         effects += _review_requests(state, now)
     return effects + _apply_decisions(state, now, isolated_runs.step(state, now))
 
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
@@ -42,7 +42,7 @@
     Subject,
     Verdict,
 )
-from turmericweir_core.state.settings_state import Seen, settings_version
+from turmericweir_core.state.settings_state import SeenChange, settings_version
 from turmericweir_core.state.settings_sync import PendingChange, SettingsSync, settings_read_offset
 
 # Prefix of the operators in the process file. No path below `/operators` can have it. Prevents
@@ -127,7 +127,7 @@
     if pending is None:
         return []
     pending.in_flight = False
-    pending.maybe_in_log = True
+    pending.may_be_in_log = True
     pending.offset = event.first
     offset = settings_read_offset(sync)
     return [ReadLog(STREAM, offset)] if offset <= event.first else []
@@ -139,7 +139,7 @@
     if pending is None:
         return []
     pending.in_flight = False
-    pending.maybe_in_log = pending.maybe_in_log or event.maybe
+    pending.may_be_in_log = pending.may_be_in_log or event.maybe
     pending.tried_at = now
     fields = {
         "step": "append",
@@ -169,7 +169,7 @@
     if pending.in_flight or now - pending.tried_at < options.change_retry_s:
         return []
     change = pending.record
-    if not pending.maybe_in_log and now - pending.submitted_at >= options.change_give_up_s:
+    if not pending.may_be_in_log and now - pending.submitted_at >= options.change_give_up_s:
         reason = "the platform's log did not take it"
         return _settle_pending(
             sync, change.change_id, NotAppended(change.change_id, change.path, reason)
@@ -208,6 +208,6 @@
     return effects
 
 
-def _repeated_verdict(change: ChangeRecord, seen: Seen) -> Repeated:
+def _repeated_verdict(change: ChangeRecord, seen: SeenChange) -> Repeated:
     subject = Subject(change.change_id, change.path, change.operator, change.at, seen.offset)
     return Repeated(subject, seen.offset, seen.kind)
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
@@ -120,7 +120,7 @@
 def _update_config(state: State) -> None:
     """Use a new `Config`."""
     sync = state.settings
-    state.has_settings = sync.ready
+    state.has_settings = sync.has_been_complete
     if sync.config is not state.config:
         state.config = sync.config
-        server_table.rebuild(state.servers, state.config)
+        server_table.rebuild_table(state.servers, state.config)
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_reach.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_reach.py
@@ -83,7 +83,7 @@
         for it in unresponsive_members
         if it.data_centre == centre.name
     )
-    has_report = isfinite(centre.heard_at) and centre.live > 0
+    has_report = isfinite(centre.last_seen_at) and centre.live > 0
     if has_report and centre.settings_offset >= offset:
         reach = Reach.OUT_OF_REACH if unresponsive else Reach.IN_FORCE
     else:
@@ -93,13 +93,15 @@
         reach=reach,
         offset=centre.settings_offset,
         live=centre.live,
-        age_s=_age_s(now, centre.heard_at),
+        age_s=_age_s(now, centre.last_seen_at),
         silent=unresponsive,
     )
 
 
 def _unresponsive_instance(now: float, member: Member) -> UnresponsiveInstance:
-    return UnresponsiveInstance(member.name, member.settings_offset, _age_s(now, member.heard_at))
+    return UnresponsiveInstance(
+        member.name, member.settings_offset, _age_s(now, member.last_seen_at)
+    )
 
 
 def _age_s(now: float, heard_at: float) -> float | None:
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
@@ -46,8 +46,8 @@
 from turmericweir_core.state.settings_sync import (
     PeerSettings,
     SettingsSync,
-    keep_record,
     settings_read_offset,
+    store_record,
 )
 
 # --- the log ---------------------------------------------------------------------------------
@@ -56,7 +56,7 @@
 def on_log_read(sync: SettingsSync, options: Options, now: float, event: LogRead) -> list[Effect]:
     """Apply the records of a read of the platform's log."""
     effects = _record_log_reachable(sync, now)
-    sync.log_read = True
+    sync.has_read_log = True
     sync.known_end = max(sync.known_end, event.end)
     effects += _check_log_end(sync, options, now, event.end)
     effects += _apply_records(sync, options, now, event.records)
@@ -71,7 +71,7 @@
         # The read is older than newer records that a peer sent.
         return effects
     sync.resume_at = event.oldest
-    sync.ahead.clear()
+    sync.later_records.clear()
     fields = {"offset": sync.settings.offset, "oldest": event.oldest, "end": event.end}
     return [*effects, Log("settings_expired", fields), Count("settings.expired")]
 
@@ -120,7 +120,7 @@
     for record in records:
         if record.offset == sync.settings.offset:
             verdict = apply(sync.settings, record)
-            keep_record(sync, options, record)
+            store_record(sync, options, record)
             effects += _report_verdict(sync, now, verdict) + settle(sync, verdict)
         elif record.offset > sync.settings.offset:
             beyond.append(record)
@@ -133,19 +133,19 @@
     sync: SettingsSync, options: Options, now: float, records: list[LogRecord]
 ) -> list[Effect]:
     """Hold records beyond a gap, and apply them if a snapshot among them covers the gap."""
-    if sync.ahead:
-        records = [it for it in records if it.offset > sync.ahead[-1].offset]
-    if sync.ahead and records and sync.ahead[-1].offset + 1 != records[0].offset:
-        sync.ahead.clear()
-    sync.ahead.extend(records)
-    while len(sync.ahead) > options.settings_ahead_max:
-        sync.ahead.popleft()
+    if sync.later_records:
+        records = [it for it in records if it.offset > sync.later_records[-1].offset]
+    if sync.later_records and records and sync.later_records[-1].offset + 1 != records[0].offset:
+        sync.later_records.clear()
+    sync.later_records.extend(records)
+    while len(sync.later_records) > options.settings_ahead_max:
+        sync.later_records.popleft()
     effects: list[Effect] = []
     for record in records:
         effects += _load_if_covered(sync, record)
-        if sync.settings.offset >= sync.ahead[0].offset:
-            held_records = list(sync.ahead)
-            sync.ahead.clear()
+        if sync.settings.offset >= sync.later_records[0].offset:
+            held_records = list(sync.later_records)
+            sync.later_records.clear()
             return effects + _apply_records(sync, options, now, held_records)
     return effects
 
@@ -156,7 +156,7 @@
     if not is_successful(result):
         return []
     snapshot = result.unwrap()
-    if not isinstance(snapshot, SnapshotRecord) or snapshot.offset < sync.ahead[0].offset:
+    if not isinstance(snapshot, SnapshotRecord) or snapshot.offset < sync.later_records[0].offset:
         return []
     return _load_snapshot(sync, snapshot, "log")
 
@@ -169,7 +169,7 @@
     if not is_successful(result):
         refusal = Log("settings_snapshot_refused", {**fields, "reason": result.failure()})
         return [refusal, Count("settings.snapshot_refused")]
-    sync.kept.clear()
+    sync.recent_records.clear()
     loaded = Log("settings_snapshot_loaded", fields)
     return [loaded, Count("settings.snapshot_loaded"), *settle_from_snapshot(sync)]
 
@@ -184,14 +184,14 @@
         case SnapshotMatched() | SnapshotUnchecked():
             sync.snapshot_offset = verdict.snapshot_offset
             # The age of a snapshot is unknown while the instance starts.
-            sync.snapshot_seen_at = now if sync.ready else None
+            sync.snapshot_seen_at = now if sync.has_been_complete else None
             sync.snapshot_due_since = None
             return []
         case Malformed() | SnapshotMismatched():
             return [Log(f"settings_{kind}", describe(verdict)), Count(f"settings.{kind}")]
         case Accepted() | Conflict() | Invalid() | Forbidden() | Repeated():
             # Prevents a starting instance from reporting the whole log again.
-            if not sync.ready:
+            if not sync.has_been_complete:
                 return []
             subject = verdict.subject
             fields = {
@@ -205,11 +205,11 @@
 
 def _put_in_force(sync: SettingsSync, options: Options, now: float) -> list[Effect]:
     """Put the settings in force once they are complete."""
-    if not sync.ready and not _is_complete(sync, options, now):
+    if not sync.has_been_complete and not _is_complete(sync, options, now):
         return []
     effects: list[Effect] = []
-    if not sync.ready:
-        sync.ready = True
+    if not sync.has_been_complete:
+        sync.has_been_complete = True
         effects.append(Log("settings_ready", {"offset": sync.settings.offset}))
     if sync.config.offset != sync.settings.offset:
         sync.config = config_of(sync.settings)
@@ -222,7 +222,7 @@
     Prevents it from using outdated settings while it reads the log.
     """
     offset = sync.settings.offset
-    if offset < sync.known_end or not (sync.log_read or offset):
+    if offset < sync.known_end or not (sync.has_read_log or offset):
         return False
     has_waited = sync.started_at is not None and now - sync.started_at > options.settings_wait_s
     return has_waited or sync.newer_peer is None or sync.newer_peer.offset <= offset
@@ -238,9 +238,9 @@
         own_digest = state_digest(sync.settings)
     if not beat.settings_hash or own_digest is None or own_digest == beat.settings_hash:
         return []
-    if sync.diverged.get(sender) == beat.settings_offset:
+    if sync.diverged_offsets.get(sender) == beat.settings_offset:
         return []
-    sync.diverged[sender] = beat.settings_offset
+    sync.diverged_offsets[sender] = beat.settings_offset
     fields = {
         "peer": sender,
         "offset": beat.settings_offset,
@@ -263,11 +263,11 @@
     if sync.behind_since is None:
         sync.behind_since = now
     has_waited = now - sync.behind_since >= options.settings_ask_after_s
-    is_log_unusable = sync.log_failed_since is not None or not sync.log_read or _has_gap(sync)
-    is_asked = sync.asked_at is not None and now - sync.asked_at < options.settings_ask_s
+    is_log_unusable = sync.log_failed_since is not None or not sync.has_read_log or _has_gap(sync)
+    is_asked = sync.requested_at is not None and now - sync.requested_at < options.settings_ask_s
     if is_asked or not (has_waited or is_log_unusable):
         return []
-    sync.asked_at = now
+    sync.requested_at = now
     ask = SendPeer(newest.name, newest.address, SettingsAsk(sync.settings.offset))
     return [ask, Count("settings.ask")]
 
@@ -285,16 +285,16 @@
 ) -> list[Effect]:
     """Send a peer the records that it lacks, or a snapshot if they are no longer kept."""
     # Prevents a starting instance from sending outdated settings.
-    if not sync.ready or message.offset >= sync.settings.offset:
+    if not sync.has_been_complete or message.offset >= sync.settings.offset:
         return []
     return [SendPeer(sender, address, _build_answer(sync, options, message.offset))]
 
 
 def _build_answer(sync: SettingsSync, options: Options, offset: int) -> SettingsSend:
-    if sync.kept and offset >= sync.kept[0].offset:
-        start = offset - sync.kept[0].offset
-        stop = min(len(sync.kept), start + options.settings_send_max)
-        return SettingsSend(offset, [sync.kept[at].value for at in range(start, stop)])
+    if sync.recent_records and offset >= sync.recent_records[0].offset:
+        start = offset - sync.recent_records[0].offset
+        stop = min(len(sync.recent_records), start + options.settings_send_max)
+        return SettingsSend(offset, [sync.recent_records[at].value for at in range(start, stop)])
     return SettingsSend(sync.settings.offset, [], log_form(take_snapshot(sync.settings)))
 
 
@@ -317,16 +317,16 @@
     effects += _apply_held(sync, options, now)
     effects.append(Count("settings.from_peer"))
     # Makes the next tick ask for the next part.
-    sync.asked_at = sync.peers_checked_at = None
+    sync.requested_at = sync.peers_checked_at = None
     return effects + _put_in_force(sync, options, now)
 
 
 def _apply_held(sync: SettingsSync, options: Options, now: float) -> list[Effect]:
     """Apply the held records once a peer has sent those before them."""
-    if not sync.ahead or sync.ahead[0].offset > sync.settings.offset:
+    if not sync.later_records or sync.later_records[0].offset > sync.settings.offset:
         return []
-    records = list(sync.ahead)
-    sync.ahead.clear()
+    records = list(sync.later_records)
+    sync.later_records.clear()
     return _apply_records(sync, options, now, records)
 
 
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_snapshots.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_snapshots.py
@@ -30,7 +30,11 @@
 
     Two snapshots do no harm, as readers check each against their own state.
     """
-    if not sync.ready or not sync.settings.offset or not _is_snapshot_due(sync, options, now):
+    if (
+        not sync.has_been_complete
+        or not sync.settings.offset
+        or not _is_snapshot_due(sync, options, now)
+    ):
         sync.snapshot_due_since = None
         return []
     if sync.snapshot_due_since is None:
--- a/packages/turmericweir-core/turmericweir_core/state/account_store.py
+++ b/packages/turmericweir-core/turmericweir_core/state/account_store.py
@@ -19,7 +19,7 @@
     entries: OrderedDict[str, tuple[float, Account]] = field(default_factory=OrderedDict)
 
 
-def keep_account(store: AccountStore, options: Options, now: float, account: Account) -> None:
+def store_account(store: AccountStore, options: Options, now: float, account: Account) -> None:
     """Store an account, evicting the oldest ones if the store is full."""
     store.entries[account.request_id] = (now, account)
     while len(store.entries) > options.account_keep:
--- a/packages/turmericweir-core/turmericweir_core/state/claim_clock.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_clock.py
@@ -14,26 +14,26 @@
 from msgspec import Struct, field
 
 # Number of instances whose clocks determine the stream time.
-LEADERS: Final = 2
+LEADING_CLOCKS: Final = 2
 
 
 class StreamClock(Struct):
     """The two latest clocks, by instance, and the stream time derived from them."""
 
-    leaders: dict[str, int] = field(default_factory=dict)
+    latest_clocks: dict[str, int] = field(default_factory=dict)
     now_ms: int = 0
 
 
 def note_clock(clock: StreamClock, instance: str, at_ms: int) -> None:
     """Update the stream time from the wall clock in a record."""
-    leaders = clock.leaders
+    leaders = clock.latest_clocks
     leaders[instance] = max(at_ms, leaders.get(instance, 0))
-    if len(leaders) > LEADERS:
+    if len(leaders) > LEADING_CLOCKS:
         del leaders[min(leaders, key=lambda name: (leaders[name], name))]
-    if len(leaders) == LEADERS:
+    if len(leaders) == LEADING_CLOCKS:
         clock.now_ms = max(clock.now_ms, min(leaders.values()))
 
 
-def told_clocks(clock: StreamClock) -> tuple[tuple[str, int], ...]:
+def clocks_for_record(clock: StreamClock) -> tuple[tuple[str, int], ...]:
     """Return the leading clocks for a record, so that a new reader computes the same time."""
-    return tuple(sorted(clock.leaders.items()))
+    return tuple(sorted(clock.latest_clocks.items()))
--- a/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
@@ -51,12 +51,12 @@
 from turmericweir_core.state.claim_clock import StreamClock, note_clock
 from turmericweir_core.state.claim_view import (
     ViewLedger,
+    adopt_view,
+    can_claim,
+    discard_view,
     epoch_of,
     fold_view,
-    learn_view,
-    lose_view,
-    may_claim,
-    note_told,
+    note_reported_view,
 )
 
 NO_RECORD: Final = -1
@@ -68,56 +68,56 @@
     claim: NewClaim
     holder: Writer
     # Offset of the record that made the claim.
-    claimed_at: int
+    claim_offset: int
     # Offset of the newest record that contains it: the original one or one that carried it. For an
     # unsure entry, the oldest record that may contain the true holder.
-    kept_at: int
+    record_offset: int
     # Offset of the newest record about the key while the entry was unsure. A floor above it removes
     # the entry.
-    seen_at: int
+    touched_offset: int
     # Start of the retention time, by the stream's clock.
-    at_ms: int
-    unsure: bool = False
+    retention_from_ms: int
+    is_unsure: bool = False
     end: ClaimEnd | None = None
 
 
-class Ledger(Struct):
+class ClaimLedger(Struct):
     """The result of folding all records read so far."""
 
     # Offset of the next record to fold.
     offset: int = 0
     # Offset at which this reader started.
-    start: int = 0
+    start_offset: int = 0
     # Every live claim has an entry in this ledger.
-    whole: bool = True
+    has_all_claims: bool = True
     # Holders by key, ordered by `kept_at`, oldest first.
     claims: OrderedDict[str, Claim] = field(default_factory=OrderedDict)
     # Keys of the unsure entries.
-    unsure: set[str] = field(default_factory=set)
+    unsure_keys: set[str] = field(default_factory=set)
     # The last append number of each incarnation, and the stream time when it was read.
-    numbers: dict[tuple[str, str], tuple[int, int]] = field(default_factory=dict)
+    append_numbers: dict[tuple[str, str], tuple[int, int]] = field(default_factory=dict)
     clock: StreamClock = field(default_factory=StreamClock)
     views: ViewLedger = field(default_factory=ViewLedger)
     # Offset of the last record with a withdrawal, whether or not the claim was in this ledger.
-    withdrawn_at: int = NO_RECORD
+    withdrawal_offset: int = NO_RECORD
     # Offset of the last record whose writer did not know the floor and thereby requests one.
-    floor_asked_at: int = NO_FLOOR
+    floor_request_offset: int = NO_FLOOR
     malformed: int = 0
     void: int = 0
 
 
-class Folded(Struct):
+class ClaimFoldResult(Struct):
     """The result of folding one record."""
 
     # None if the record was malformed.
     batch: Batch | None = None
     # False for a void record, which changed nothing.
-    valid: bool = False
+    is_valid: bool = False
     # Keys whose holder, or whose call's end, may have changed.
-    touched: set[str] = field(default_factory=set)
+    touched_keys: set[str] = field(default_factory=set)
 
 
-def holder_of(ledger: Ledger, options: Options, key: str) -> Claim | None:
+def holder_of(ledger: ClaimLedger, options: Options, key: str) -> Claim | None:
     """Return the claim that holds a key, or None."""
     claim = ledger.claims.get(key)
     if claim is None or _is_expired(ledger, options, claim):
@@ -125,62 +125,62 @@
     return claim
 
 
-def floor_of(ledger: Ledger) -> int:
+def floor_of(ledger: ClaimLedger) -> int:
     """Return the offset below which no record holds a live claim."""
-    if not ledger.whole:
+    if not ledger.has_all_claims:
         return NO_FLOOR
-    record_offsets = [ledger.claims[key].kept_at for key in ledger.unsure]
+    record_offsets = [ledger.claims[key].record_offset for key in ledger.unsure_keys]
     # Sure entries are ordered by `kept_at`, so the first has the lowest.
-    record_offsets += [claim.kept_at for claim in islice(ledger.claims.values(), 1)]
+    record_offsets += [claim.record_offset for claim in islice(ledger.claims.values(), 1)]
     if epoch_of(ledger.views) > NO_VIEW:
         # Readers that start at the floor must also learn the view.
-        record_offsets.append(ledger.views.kept_at)
+        record_offsets.append(ledger.views.members_offset)
     return min(record_offsets, default=ledger.offset)
 
 
-def restart(ledger: Ledger, oldest: int) -> None:
+def restart(ledger: ClaimLedger, oldest: int) -> None:
     """Continue from a later offset because the log has deleted the records before it."""
     if oldest <= ledger.offset:
         return
     ledger.offset = oldest
-    ledger.start = oldest
-    ledger.whole = False
-    lose_view(ledger.views)
+    ledger.start_offset = oldest
+    ledger.has_all_claims = False
+    discard_view(ledger.views)
     for key, claim in ledger.claims.items():
         # A skipped record may have changed the holder, so the entry may only block the key.
-        claim.unsure = True
-        claim.seen_at = oldest
-        ledger.unsure.add(key)
+        claim.is_unsure = True
+        claim.touched_offset = oldest
+        ledger.unsure_keys.add(key)
 
 
-def vouch_for(ledger: Ledger, writer: Writer) -> None:
+def note_own_writer(ledger: ClaimLedger, writer: Writer) -> None:
     """Record that a writer has no records below this reader's start: the reader itself."""
     writer_id = (writer.instance, writer.incarnation)
-    ledger.numbers.setdefault(writer_id, (0, ledger.clock.now_ms))
+    ledger.append_numbers.setdefault(writer_id, (0, ledger.clock.now_ms))
 
 
-def fold(ledger: Ledger, options: Options, offset: int, value: Any) -> Folded:
+def fold(ledger: ClaimLedger, options: Options, offset: int, value: Any) -> ClaimFoldResult:
     """Fold the next record into the ledger."""
     ledger.offset = offset + 1
     batch = decode(value)
     if batch is None:
         ledger.malformed += 1
-        return Folded()
-    result = Folded(batch)
+        return ClaimFoldResult()
+    result = ClaimFoldResult(batch)
     if _is_void(ledger, options, offset, batch):
         ledger.void += 1
         return result
-    result.valid = True
+    result.is_valid = True
     is_number_certain = _note_number(ledger, options, offset, batch)
     for instance, at_ms in (*batch.clocks, (batch.writer.instance, batch.at_ms)):
         note_clock(ledger.clock, instance, at_ms)
-    note_told(ledger.views, offset, batch)
+    note_reported_view(ledger.views, offset, batch)
     _note_floor(ledger, offset, batch, result)
-    sure = ledger.whole and is_number_certain
+    sure = ledger.has_all_claims and is_number_certain
     for carried in batch.carried:
         _fold_carried(ledger, offset, batch, carried, result)
     if batch.withdrawn:
-        ledger.withdrawn_at = offset
+        ledger.withdrawal_offset = offset
     for withdrawn in batch.withdrawn:
         _fold_withdrawal(ledger, offset, batch.writer, withdrawn, result)
     for end in batch.ends:
@@ -188,82 +188,84 @@
     if fold_view(ledger.views, offset, batch) and batch.change is not None:
         for agreed in batch.change.agreed:
             _fold_agreed(ledger, options, offset, agreed, sure, result)
-    is_eligible = may_claim(ledger.views, batch.writer)
+    is_eligible = can_claim(ledger.views, batch.writer)
     for claim in batch.claims:
         if is_eligible:
             at_ms = max(ledger.clock.now_ms, batch.at_ms)
             _fold_claim(ledger, options, offset, at_ms, claim, batch.writer, sure, result)
         else:
             # The writer evaluates the key again and claims it once it is in the view.
-            result.touched.add(claim.key)
+            result.touched_keys.add(claim.key)
     _purge(ledger, options)
     return result
 
 
-def _is_expired(ledger: Ledger, options: Options, claim: Claim) -> bool:
-    return ledger.clock.now_ms - claim.at_ms > options.claim_retention_s * 1000
+def _is_expired(ledger: ClaimLedger, options: Options, claim: Claim) -> bool:
+    return ledger.clock.now_ms - claim.retention_from_ms > options.claim_retention_s * 1000
 
 
-def _is_void(ledger: Ledger, options: Options, offset: int, batch: Batch) -> bool:
+def _is_void(ledger: ClaimLedger, options: Options, offset: int, batch: Batch) -> bool:
     if offset - batch.upto > options.claim_carry_records // 2:
         return True
     writer_id = (batch.writer.instance, batch.writer.incarnation)
-    last_number, _ = ledger.numbers.get(writer_id, (0, 0))
+    last_number, _ = ledger.append_numbers.get(writer_id, (0, 0))
     return batch.number <= last_number
 
 
-def _note_number(ledger: Ledger, options: Options, offset: int, batch: Batch) -> bool:
+def _note_number(ledger: ClaimLedger, options: Options, offset: int, batch: Batch) -> bool:
     """Record a writer's number; return False if a higher one may be below this reader's start."""
     writer_id = (batch.writer.instance, batch.writer.incarnation)
-    is_known_writer = writer_id in ledger.numbers or ledger.start == 0
-    ledger.numbers[writer_id] = (batch.number, ledger.clock.now_ms)
+    is_known_writer = writer_id in ledger.append_numbers or ledger.start_offset == 0
+    ledger.append_numbers[writer_id] = (batch.number, ledger.clock.now_ms)
     # From this offset on, a record older than one below the start is void by its age.
-    return is_known_writer or offset >= ledger.start + options.claim_carry_records // 2
+    return is_known_writer or offset >= ledger.start_offset + options.claim_carry_records // 2
 
 
-def _note_floor(ledger: Ledger, offset: int, batch: Batch, result: Folded) -> None:
+def _note_floor(ledger: ClaimLedger, offset: int, batch: Batch, result: ClaimFoldResult) -> None:
     if batch.floor == NO_FLOOR:
-        ledger.floor_asked_at = offset
+        ledger.floor_request_offset = offset
         return
-    ledger.floor_asked_at = NO_FLOOR
-    if batch.floor < ledger.start:
+    ledger.floor_request_offset = NO_FLOOR
+    if batch.floor < ledger.start_offset:
         return
-    learn_view(ledger.views, batch)
+    adopt_view(ledger.views, batch)
     if ledger.views.current is None:
         return
-    ledger.whole = True
-    for key in [key for key in ledger.unsure if ledger.claims[key].seen_at < batch.floor]:
+    ledger.has_all_claims = True
+    for key in [
+        key for key in ledger.unsure_keys if ledger.claims[key].touched_offset < batch.floor
+    ]:
         _remove_entry(ledger, key)
-        result.touched.add(key)
+        result.touched_keys.add(key)
 
 
 def _fold_carried(
-    ledger: Ledger, offset: int, batch: Batch, carried: CarriedClaim, result: Folded
+    ledger: ClaimLedger, offset: int, batch: Batch, carried: CarriedClaim, result: ClaimFoldResult
 ) -> None:
     key = carried.claim.key
     entry = ledger.claims.get(key)
-    if entry is not None and not entry.unsure:
+    if entry is not None and not entry.is_unsure:
         if entry.claim.request_id == carried.claim.request_id:
             _refresh_entry(ledger, entry, offset)
         return
-    if entry is None and ledger.whole:
+    if entry is None and ledger.has_all_claims:
         # A whole ledger without the entry means that the claim was withdrawn or has expired.
         return
     is_settled = _is_settled_by(ledger, batch, entry, carried)
     if entry is None or is_settled:
         _add_entry(ledger, _claim_from_carried(carried, offset, unsure=not is_settled))
-        result.touched.add(key)
+        result.touched_keys.add(key)
         return
     # Still unsure: block the key for as long as any of the possible holders would hold it.
-    entry.at_ms = max(entry.at_ms, carried.at_ms)
-    entry.seen_at = offset
+    entry.retention_from_ms = max(entry.retention_from_ms, carried.at_ms)
+    entry.touched_offset = offset
     # Records about the key after `upto` may not be reflected in any carried claim yet.
-    entry.kept_at = max(entry.kept_at, batch.upto)
+    entry.record_offset = max(entry.record_offset, batch.upto)
     ledger.claims.move_to_end(key)
 
 
 def _is_settled_by(
-    ledger: Ledger, batch: Batch, entry: Claim | None, carried: CarriedClaim
+    ledger: ClaimLedger, batch: Batch, entry: Claim | None, carried: CarriedClaim
 ) -> bool:
     """Return whether a carried claim determines the holder of a key that is unsure here.
 
@@ -271,9 +273,9 @@
     record freed it and this reader has read all of them. The ledger need not be whole for this.
     Prevents callers from getting `unknown` for a call whose end is known.
     """
-    if carried.unsure or batch.upto < ledger.start:
+    if carried.unsure or batch.upto < ledger.start_offset:
         return False
-    last_changed_offset = ledger.withdrawn_at if entry is None else entry.seen_at
+    last_changed_offset = ledger.withdrawal_offset if entry is None else entry.touched_offset
     return last_changed_offset < batch.upto
 
 
@@ -281,35 +283,37 @@
     return Claim(
         claim=carried.claim,
         holder=carried.holder,
-        claimed_at=carried.claimed_at,
-        kept_at=offset,
-        seen_at=offset,
-        at_ms=carried.at_ms,
-        unsure=unsure,
+        claim_offset=carried.claimed_at,
+        record_offset=offset,
+        touched_offset=offset,
+        retention_from_ms=carried.at_ms,
+        is_unsure=unsure,
         end=carried.end,
     )
 
 
 def _fold_withdrawal(
-    ledger: Ledger, offset: int, writer: Writer, withdrawn: Withdrawal, result: Folded
+    ledger: ClaimLedger, offset: int, writer: Writer, withdrawn: Withdrawal, result: ClaimFoldResult
 ) -> None:
     entry = ledger.claims.get(withdrawn.key)
     if entry is None:
         return
-    if entry.unsure:
+    if entry.is_unsure:
         # A record that this reader skipped may name another holder, so the key stays blocked.
-        entry.seen_at = offset
+        entry.touched_offset = offset
         return
     if _is_claimed_by(entry, writer, withdrawn.request_id):
         _remove_entry(ledger, withdrawn.key)
-        result.touched.add(withdrawn.key)
+        result.touched_keys.add(withdrawn.key)
 
 
-def _fold_end(ledger: Ledger, writer: Writer, record: EndRecord, result: Folded) -> None:
+def _fold_end(
+    ledger: ClaimLedger, writer: Writer, record: EndRecord, result: ClaimFoldResult
+) -> None:
     entry = ledger.claims.get(record.key)
     if entry is not None and _is_claimed_by(entry, writer, record.request_id):
         entry.end = record.end
-        result.touched.add(record.key)
+        result.touched_keys.add(record.key)
 
 
 def _is_claimed_by(entry: Claim, writer: Writer, request_id: str) -> bool:
@@ -318,12 +322,12 @@
 
 
 def _fold_agreed(
-    ledger: Ledger,
+    ledger: ClaimLedger,
     options: Options,
     offset: int,
     agreed: AgreedClaim,
     sure: bool,
-    result: Folded,
+    result: ClaimFoldResult,
 ) -> None:
     """Enter a claim that may have run before it was in the log, by agreement of the members."""
     at_ms = max(ledger.clock.now_ms, agreed.at_ms)
@@ -331,58 +335,58 @@
 
 
 def _fold_claim(
-    ledger: Ledger,
+    ledger: ClaimLedger,
     options: Options,
     offset: int,
     at_ms: int,
     claim: NewClaim,
     holder: Writer,
     sure: bool,
-    result: Folded,
+    result: ClaimFoldResult,
 ) -> None:
-    result.touched.add(claim.key)
+    result.touched_keys.add(claim.key)
     entry = ledger.claims.get(claim.key)
     if entry is not None and not _is_expired(ledger, options, entry):
-        if entry.unsure:
+        if entry.is_unsure:
             # This claim may be the true holder: block the key for as long as it would hold it.
-            entry.seen_at = offset
-            entry.at_ms = max(entry.at_ms, at_ms)
+            entry.touched_offset = offset
+            entry.retention_from_ms = max(entry.retention_from_ms, at_ms)
         return
-    _add_entry(ledger, Claim(claim, holder, offset, offset, offset, at_ms, unsure=not sure))
+    _add_entry(ledger, Claim(claim, holder, offset, offset, offset, at_ms, is_unsure=not sure))
 
 
-def _add_entry(ledger: Ledger, entry: Claim) -> None:
+def _add_entry(ledger: ClaimLedger, entry: Claim) -> None:
     key = entry.claim.key
     _remove_entry(ledger, key)
     ledger.claims[key] = entry
-    if entry.unsure:
-        ledger.unsure.add(key)
+    if entry.is_unsure:
+        ledger.unsure_keys.add(key)
 
 
-def _refresh_entry(ledger: Ledger, entry: Claim, offset: int) -> None:
-    entry.kept_at = offset
-    entry.seen_at = offset
+def _refresh_entry(ledger: ClaimLedger, entry: Claim, offset: int) -> None:
+    entry.record_offset = offset
+    entry.touched_offset = offset
     ledger.claims.move_to_end(entry.claim.key)
 
 
-def _remove_entry(ledger: Ledger, key: str) -> None:
+def _remove_entry(ledger: ClaimLedger, key: str) -> None:
     ledger.claims.pop(key, None)
-    ledger.unsure.discard(key)
+    ledger.unsure_keys.discard(key)
 
 
-def _purge(ledger: Ledger, options: Options) -> None:
+def _purge(ledger: ClaimLedger, options: Options) -> None:
     """Delete expired claims; live ones are moved away from the front when they are carried."""
     while ledger.claims:
         key, claim = next(iter(ledger.claims.items()))
         if not _is_expired(ledger, options, claim):
             break
         _remove_entry(ledger, key)
-    if len(ledger.numbers) > options.claim_writers_max:
+    if len(ledger.append_numbers) > options.claim_writers_max:
         _purge_numbers(ledger, options)
 
 
-def _purge_numbers(ledger: Ledger, options: Options) -> None:
+def _purge_numbers(ledger: ClaimLedger, options: Options) -> None:
     oldest_ms = ledger.clock.now_ms - options.claim_retention_s * 1000
-    for writer, (_, at_ms) in list(ledger.numbers.items()):
+    for writer, (_, at_ms) in list(ledger.append_numbers.items()):
         if at_ms < oldest_ms:
-            del ledger.numbers[writer]
+            del ledger.append_numbers[writer]
--- a/packages/turmericweir-core/turmericweir_core/state/claim_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_state.py
@@ -18,7 +18,7 @@
     Withdrawal,
     Writer,
 )
-from turmericweir_core.state.claim_ledger import Ledger
+from turmericweir_core.state.claim_ledger import ClaimLedger
 
 
 class Outbox(Struct):
@@ -28,26 +28,26 @@
     withdrawn: dict[RequestId, Withdrawal] = field(default_factory=dict)
     ends: dict[RequestId, EndRecord] = field(default_factory=dict)
     # Latest time to append withdrawals and ends; an append with a claim includes them earlier.
-    quiet_due: float | None = None
+    append_by: float | None = None
     # The oldest claims have to be carried forward.
-    carry: bool = False
+    needs_carry: bool = False
     # A record has to be written only to publish its floor.
-    floor: bool = False
+    needs_floor: bool = False
     # This instance has to request to join the view.
-    join: bool = False
+    needs_join: bool = False
     # Members of the view that shall replace the current one.
-    members: tuple[Writer, ...] | None = None
+    next_members: tuple[Writer, ...] | None = None
     # An operator confirmed that the current view has ended.
-    replaces: bool = False
+    is_replacement: bool = False
     # Number of the newest append.
     number: int = 0
     # The unacknowledged append. Only one at a time, so that a later one invalidates an earlier one.
     in_flight: Batch | None = None
     in_flight_at: float = 0.0
     # Time for which it has been in flight, counted by ticks.
-    out_s: float = 0.0
+    in_flight_s: float = 0.0
     # Appends that were acknowledged but not read back yet, by number.
-    landed: dict[int, Batch] = field(default_factory=dict)
+    acknowledged_appends: dict[int, Batch] = field(default_factory=dict)
     # Rate limit: appends allowed now, and when that was computed; None before the first append.
     tokens: float | None = None
     tokens_at: float = 0.0
@@ -64,9 +64,9 @@
     request_id: RequestId
     key: str
     # Its claim was sent at least once, so it may be in the log or still arrive there.
-    sent: bool = False
+    is_claim_sent: bool = False
     # When the holder's instance is queried next.
-    ask_due: float = 0.0
+    next_query_at: float = 0.0
     # Consecutive failed streams to the holder's instance.
     failures: int = 0
     # The holder, if its instance is gone or has no record of it.
@@ -75,14 +75,14 @@
     # and when the others are asked again.
     vote_epoch: int = NO_VIEW
     voters: set[str] = field(default_factory=set)
-    vote_due: float = 0.0
+    next_vote_request_at: float = 0.0
     # When they were first asked, and the number of failed streams to them.
-    vote_since: float = 0.0
+    votes_requested_at: float = 0.0
     vote_failures: int = 0
     # A member did not agree, so only the log can decide.
-    denied: bool = False
+    is_denied: bool = False
     # It has yielded to another claim for the same key.
-    yielded: bool = False
+    has_yielded: bool = False
 
 
 class Vote(Struct, frozen=True):
@@ -92,7 +92,7 @@
     holder: Writer
 
 
-class Asker(Struct, frozen=True):
+class RemoteWaiter(Struct, frozen=True):
     """Another instance with a request that waits for the end of a call that runs here."""
 
     peer: InstanceName
@@ -103,46 +103,46 @@
 class ClaimState(Struct):
     """State of idempotency keys at this instance."""
 
-    ledger: Ledger = field(default_factory=Ledger)
+    ledger: ClaimLedger = field(default_factory=ClaimLedger)
     outbox: Outbox = field(default_factory=Outbox)
     answers: AnswerStore = field(default_factory=AnswerStore)
     waits: dict[RequestId, Wait] = field(default_factory=dict)
     # Waiting requests by key.
     waiting: dict[str, list[RequestId]] = field(default_factory=dict)
     # Keys held by requests that have no account yet.
-    held: dict[RequestId, str] = field(default_factory=dict)
+    held_keys: dict[RequestId, str] = field(default_factory=dict)
     # Holders of this instance that are being withdrawn but are still in the ledger.
     withdrawing: set[str] = field(default_factory=set)
-    askers: dict[str, list[Asker]] = field(default_factory=dict)
+    remote_waiters: dict[str, list[RemoteWaiter]] = field(default_factory=dict)
     # Keys whose waiting requests have to be evaluated again.
-    due: set[str] = field(default_factory=set)
+    keys_to_evaluate: set[str] = field(default_factory=set)
     # Claims agreed to that are not in the ledger yet, by key, and the view in which they are valid.
     votes: dict[str, Vote] = field(default_factory=dict)
     vote_epoch: int = NO_VIEW
     # Number of this instance's append that changes the view, until its result is known.
-    sealed: int | None = None
+    view_append_number: int | None = None
     # Last append number of each member that is not live, and since when it is unchanged, by
     # incarnation.
-    quiet: dict[str, tuple[int, float]] = field(default_factory=dict)
-    join_due: float = 0.0
+    unresponsive_members: dict[str, tuple[int, float]] = field(default_factory=dict)
+    next_join_at: float = 0.0
     # Incarnations in the view that have been live at some time.
-    met: set[str] = field(default_factory=set)
+    live_before: set[str] = field(default_factory=set)
     # Incarnations that were live when the first view was last considered, and since when.
-    live_seen: frozenset[str] = frozenset()
+    live_incarnations: frozenset[str] = frozenset()
     live_since: float = 0.0
     # When the pending read of the stream was sent; None if none is pending.
     reading_since: float | None = None
     # The last read failed.
     read_failed: bool = False
     # When the stream is read next, unless an event causes an earlier read.
-    read_due: float = 0.0
+    next_read_at: float = 0.0
     # Since when the ledger is not whole; None while it is.
-    blind_since: float | None = None
+    not_whole_since: float | None = None
     # Claims in records below this offset are old and have to be carried; see `claim_carry`.
     carry_below: int = 0
     # Offset of the stream at the last age mark, and when the next mark is set.
-    mark: int = 0
-    mark_due: float = 0.0
+    age_mark_offset: int = 0
+    next_age_mark_at: float = 0.0
 
 
 def add_wait(claims: ClaimState, wait: Wait) -> None:
--- a/packages/turmericweir-core/turmericweir_core/state/claim_view.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_view.py
@@ -37,13 +37,13 @@
     # None while this reader does not know it.
     current: View | None = FIRST_VIEW
     # Newest record that names the members of the current view.
-    kept_at: int = NO_VIEW
+    members_offset: int = NO_VIEW
     # Members by offset, for changes read while the view was unknown; any of them may be void.
     proposed: dict[int, tuple[Writer, ...]] = field(default_factory=dict)
     # Members by epoch, as reported by other writers while the view was unknown here.
-    told: dict[int, tuple[Writer, ...]] = field(default_factory=dict)
+    reported_views: dict[int, tuple[Writer, ...]] = field(default_factory=dict)
     # Writers outside the view that have requested to join, by name and incarnation.
-    joins: dict[tuple[str, str], Writer] = field(default_factory=dict)
+    join_requests: dict[tuple[str, str], Writer] = field(default_factory=dict)
 
 
 def epoch_of(views: ViewLedger) -> int:
@@ -51,7 +51,7 @@
     return UNKNOWN_VIEW if views.current is None else views.current.epoch
 
 
-def may_claim(views: ViewLedger, writer: Writer) -> bool:
+def can_claim(views: ViewLedger, writer: Writer) -> bool:
     """Return whether a claim by this writer is valid.
 
     A reader that does not know the view accepts all claims. Their entries are unsure, so they may
@@ -66,24 +66,24 @@
     return any(member.incarnation == writer.incarnation for member in view.members)
 
 
-def lose_view(views: ViewLedger) -> None:
+def discard_view(views: ViewLedger) -> None:
     """Discard the view because records that may have changed it were missed."""
     views.current = None
     views.proposed.clear()
-    views.told.clear()
-    views.joins.clear()
+    views.reported_views.clear()
+    views.join_requests.clear()
 
 
-def note_told(views: ViewLedger, offset: int, batch: Batch) -> None:
+def note_reported_view(views: ViewLedger, offset: int, batch: Batch) -> None:
     """Record the view that the writer of a record knew when it composed the record."""
     current = views.current
     if batch.members is not None and current is not None and batch.epoch == current.epoch:
-        views.kept_at = offset
+        views.members_offset = offset
     if batch.members is not None and current is None:
-        views.told[batch.epoch] = batch.members
+        views.reported_views[batch.epoch] = batch.members
 
 
-def learn_view(views: ViewLedger, batch: Batch) -> None:
+def adopt_view(views: ViewLedger, batch: Batch) -> None:
     """Adopt the view from a writer that knows every live claim."""
     if views.current is not None or batch.epoch == UNKNOWN_VIEW:
         return
@@ -93,13 +93,13 @@
     if batch.epoch == NO_VIEW:
         views.current = FIRST_VIEW
         return
-    members = views.proposed.get(batch.epoch, views.told.get(batch.epoch))
+    members = views.proposed.get(batch.epoch, views.reported_views.get(batch.epoch))
     if members is None:
         return
     views.current = View(batch.epoch, members)
-    views.kept_at = max(batch.epoch, views.kept_at)
+    views.members_offset = max(batch.epoch, views.members_offset)
     views.proposed.clear()
-    views.told.clear()
+    views.reported_views.clear()
 
 
 def fold_view(views: ViewLedger, offset: int, batch: Batch) -> bool:
@@ -107,7 +107,7 @@
     writer = batch.writer
     current = views.current
     if batch.join and current is not None and current.members and not is_member(current, writer):
-        views.joins[writer.instance, writer.incarnation] = writer
+        views.join_requests[writer.instance, writer.incarnation] = writer
     change = batch.change
     if change is None:
         return False
@@ -118,6 +118,6 @@
     if change.follows != current.epoch or not is_entitled:
         return False
     views.current = View(offset, change.members)
-    views.kept_at = offset
-    views.joins = {}
+    views.members_offset = offset
+    views.join_requests = {}
     return True
--- a/packages/turmericweir-core/turmericweir_core/state/concurrency.py
+++ b/packages/turmericweir-core/turmericweir_core/state/concurrency.py
@@ -35,17 +35,17 @@
     # Averaged ratio of the time to the first token to its target, for the most urgent class.
     first_token_ratio: float = 0.0
     # Calls or first tokens observed since the last adjustment.
-    fresh: int = 0
-    adjust_due: float = 0.0
+    new_samples: int = 0
+    next_adjustment_at: float = 0.0
 
 
-class LimitState(Struct):
+class ConcurrencyLimits(Struct):
     """The adaptive limits, by server."""
 
     by_server: dict[ServerName, ServerLimit] = field(default_factory=dict)
 
 
-def limited_slots(state: LimitState, server: ServerName, slots: int) -> int:
+def limited_slots(state: ConcurrencyLimits, server: ServerName, slots: int) -> int:
     """Return how many requests a server with this number of slots may be given at once."""
     limit = state.by_server.get(server)
     if limit is None:
@@ -53,7 +53,7 @@
     return max(1, round(slots * limit.share))
 
 
-def _get_or_create_limit(state: LimitState, server: ServerName) -> ServerLimit:
+def _get_or_create_limit(state: ConcurrencyLimits, server: ServerName) -> ServerLimit:
     limit = state.by_server.get(server)
     if limit is None:
         limit = state.by_server[server] = ServerLimit()
@@ -64,7 +64,12 @@
 
 
 def note_latency(
-    state: LimitState, options: Options, now: float, server: ServerName, slots: int, latency: float
+    state: ConcurrencyLimits,
+    options: Options,
+    now: float,
+    server: ServerName,
+    slots: int,
+    latency: float,
 ) -> None:
     """Record the latency of a completed plain call and adjust the limit if it is time to."""
     limit = _get_or_create_limit(state, server)
@@ -74,9 +79,9 @@
     limit.long_s += options.limit_long_weight * (latency - limit.long_s)
     # Prevents a long peak load from becoming the baseline for later latencies.
     limit.long_s = min(limit.long_s, 2.0 * limit.short_s)
-    limit.fresh += 1
-    if now >= limit.adjust_due:
-        limit.adjust_due = now + options.limit_adjust_s
+    limit.new_samples += 1
+    if now >= limit.next_adjustment_at:
+        limit.next_adjustment_at = now + options.limit_adjust_s
         _adjust_by_gradient(limit, options, slots, limit.short_s, limit.long_s)
 
 
@@ -87,24 +92,24 @@
     old_limit = limit.share * slots
     new_limit = old_limit * gradient + sqrt(old_limit) * (gradient == 1.0)
     _set_share(limit, options, new_limit / slots)
-    limit.fresh = 0
+    limit.new_samples = 0
 
 
 # --- engines ---------------------------------------------------------------------------------
 
 
 def note_first_token(
-    state: LimitState, options: Options, server: ServerName, waited: float, target_s: float
+    state: ConcurrencyLimits, options: Options, server: ServerName, waited: float, target_s: float
 ) -> None:
     """Record the time to the first token of an attempt relative to the target of its class."""
     limit = _get_or_create_limit(state, server)
     ratio = waited / max(target_s, 1e-6)
     limit.first_token_ratio += options.limit_short_weight * (ratio - limit.first_token_ratio)
-    limit.fresh += 1
+    limit.new_samples += 1
 
 
 def adjust_engine(
-    state: LimitState,
+    state: ConcurrencyLimits,
     options: Options,
     now: float,
     server: ServerName,
@@ -113,25 +118,25 @@
 ) -> None:
     """Raise or lower the limit of an engine according to the targets of the classes."""
     limit = _get_or_create_limit(state, server)
-    if now < limit.adjust_due:
+    if now < limit.next_adjustment_at:
         return
-    limit.adjust_due = now + options.limit_adjust_s
+    limit.next_adjustment_at = now + options.limit_adjust_s
     is_gap_slow = gap_target_s is not None and gap_s > gap_target_s
-    is_first_token_slow = limit.fresh > 0 and limit.first_token_ratio > 1.0
+    is_first_token_slow = limit.new_samples > 0 and limit.first_token_ratio > 1.0
     if is_gap_slow or is_first_token_slow:
         _set_share(limit, options, limit.share * options.limit_backoff)
     else:
         _set_share(limit, options, limit.share + options.limit_growth)
-    if not limit.fresh:
+    if not limit.new_samples:
         # No answer began since the last adjustment: decay the old ratio.
         limit.first_token_ratio *= options.limit_backoff
-    limit.fresh = 0
+    limit.new_samples = 0
 
 
 def _set_share(limit: ServerLimit, options: Options, share: float) -> None:
     limit.share = min(options.limit_max_share, max(options.limit_min_share, share))
 
 
-def forget_server(state: LimitState, server: ServerName) -> None:
+def forget_server(state: ConcurrencyLimits, server: ServerName) -> None:
     """Discard the limit of a server that restarted or is gone."""
     state.by_server.pop(server, None)
--- a/packages/turmericweir-core/turmericweir_core/state/credit_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/credit_state.py
@@ -28,8 +28,8 @@
     answered_seq: int = 0
     answered_at: float = NEVER
     # Content of the newest demand, and when it was made.
-    asked: tuple[TierDemand, ...] = ()
-    asked_at: float = NEVER
+    newest_demand: tuple[TierDemand, ...] = ()
+    demand_sent_at: float = NEVER
     # Slots by tier, and how many of them only that tier may use.
     slots: dict[int, int] = field(default_factory=dict)
     assured: dict[int, int] = field(default_factory=dict)
@@ -38,12 +38,12 @@
     # Counted from the time when the answered demand was sent.
     valid_until: float = NEVER
     # The dispatcher requests a report of every change of this instance's demand.
-    contended: bool = False
+    is_contended: bool = False
     # The dispatcher has recalled credit and waits for this instance's confirmation.
-    confirm: bool = False
+    needs_confirmation: bool = False
     # Attempts of tiers above `displace_above` are displaced until this many are left; None for no
     # displacement. A number of remaining attempts makes a repeated grant idempotent.
-    keep: int | None = None
+    attempts_to_keep: int | None = None
     displace_above: int = 0
     # Until then the instance uses only its local counts.
     fallback_until: float = NEVER
@@ -51,11 +51,11 @@
     used_at: float = NEVER
 
 
-class Holding(Struct):
+class CreditHolding(Struct):
     """The dispatcher's record of one instance that uses a server."""
 
     seq: int
-    heard_at: float
+    received_at: float
     demand: dict[int, TierDemand] = field(default_factory=dict)
     # Slots of the newest grant, by tier.
     granted: dict[int, int] = field(default_factory=dict)
@@ -72,8 +72,8 @@
     load_seq: int = -1
     load_at: float = NEVER
     load_leaving: bool = False
-    # Displacement sent with the newest grant; see `HeldCredit.keep`.
-    keep: int | None = None
+    # Displacement sent with the newest grant; see `HeldCredit.attempts_to_keep`.
+    attempts_to_keep: int | None = None
     displace_above: int = 0
     # Recent use, slot seconds; among equal demands the instance with the least use comes first.
     used_s: float = 0.0
@@ -109,12 +109,12 @@
         return self.unconfirmed if self.confirmed < self.number else 0
 
 
-class Ledger(Struct):
+class CreditLedger(Struct):
     """Credit for one server, granted by this instance as its dispatcher."""
 
-    holdings: dict[InstanceName, Holding] = field(default_factory=dict)
+    holdings: dict[InstanceName, CreditHolding] = field(default_factory=dict)
     # Slot seconds accrued by tiers that wait without a slot; negative while they are repaid.
-    saved: dict[int, float] = field(default_factory=dict)
+    accrued_slot_s: dict[int, float] = field(default_factory=dict)
     # Tiers that currently have an assured slot.
     assured: set[int] = field(default_factory=set)
     # Since when some instance's demand exceeds its grant; None if none does.
@@ -125,19 +125,19 @@
     # Settlements since the last tick.
     settlements: int = 0
     # When expired credit and changes of capacity are checked next.
-    look_due: float = NEVER
+    next_check_at: float = NEVER
     # A settlement was postponed because the last one was very recent.
-    unsettled: bool = False
+    is_settlement_pending: bool = False
 
 
 class CreditState(Struct):
     """State of both sides of the credit policy."""
 
-    held: dict[ServerName, HeldCredit] = field(default_factory=dict)
-    given: dict[ServerName, Ledger] = field(default_factory=dict)
+    held_by_server: dict[ServerName, HeldCredit] = field(default_factory=dict)
+    granted_by_server: dict[ServerName, CreditLedger] = field(default_factory=dict)
     # Live instances that are not leaving, by data centre, as of the last tick.
     live: dict[str, tuple[InstanceName, ...]] = field(default_factory=dict)
-    live_due: float = NEVER
+    next_live_update_at: float = NEVER
     # All live instances, including leaving ones: these hold credit until their attempts have ended.
     alive: frozenset[InstanceName] = frozenset()
     # Dispatchers by server; emptied when `live` changes.
@@ -145,9 +145,9 @@
     # Servers where this instance runs more attempts than it now has credit for.
     recalled: set[ServerName] = field(default_factory=set)
     # Servers whose dispatchers have been sent a demand for waiting requests.
-    asking: set[ServerName] = field(default_factory=set)
+    demanded_servers: set[ServerName] = field(default_factory=set)
     # Credit was lost at several servers: until then it is requested in the subset's order.
-    stays_until: float = NEVER
+    in_subset_order_until: float = NEVER
     # Rate limit: demands allowed now, and when that was computed; None before the first demand.
     demands_left: float | None = None
     demands_at: float = 0.0
--- a/packages/turmericweir-core/turmericweir_core/state/dead_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/dead_state.py
@@ -11,7 +11,7 @@
     """Probes of a server on which attempts are unresponsive."""
 
     # Not probed again before this time.
-    try_due: float
+    next_probe_at: float
     failures: int = 0
 
 
--- a/packages/turmericweir-core/turmericweir_core/state/document_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/document_state.py
@@ -19,9 +19,9 @@
     # When the newest answered read was sent, by this instance or by a peer.
     proof_at: float = _NEVER
     # The same, for reads of this instance only.
-    own_proof_at: float = _NEVER
+    local_proof_at: float = _NEVER
     started_at: float | None = None
-    ask_due: float = _NEVER
+    next_query_at: float = _NEVER
     # Number of the newest query to a peer, and when each query was sent.
-    asked: int = 0
-    asked_at: dict[int, float] = field(default_factory=dict)
+    query_number: int = 0
+    queries_sent_at: dict[int, float] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/duty_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/duty_state.py
@@ -24,23 +24,25 @@
     checks_fence: bool
 
 
-class ToldUsage(Struct):
+class ReportedUsage(Struct):
     """The counts reported by one incarnation of an instance."""
 
     seq: int
     open_window: int
-    heard_at: float
+    received_at: float
     windows: dict[int, dict[str, int]] = field(default_factory=dict)
 
 
-class UsageBook(Struct):
+class UsageRecords(Struct):
     """The counts of all instances, and which of them were reported to the platform."""
 
     # By name and incarnation. The counts of an incarnation stay valid after its end.
-    told: dict[tuple[InstanceName, str], ToldUsage] = field(default_factory=dict)
+    counts_by_incarnation: dict[tuple[InstanceName, str], ReportedUsage] = field(
+        default_factory=dict
+    )
     # Messages of this instance: their counter, when the next is sent and when the last was sent.
     seq: int = 0
-    send_due: float = NEVER
+    next_send_at: float = NEVER
     sent_at: float = NEVER
     sent_window: int | None = None
     # Recipients of the newest message; other instances are sent all stored windows.
@@ -50,12 +52,12 @@
     # Windows whose reports the platform has accepted, as far as this instance knows.
     reported: set[int] = field(default_factory=set)
     # Token and window of the call in flight, and when the next call may be made.
-    calling: tuple[str, int] | None = None
-    call_due: float = NEVER
+    call_in_flight: tuple[str, int] | None = None
+    next_call_at: float = NEVER
     failures: int = 0
 
 
-class Ordered(Struct):
+class CapacityOrder(Struct):
     """The newest order of servers of one kind in one data centre."""
 
     count: int
@@ -63,21 +65,21 @@
     # The platform has accepted it.
     is_taken: bool = False
     # No servers of this kind are available before this time.
-    dry_until: float = NEVER
+    unavailable_until: float = NEVER
 
 
-class CapacityBook(Struct):
+class CapacityState(Struct):
     """Orders of servers, by service, data centre and whether they are spot servers."""
 
-    orders: dict[tuple[str, str, bool], Ordered] = field(default_factory=dict)
-    calls: dict[str, tuple[str, str, bool]] = field(default_factory=dict)
+    orders: dict[tuple[str, str, bool], CapacityOrder] = field(default_factory=dict)
+    calls_in_flight: dict[str, tuple[str, str, bool]] = field(default_factory=dict)
     # Highest recent number of engines that a service needed, and when it was computed.
-    needed: dict[str, tuple[int, float]] = field(default_factory=dict)
+    recent_need: dict[str, tuple[int, float]] = field(default_factory=dict)
     # Servers in each data centre of a service at the first check of this instance.
-    kept: dict[str, dict[str, int]] = field(default_factory=dict)
+    initial_servers: dict[str, dict[str, int]] = field(default_factory=dict)
     # Since when this instance has tracked the demand without interruption.
     since: float | None = None
-    look_due: float = NEVER
+    next_check_at: float = NEVER
 
 
 class DutyState(Struct):
@@ -88,16 +90,16 @@
     number: int = 0
     # Instances that may hold the lease, in fallback order, and when they are determined again.
     candidates: list[Member] = field(default_factory=list)
-    look_due: float = NEVER
+    next_candidates_at: float = NEVER
     # When a status of a holder that can do the work was last received.
-    heard_at: float | None = None
+    holder_seen_at: float | None = None
     # Incarnation and fencing number of the newest lease of another instance.
-    read_lease: tuple[str, int] | None = None
+    foreign_lease: tuple[str, int] | None = None
     # When this instance next announces that it holds the lease.
-    status_due: float = NEVER
+    next_status_at: float = NEVER
     # Since when this instance, as the holder, cannot do the work; None while it can.
     failing_since: float | None = None
     # It does not request the lease before this time, because it failed as the holder.
     barred_until: float = NEVER
-    usage: UsageBook = field(default_factory=UsageBook)
-    capacity: CapacityBook = field(default_factory=CapacityBook)
+    usage: UsageRecords = field(default_factory=UsageRecords)
+    capacity: CapacityState = field(default_factory=CapacityState)
--- a/packages/turmericweir-core/turmericweir_core/state/engine_speed.py
+++ b/packages/turmericweir-core/turmericweir_core/state/engine_speed.py
@@ -49,7 +49,7 @@
     work_took: float = 0.0
 
 
-def common(options: Options) -> EngineSpeed:
+def reference_speed(options: Options) -> EngineSpeed:
     """Return the line of the reference engine, as the starting point."""
     speed = EngineSpeed(options.first_token_ms)
     for work in (0.0, _PRIOR_WORK_MS):
@@ -57,7 +57,7 @@
     return speed
 
 
-def learn(speed: EngineSpeed, work_ms: float, took_ms: float) -> None:
+def update_speed(speed: EngineSpeed, work_ms: float, took_ms: float) -> None:
     """Update the line with a request to an engine that had nothing else to prefill."""
     expected_ms = speed.first_ms + speed.factor * work_ms
     took_ms = min(took_ms, _MAX_RATIO * expected_ms)
--- a/packages/turmericweir-core/turmericweir_core/state/engine_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/engine_state.py
@@ -11,7 +11,7 @@
 from turmericweir_core.state.engine_speed import EngineSpeed
 
 
-class Pending(Struct, frozen=True):
+class PendingPrompt(Struct, frozen=True):
     """A prompt that waits for its prefill at an engine or is being prefilled."""
 
     work_ms: float
@@ -31,20 +31,20 @@
     sent_at: float
     # Prefill time on the reference engine. None if this engine had other prompts to prefill, or
     # fetched a part of the prompt from another engine.
-    common_ms: float | None
+    reference_ms: float | None
 
 
-class Heard(Struct):
+class ReceiptTime(Struct):
     """When an instance last sent a message; everything that it reported was valid at that time."""
 
-    at: float
+    received_at: float
 
 
 class PeerLoad(Struct):
     """Load of one other instance, or of all instances behind one relay, on a server."""
 
-    heard: Heard
-    pending: list[Pending] = field(default_factory=list)
+    last_receipt: ReceiptTime
+    pending: list[PendingPrompt] = field(default_factory=list)
     running: int = 0
     tokens: int = 0
 
@@ -53,20 +53,20 @@
     """Total load of all instances on a server at one time."""
 
     at: float
-    # `EngineBook.changes` when this was computed.
-    changes: int
+    # `EngineBook.load_version` when this was computed.
+    load_version: int
     own: tuple[int, int]
     # Prompts that the server has not begun to answer.
-    pending: list[Pending]
+    pending: list[PendingPrompt]
     # Those of them in prefill, and the remaining prefill time, milliseconds.
-    in_hand: list[Pending]
-    in_hand_ms: float
+    in_prefill: list[PendingPrompt]
+    prefill_left_ms: float
     requests: int
     # Tokens that the requests occupy in the server's memory.
     tokens: int
 
 
-class EngineBook(Struct):
+class EngineInfo(Struct):
     """State of one server; for servers of plain services only the running requests are recorded."""
 
     # Prompts of this instance without a first token, and the tokens of its running requests.
@@ -78,23 +78,23 @@
     cached_tokens: int = 0
     # Prompt parts that it was sent but has not begun to answer, with the time until which this is
     # assumed. They are not in its cache yet.
-    reading: dict[str, float] = field(default_factory=dict)
+    uncached_parts: dict[str, float] = field(default_factory=dict)
     pace: float = 1.0
     # When the engine began the prefill of the prompts that wait there now.
-    reading_since: float = 0.0
+    prefilling_since: float = 0.0
     # Number of changes of the load, except in the length of this instance's running answers.
-    changes: int = 0
+    load_version: int = 0
     # The newest total, cached because many waiting requests need it at the same time.
     load: EngineLoad | None = None
 
 
-class EngineModels(Struct):
+class EngineTable(Struct):
     """State of the load and caches of all servers."""
 
-    by_server: dict[ServerName, EngineBook] = field(default_factory=dict)
+    by_server: dict[ServerName, EngineInfo] = field(default_factory=dict)
     # Prefill speed of the engines, by service.
     speeds: dict[Target, EngineSpeed] = field(default_factory=dict)
     # Something changed that has to be sent to other instances.
-    changed: bool = False
+    has_unsent_load: bool = False
     # Prompt parts sent or prefilled that have not been announced to other instances yet.
-    unsaid: list[SentPart] = field(default_factory=list)
+    unsent_parts: list[SentPart] = field(default_factory=list)
--- a/packages/turmericweir-core/turmericweir_core/state/first_wait_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/first_wait_state.py
@@ -7,10 +7,10 @@
 from turmericweir_core.base.ids import ServerName
 
 
-class SilenceState(Struct):
+class FirstWaitState(Struct):
     """Recent times to the first event of an answer."""
 
     # The longest wait by server, reduced by newer and shorter waits.
-    longest_wait: dict[ServerName, float] = field(default_factory=dict)
+    longest_first_wait_s: dict[ServerName, float] = field(default_factory=dict)
     # Number of attempts that were suspected, for the state dump.
     doubted: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/handover_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/handover_state.py
@@ -9,5 +9,5 @@
     """Whether this instance still has to request the contents of caches from a peer."""
 
     started_at: float | None = None
-    ask_due: float = 0.0
-    told: bool = False
+    next_query_at: float = 0.0
+    has_cache_contents: bool = False
--- a/packages/turmericweir-core/turmericweir_core/state/lease_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_ledger.py
@@ -9,8 +9,9 @@
 stream: every grant that it can win is read from there on. For leases that it has not read it waits
 (`free_at`): by then a live holder has renewed its lease, and any other lease has expired.
 
-If the log retains the newest record of each scope, a reader starts with these records (`adopt`).
-Such a log supports conditional appends, so every record in it was valid when it was written.
+If the log retains the newest record of each scope, a reader starts with these records
+(`start_from_newest`). Such a log supports conditional appends, so every record in it was valid when
+it was written.
 """
 
 from __future__ import annotations
@@ -35,77 +36,79 @@
     read_at: float
     released: bool = False
     # The reader has read all records on which the validity of that record depends.
-    sure: bool = True
+    is_sure: bool = True
     # Note of the holder for its successors.
     note: Any = None
 
 
-class Ledger(Struct):
+class LeaseLedger(Struct):
     """The leases of all scopes, up to an offset."""
 
     # The offset at which this reader started, and when; None before the start.
     start: int | None = None
     started_at: float = 0.0
     # The newest record of every scope was read at the start, so other scopes have no records.
-    whole: bool = False
+    has_all_scopes: bool = False
     # Offset of the next record to fold.
     offset: int = 0
     # When `offset` was last known to be the end of the stream.
     caught_up_at: float = float("-inf")
     leases: dict[Scope, Lease] = field(default_factory=dict)
     # Offset of the newest record of each scope, valid or not.
-    last: dict[Scope, int] = field(default_factory=dict)
+    last_offsets: dict[Scope, int] = field(default_factory=dict)
 
 
-class Folded(Struct, frozen=True):
+class LeaseFoldResult(Struct, frozen=True):
     """The result of folding one record."""
 
     # None if the record was malformed.
     record: LeaseRecord | None
-    valid: bool
+    is_valid: bool
     # The reader has read all records on which the validity of this record depends. Otherwise it may
     # only wait for the lease to expire and never act on it.
-    sure: bool = False
+    is_sure: bool = False
 
 
-def begin(ledger: Ledger, offset: int, now: float) -> None:
+def start_at_end(ledger: LeaseLedger, offset: int, now: float) -> None:
     """Start or restart at the end of the stream, discarding all leases."""
     ledger.start = offset
     ledger.started_at = now
     ledger.offset = offset
-    ledger.whole = False
+    ledger.has_all_scopes = False
     ledger.leases.clear()
-    ledger.last.clear()
+    ledger.last_offsets.clear()
 
 
-def adopt(ledger: Ledger, now: float, newest: Iterable[LogRecord], end: int) -> list[int]:
+def start_from_newest(
+    ledger: LeaseLedger, now: float, newest: Iterable[LogRecord], end: int
+) -> list[int]:
     """Start with the newest record of each scope; return the offsets of malformed records."""
-    begin(ledger, end, now)
-    ledger.whole = True
+    start_at_end(ledger, end, now)
+    ledger.has_all_scopes = True
     malformed = []
     for log_record in newest:
         record = decode(log_record.value)
         if record is None:
             malformed.append(log_record.offset)
             continue
-        ledger.last[record.scope] = log_record.offset
+        ledger.last_offsets[record.scope] = log_record.offset
         ledger.leases[record.scope] = _lease_from_record(now, log_record.offset, record, sure=True)
     return malformed
 
 
-def fold(ledger: Ledger, now: float, offset: int, value: object) -> Folded:
+def fold(ledger: LeaseLedger, now: float, offset: int, value: object) -> LeaseFoldResult:
     """Fold the next record of the stream, read at time `now` of this reader's clock."""
     ledger.offset = offset + 1
     record = decode(value)
     if record is None:
-        return Folded(None, valid=False)
-    previous_offset = ledger.last.get(record.scope, NO_OFFSET)
-    ledger.last[record.scope] = offset
+        return LeaseFoldResult(None, is_valid=False)
+    previous_offset = ledger.last_offsets.get(record.scope, NO_OFFSET)
+    ledger.last_offsets[record.scope] = offset
     if previous_offset >= record.upto or record.upto > offset:
-        return Folded(record, valid=False)
+        return LeaseFoldResult(record, is_valid=False)
     sure = ledger.start is not None and record.upto >= ledger.start
     ledger.leases[record.scope] = _lease_from_record(now, offset, record, sure=sure)
-    return Folded(record, valid=True, sure=sure)
+    return LeaseFoldResult(record, is_valid=True, is_sure=sure)
 
 
 def _lease_from_record(now: float, offset: int, record: LeaseRecord, *, sure: bool) -> Lease:
@@ -117,12 +120,12 @@
         read_at=now,
         # An unsure release may be void, so the lease may still be held.
         released=record.act is Act.RELEASE and sure,
-        sure=sure,
+        is_sure=sure,
         note=record.note,
     )
 
 
-def free_at(ledger: Ledger, scope: Scope, lease_s: float, margin_s: float) -> float:
+def free_at(ledger: LeaseLedger, scope: Scope, lease_s: float, margin_s: float) -> float:
     """Return the time from which on no other instance can assume that it holds the lease.
 
     Prevents two instances from sending orders at once to a server that ignores fencing numbers. The
@@ -131,7 +134,7 @@
     """
     lease = ledger.leases.get(scope)
     if lease is None:
-        if ledger.start == 0 or ledger.whole:
+        if ledger.start == 0 or ledger.has_all_scopes:
             # All relevant records were read, so there has been no lease.
             return float("-inf")
         return ledger.started_at + lease_s + margin_s
--- a/packages/turmericweir-core/turmericweir_core/state/lease_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_state.py
@@ -5,10 +5,10 @@
 from msgspec import Struct, field
 
 from turmericweir_core.records.lease_record import LeaseRecord, Scope
-from turmericweir_core.state.lease_ledger import Ledger
+from turmericweir_core.state.lease_ledger import LeaseLedger
 
 
-class Held(Struct, frozen=True):
+class HeldLease(Struct, frozen=True):
     """A lease held by this instance until a time of its own clock."""
 
     fence: int
@@ -17,7 +17,7 @@
     # When this instance got the fencing number.
     since: float
     # It was taken over from another instance, which may not have noticed yet.
-    taken_over: bool
+    is_taken_over: bool
 
 
 class SentBatch(Struct, frozen=True):
@@ -31,17 +31,17 @@
 class LeaseState(Struct):
     """The leases of this instance, and the ledger of all leases."""
 
-    ledger: Ledger = field(default_factory=Ledger)
+    ledger: LeaseLedger = field(default_factory=LeaseLedger)
     # Scopes that this instance wants to hold, and since when. Without any, the stream is not read.
     wanted: dict[Scope, float] = field(default_factory=dict)
-    held: dict[Scope, Held] = field(default_factory=dict)
+    held: dict[Scope, HeldLease] = field(default_factory=dict)
     # Scopes whose lease was dropped because a server had received a higher fencing number. It is
     # not renewed because a renewal keeps the same number.
     dropped: set[Scope] = field(default_factory=set)
     # The holder's notes for its successors, by scope; written with the next record.
     notes: dict[Scope, object] = field(default_factory=dict)
     # Held scopes with no work at present: their leases may expire, and the stream is not read.
-    resting: set[Scope] = field(default_factory=set)
+    idle_scopes: set[Scope] = field(default_factory=set)
     in_flight: SentBatch | None = None
     # When each record of this instance was sent, by number. Its arrival in the log may be observed
     # much later.
@@ -53,4 +53,4 @@
     retry_at: float = 0.0
     # When the pending read was sent; None if none is pending.
     reading_since: float | None = None
-    read_due: float = 0.0
+    next_read_at: float = 0.0
--- a/packages/turmericweir-core/turmericweir_core/state/limit_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/limit_state.py
@@ -1,7 +1,7 @@
 """State of the rate limits of customers and teams; `limit` describes how they work.
 
 A *subject* is one limited customer or team. Each instance holds a share of a subject's limit
-(`Holding`), and the subject's home records which instances asked for shares (`HomeSubject`). Both
+(`HeldShare`), and the subject's home records which instances asked for shares (`HomeSubject`). Both
 are soft state: a new home learns of the shares from the instances that hold them.
 """
 
@@ -18,7 +18,7 @@
 SubjectKey = NewType("SubjectKey", str)
 
 NEVER: Final = -inf
-NOBODY: Final = InstanceName("")
+NO_HOME: Final = InstanceName("")
 _CUSTOMER_PREFIX: Final = "c:"
 _TEAM_PREFIX: Final = "t:"
 
@@ -53,13 +53,13 @@
     rate: float
     depth: float
     level: float
-    at: float
+    refilled_at: float
 
     def refill(self, now: float) -> None:
         """Add the tokens accrued since the last refill."""
-        if now > self.at:
-            self.level = min(self.depth, self.level + (now - self.at) * self.rate)
-            self.at = now
+        if now > self.refilled_at:
+            self.level = min(self.depth, self.level + (now - self.refilled_at) * self.rate)
+            self.refilled_at = now
 
     def set_rate(self, now: float, rate: float, depth: float) -> None:
         """Change the rate and depth, after a refill at the old rate."""
@@ -75,7 +75,7 @@
         return inf if self.rate <= 0 else -self.level / self.rate
 
 
-class Demand(Struct):
+class DemandAverage(Struct):
     """Demand of callers, admitted or not: a slow and a fast moving average.
 
     The slow average is stable but lags. The fast one detects the start and the end of a burst, but
@@ -83,7 +83,7 @@
     taken for bursts, each of which would cause a message.
     """
 
-    at: float
+    decayed_at: float
     slow: float = 0.0
     fast: float = 0.0
     # Mean size of an arrival: 1 for requests, the predicted length for tokens.
@@ -91,11 +91,11 @@
 
     def decay(self, now: float, slow_s: float, fast_s: float) -> None:
         """Decay both averages up to a time."""
-        elapsed_s = now - self.at
+        elapsed_s = now - self.decayed_at
         if elapsed_s > 0:
             self.slow *= exp(-elapsed_s / slow_s)
             self.fast *= exp(-elapsed_s / fast_s)
-            self.at = now
+            self.decayed_at = now
 
     def add(self, size: float, slow_s: float, fast_s: float) -> None:
         """Count an arrival. Call `decay` first."""
@@ -115,23 +115,23 @@
     """One limited quantity of a subject at this instance: requests or tokens."""
 
     bucket: Bucket
-    demand: Demand
+    demand: DemandAverage
     # The demand last reported to the home.
-    told: float = 0.0
+    reported_demand: float = 0.0
 
 
-class Holding(Struct):
+class HeldShare(Struct):
     """This instance's share of one subject's limit."""
 
     # None if the quantity is not limited.
     requests: Quantity | None = None
     tokens: Quantity | None = None
     # The home that granted the share; empty before the first query.
-    home: InstanceName = NOBODY
+    home: InstanceName = NO_HOME
     # End of validity of the granted share.
     valid_until: float = NEVER
     # When the next query is sent.
-    ask_due: float = NEVER
+    next_query_at: float = NEVER
     # When the pending query was sent, if any, and how long to wait for the next answer.
     asked_at: float | None = None
     answer_wait_s: float = 0.0
@@ -143,19 +143,19 @@
         return [quantity for quantity in (self.requests, self.tokens) if quantity is not None]
 
 
-class Claim(Struct):
+class QuantityGrant(Struct):
     """One instance's demand for one quantity, and its last grant."""
 
     demand: float = 0.0
     granted: float = 0.0
 
 
-class Asker(Struct):
+class ShareHolder(Struct):
     """The home's record of one instance that holds a share."""
 
-    heard_at: float = NEVER
-    requests: Claim = field(default_factory=Claim)
-    tokens: Claim = field(default_factory=Claim)
+    received_at: float = NEVER
+    requests: QuantityGrant = field(default_factory=QuantityGrant)
+    tokens: QuantityGrant = field(default_factory=QuantityGrant)
 
 
 class HomeSubject(Struct):
@@ -163,11 +163,11 @@
 
     # When this instance became its home.
     since: float
-    askers: dict[InstanceName, Asker] = field(default_factory=dict)
+    share_holders: dict[InstanceName, ShareHolder] = field(default_factory=dict)
     # When the shares are next recomputed and reduced shares are recalled.
-    push_due: float = NEVER
+    next_push_at: float = NEVER
     # Some demand has changed since the last recomputation.
-    changed: bool = False
+    has_changed_demand: bool = False
 
 
 class Charge(Struct):
@@ -177,30 +177,30 @@
     tokens: float
 
 
-class Reach(Struct):
+class LimitParticipants(Struct):
     """The participating instances, as last determined."""
 
-    at: float = NEVER
+    updated_at: float = NEVER
     # Names and peer addresses of the live instances.
     addresses: dict[InstanceName, str] = field(default_factory=dict)
     # Fraction of each limit that this side of a network partition may grant.
-    part: float = 1.0
+    partition_share: float = 1.0
     # Number of instances among which a limit is divided if its home does not answer.
     split: int = 1
     # Home of each subject, by rendezvous hashing over the live instances.
     homes: dict[SubjectKey, InstanceName] = field(default_factory=dict)
 
 
-class LimitState(Struct):
+class RateLimits(Struct):
     """State of the rate limits of an instance."""
 
-    held: dict[SubjectKey, Holding] = field(default_factory=dict)
+    held: dict[SubjectKey, HeldShare] = field(default_factory=dict)
     home: dict[SubjectKey, HomeSubject] = field(default_factory=dict)
     charges: dict[RequestId, Charge] = field(default_factory=dict)
-    reach: Reach = field(default_factory=Reach)
+    participants: LimitParticipants = field(default_factory=LimitParticipants)
     # Subjects that had a request since the last tick.
-    touched: set[SubjectKey] = field(default_factory=set)
+    touched_subjects: set[SubjectKey] = field(default_factory=set)
     # When all holdings are next checked.
-    scan_due: float = NEVER
+    next_scan_at: float = NEVER
     # Number of refused requests, for the state dump.
     refused: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/membership_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/membership_state.py
@@ -32,11 +32,11 @@
     # The newest heartbeat counter, or None while only the list or a record names the member.
     seq: int | None = None
     # When an increase of the counter was last received, by this instance's clock.
-    heard_at: float = NEVER
+    last_seen_at: float = NEVER
     # When the list or a record last named it; used to delete members that are no longer reported.
-    told_at: float = NEVER
+    reported_at: float = NEVER
     # When this instance last contacted it for discovery, because it was not known to be live.
-    greeted_at: float = NEVER
+    contacted_at: float = NEVER
     # It refuses new work; never unset for an incarnation.
     leaving: bool = False
     # Offset of the settings in force there.
@@ -44,8 +44,8 @@
     # Capacity of its machine for relaying.
     strength: int = 0
     # Incarnations that were replaced, oldest first, and incarnations that were leaving.
-    retired: tuple[str, ...] = ()
-    left: tuple[str, ...] = ()
+    retired_incarnations: tuple[str, ...] = ()
+    left_incarnations: tuple[str, ...] = ()
 
 
 class RemoteCentre(Struct):
@@ -53,16 +53,16 @@
 
     name: str
     region: str = ""
-    heard_at: float = NEVER
+    last_seen_at: float = NEVER
     # The newest status message that was accepted.
-    word: Word | None = None
+    status_message: Word | None = None
     # The newest counter received from each relay, by its key; older status messages are ignored.
     seqs: dict[int, int] = field(default_factory=dict)
     # The members, as last reported, and the hash of that roster.
     roster: frozenset[InstanceName] = frozenset()
     roster_hash: int = 0
     # When the members were last requested.
-    asked_at: float = NEVER
+    roster_requested_at: float = NEVER
 
 
 class CentreView(Struct, frozen=True):
@@ -70,7 +70,7 @@
 
     name: str
     region: str
-    heard_at: float
+    last_seen_at: float
     # Its status is fresh. For an unreachable data centre the other fields are the last known ones.
     reachable: bool
     live: int
@@ -90,7 +90,7 @@
     # This instance's heartbeat counter.
     seq: int = 0
     # Number of the gossip round; determines the next partners.
-    round: int = 0
+    gossip_round: int = 0
     # Keys and names of the roster of this data centre, in the order of the keys.
     roster: tuple[int, ...] = ()
     roster_names: tuple[InstanceName, ...] = ()
@@ -99,17 +99,17 @@
     # keys, as a name may by now belong to another incarnation.
     past_rosters: OrderedDict[int, tuple[int, ...]] = field(default_factory=OrderedDict)
     # Until then counters are sent with their keys, because the rosters of some instances differ.
-    unsettled_until: float = NEVER
-    round_due: float = NEVER
-    candidate_due: float = NEVER
-    relay_due: float = NEVER
+    rosters_differ_until: float = NEVER
+    next_round_at: float = NEVER
+    next_candidate_at: float = NEVER
+    next_status_at: float = NEVER
     # When unknown keys may be requested again.
-    ask_due: float = NEVER
+    next_key_request_at: float = NEVER
     # When the list of servers may be requested again.
-    servers_ask_due: float = NEVER
+    next_servers_request_at: float = NEVER
     # Since when the leaving notices of a peer differ from this instance's. Recorded per peer, so
     # that the agreement of other peers does not prevent a request to the one that has more.
-    marks_differ: dict[InstanceName, float] = field(default_factory=dict)
+    notices_differ_since: dict[InstanceName, float] = field(default_factory=dict)
     # Time of the first tick.
     started_at: float | None = None
     # Time of the last tick. A gap before the next tick means that this process was paused.
--- a/packages/turmericweir-core/turmericweir_core/state/model_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/model_state.py
@@ -27,11 +27,11 @@
     kind: OrderKind
     label: ModelLabel
     # No server has the model: the order goes first and does not wait for the pause between orders.
-    urgent: bool = False
+    is_urgent: bool = False
     # Number of servers of the scope that have the model; those with the fewest are loaded first.
-    holders: int = 0
+    holder_count: int = 0
     # Follows an earlier order to the same server and need not wait for the pause.
-    follows: bool = False
+    is_follow_up: bool = False
 
     @property
     def key(self) -> tuple[ServerName, OrderKind, str]:
@@ -39,18 +39,18 @@
         return (self.server, self.kind, str(self.label))
 
 
-class Usage(Struct, frozen=True):
+class ModelUsage(Struct, frozen=True):
     """Running and waiting requests of a model."""
 
     busy: float = 0.0
     waiting: int = 0
 
 
-class Reported(Struct, frozen=True):
+class ReportedModelUsage(Struct, frozen=True):
     """The newest report of one instance about its use of models."""
 
     at: float
-    by_model: dict[str, Usage]
+    by_model: dict[str, ModelUsage]
 
 
 class ModelTarget(Struct):
@@ -65,7 +65,7 @@
     # When the count was last changed because of demand.
     changed_at: float = float("-inf")
     # Servers that should have the model, as of the last evaluation.
-    chosen: frozenset[ServerName] = frozenset()
+    chosen_servers: frozenset[ServerName] = frozenset()
 
 
 class ScopePlan(Struct):
@@ -80,7 +80,7 @@
     probed_at: float = float("-inf")
 
 
-class OutOrder(Struct, frozen=True):
+class SentOrder(Struct, frozen=True):
     """An order that was sent and not answered yet."""
 
     order: Order
@@ -88,7 +88,7 @@
     sent_at: float
 
 
-class Tries(Struct):
+class OrderAttempts(Struct):
     """Number of attempts at an order whose effect no report has confirmed."""
 
     count: int = 0
@@ -97,7 +97,7 @@
     next_at: float = 0.0
 
 
-class Seen(Struct, frozen=True):
+class DirectReport(Struct, frozen=True):
     """A report received directly from the server.
 
     Reports forwarded by other instances are delayed and less complete. Orders that are checked
@@ -113,27 +113,29 @@
 
     plans: dict[Scope, ScopePlan] = field(default_factory=dict)
     # The newest report of each server in the scopes of `plans`.
-    seen: dict[ServerName, Seen] = field(default_factory=dict)
+    seen: dict[ServerName, DirectReport] = field(default_factory=dict)
     # Reports of the instances about their use of models, by scope.
-    reported: dict[Scope, dict[InstanceName, Reported]] = field(default_factory=dict)
+    reported: dict[Scope, dict[InstanceName, ReportedModelUsage]] = field(default_factory=dict)
     # Sums of the samples of this instance's use since its last report, by model.
-    sampled: dict[str, Usage] = field(default_factory=dict)
+    sampled: dict[str, ModelUsage] = field(default_factory=dict)
     samples: int = 0
-    sample_due: float = 0.0
-    demand_due: float = 0.0
-    alarm_due: float = 0.0
-    round_due: float = 0.0
+    next_sample_at: float = 0.0
+    next_demand_at: float = 0.0
+    next_alarm_at: float = 0.0
+    next_round_at: float = 0.0
     # Orders in flight by token, at most one for each server.
-    out: dict[str, OutOrder] = field(default_factory=dict)
+    orders_in_flight: dict[str, SentOrder] = field(default_factory=dict)
     # Number of the newest order.
     number: int = 0
-    tries: dict[tuple[ServerName, OrderKind, str], Tries] = field(default_factory=dict)
+    order_attempts: dict[tuple[ServerName, OrderKind, str], OrderAttempts] = field(
+        default_factory=dict
+    )
     # When each server was last sent an order.
     changed_at: dict[ServerName, float] = field(default_factory=dict)
     # Pending load orders, the most urgent first.
-    loads: list[Order] = field(default_factory=list)
+    pending_loads: list[Order] = field(default_factory=list)
     # The load order for which the weight store was queried, and since when.
-    asking: Order | None = None
-    asked_at: float = 0.0
+    queried_load: Order | None = None
+    queried_at: float = 0.0
     # When the store may be queried next.
-    weights_due: float = 0.0
+    next_weights_query_at: float = 0.0
--- a/packages/turmericweir-core/turmericweir_core/state/pool_load.py
+++ b/packages/turmericweir-core/turmericweir_core/state/pool_load.py
@@ -19,9 +19,9 @@
 class ArrivalRate(Struct):
     """Work that arrives at one tier, averaged with exponential decay."""
 
-    # Decayed sum of the work, as of `at`.
+    # Decayed sum of the work, as of `updated_at`.
     work: float = 0.0
-    at: float = 0.0
+    updated_at: float = 0.0
 
 
 class PoolLoad(Struct):
@@ -52,9 +52,9 @@
 
 def note_arrival(load: PoolLoad, options: Options, now: float, tier: int, work: float) -> None:
     """Record the arrival of work."""
-    rate = load.arrivals.setdefault(tier, ArrivalRate(at=now))
-    rate.work = rate.work * exp((rate.at - now) / options.arrival_window_s) + work
-    rate.at = now
+    rate = load.arrivals.setdefault(tier, ArrivalRate(updated_at=now))
+    rate.work = rate.work * exp((rate.updated_at - now) / options.arrival_window_s) + work
+    rate.updated_at = now
 
 
 def arrival_rate(load: PoolLoad, options: Options, now: float, above: int) -> float:
@@ -62,7 +62,7 @@
     total = 0.0
     for tier, rate in load.arrivals.items():
         if tier < above:
-            total += rate.work * exp((rate.at - now) / options.arrival_window_s)
+            total += rate.work * exp((rate.updated_at - now) / options.arrival_window_s)
     return total / options.arrival_window_s
 
 
@@ -96,6 +96,6 @@
     return (running + idle_slots) / load.pace_s
 
 
-def lower_running(load: PoolLoad, tier: int) -> bool:
+def is_lower_tier_running(load: PoolLoad, tier: int) -> bool:
     """Return whether an attempt of a less urgent tier is running."""
     return any(count > 0 for other, count in load.running.items() if other > tier)
--- a/packages/turmericweir-core/turmericweir_core/state/predict.py
+++ b/packages/turmericweir-core/turmericweir_core/state/predict.py
@@ -29,12 +29,12 @@
     current: LogCollapsingLowestDenseDDSketch
     previous: LogCollapsingLowestDenseDDSketch | None = None
     # Number of answers in `current`, and in both generations.
-    fresh: int = 0
-    seen: int = 0
+    current_count: int = 0
+    answer_count: int = 0
     # The quantile at its last evaluation.
     quantile: float = 0.0
     # Number of answers at that evaluation.
-    read_at: int = 0
+    evaluated_count: int = 0
 
 
 class PredictionError(Struct):
@@ -67,7 +67,7 @@
     predicted = options.predict_default
     for key in _sketch_keys(req.service_class.name, req.customer):
         sketch = predictor.sketches.get(key)
-        if sketch is not None and sketch.seen >= options.sketch_min:
+        if sketch is not None and sketch.answer_count >= options.sketch_min:
             predicted = sketch.quantile
             break
     if req.max_tokens is not None:
@@ -115,16 +115,19 @@
 
 def _add_length(sketch: LengthSketch, options: Options, tokens: int) -> None:
     sketch.current.add(float(tokens))
-    sketch.fresh += 1
-    sketch.seen += 1
-    if sketch.seen - sketch.read_at >= _REFRESH_ANSWERS or sketch.seen <= options.sketch_min:
+    sketch.current_count += 1
+    sketch.answer_count += 1
+    if (
+        sketch.answer_count - sketch.evaluated_count >= _REFRESH_ANSWERS
+        or sketch.answer_count <= options.sketch_min
+    ):
         _evaluate_quantile(sketch, options)
-    if sketch.fresh >= options.sketch_generation:
+    if sketch.current_count >= options.sketch_generation:
         sketch.previous = sketch.current
         sketch.current = _new_sketch(options)
-        sketch.seen = sketch.fresh
-        sketch.read_at = sketch.seen
-        sketch.fresh = 0
+        sketch.answer_count = sketch.current_count
+        sketch.evaluated_count = sketch.answer_count
+        sketch.current_count = 0
 
 
 def _evaluate_quantile(sketch: LengthSketch, options: Options) -> None:
@@ -137,4 +140,4 @@
             weighted_sum += value * generation.count
             total_count += generation.count
     sketch.quantile = weighted_sum / total_count if total_count else options.predict_default
-    sketch.read_at = sketch.seen
+    sketch.evaluated_count = sketch.answer_count
--- a/packages/turmericweir-core/turmericweir_core/state/queue_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/queue_state.py
@@ -33,12 +33,12 @@
     target: Target
     # Requests that can still meet their target, and overdue ones, which are served after them.
     on_time: OrderedDict[RequestId, Request] = field(default_factory=OrderedDict)
-    late: OrderedDict[RequestId, Request] = field(default_factory=OrderedDict)
+    overdue_requests: OrderedDict[RequestId, Request] = field(default_factory=OrderedDict)
     # Total cost of the waiting requests, and of the overdue ones among them.
     work: float = 0.0
-    late_work: float = 0.0
+    overdue_work: float = 0.0
     # Work that the overdue requests have earned as a share of the work served for their class.
-    late_earned: float = 0.0
+    overdue_earned: float = 0.0
     # Work that this class has earned but not used yet, in the unit of `cost`.
     earned: float = 0.0
 
@@ -48,8 +48,8 @@
         Overdue requests get their assured share. Prevents a long burst, in which the other requests
         barely meet their target, from delaying overdue requests until their deadlines.
         """
-        first_overdue = next(iter(self.late.values()), None)
-        if first_overdue is not None and self.late_earned >= first_overdue.queued_cost:
+        first_overdue = next(iter(self.overdue_requests.values()), None)
+        if first_overdue is not None and self.overdue_earned >= first_overdue.queued_cost:
             return first_overdue
         return next(iter(self.on_time.values()), first_overdue) or self._raise_empty()
 
@@ -58,35 +58,35 @@
 
     def __len__(self) -> int:
         """Return the number of waiting requests."""
-        return len(self.on_time) + len(self.late)
+        return len(self.on_time) + len(self.overdue_requests)
 
     def waiting(self) -> Iterator[Request]:
         """Yield the waiting requests, roughly oldest first: overdue ones arrived earlier."""
-        yield from self.late.values()
+        yield from self.overdue_requests.values()
         yield from self.on_time.values()
 
-    def in_turn(self, max_count: int) -> list[Request]:
+    def first_in_order(self, max_count: int) -> list[Request]:
         """Return the first `max_count` requests in queue order."""
-        return list(islice(chain(self.on_time.values(), self.late.values()), max_count))
+        return list(islice(chain(self.on_time.values(), self.overdue_requests.values()), max_count))
 
     def oldest_at(self) -> float:
         """Return the arrival time of the oldest request; the queue must not be empty."""
         return next(self.waiting()).arrived
 
-    def late_ends(self) -> list[tuple[Request, float]]:
+    def overdue_ends(self) -> list[tuple[Request, float]]:
         """Return the first and the last overdue request, each with the overdue work before it."""
-        if not self.late:
+        if not self.overdue_requests:
             return []
-        first = next(iter(self.late.values()))
-        last = next(reversed(self.late.values()))
+        first = next(iter(self.overdue_requests.values()))
+        last = next(reversed(self.overdue_requests.values()))
         ends = [(first, 0.0)]
         if last is not first:
-            ends.append((last, self.late_work - last.queued_cost))
+            ends.append((last, self.overdue_work - last.queued_cost))
         return ends
 
     def newest(self) -> Request:
         """Return the request that is served last: the newest overdue one, if there is any."""
-        return next(reversed((self.late or self.on_time).values()))
+        return next(reversed((self.overdue_requests or self.on_time).values()))
 
 
 class TargetQueue(Struct):
@@ -107,7 +107,7 @@
     # Heap of deadlines; entries of requests that no longer wait are skipped.
     deadlines: list[tuple[float, RequestId]] = field(default_factory=list)
     # Heap of the times from which on a request can no longer meet its target.
-    late_at: list[tuple[float, RequestId]] = field(default_factory=list)
+    overdue_at: list[tuple[float, RequestId]] = field(default_factory=list)
 
 
 def cost(req: Request) -> float:
@@ -138,7 +138,7 @@
     if req.first_token_at is None:
         # A request whose answer has begun is never overdue: its first token is already sent.
         overdue_at = req.arrived + on_time_share * req.service_class.target_s
-        heappush(queues.late_at, (overdue_at, req.request_id))
+        heappush(queues.overdue_at, (overdue_at, req.request_id))
     if front:
         queue.on_time.move_to_end(req.request_id, last=False)
 
@@ -161,28 +161,28 @@
     queue = queues.index.pop(req.request_id, None)
     if queue is None:
         return
-    if queue.late.pop(req.request_id, None) is not None:
-        queue.late_work = queue.late_work - req.queued_cost if queue.late else 0.0
+    if queue.overdue_requests.pop(req.request_id, None) is not None:
+        queue.overdue_work = queue.overdue_work - req.queued_cost if queue.overdue_requests else 0.0
     else:
         del queue.on_time[req.request_id]
     # Zero if empty, so that rounding errors do not accumulate.
     queue.work = queue.work - req.queued_cost if len(queue) else 0.0
 
 
-def move_late(queues: QueueState, now: float) -> None:
+def move_overdue(queues: QueueState, now: float) -> None:
     """Move requests that can no longer meet their target behind those that can.
 
     Prevents a burst from making nearly all requests overdue, each because it waits for overdue ones
     before it, although the servers could serve most of them in time.
     """
-    while queues.late_at and queues.late_at[0][0] <= now:
-        _, request_id = heappop(queues.late_at)
+    while queues.overdue_at and queues.overdue_at[0][0] <= now:
+        _, request_id = heappop(queues.overdue_at)
         queue = queues.index.get(request_id)
         if queue is None or request_id not in queue.on_time:
             continue
         req = queue.on_time.pop(request_id)
-        queue.late[request_id] = req
-        queue.late_work += req.queued_cost
+        queue.overdue_requests[request_id] = req
+        queue.overdue_work += req.queued_cost
 
 
 def waiting_count(queues: QueueState, target: Target, class_name: str) -> int:
@@ -212,30 +212,30 @@
     return target_queue.classes.values() if target_queue else ()
 
 
-def anything_waits(queues: QueueState, pool: str) -> bool:
+def has_waiting(queues: QueueState, pool: str) -> bool:
     """Return whether any request waits in a pool."""
     return any(True for _ in pool_queues(queues, pool))
 
 
-def in_order(queues: QueueState, pool: str) -> list[ClassQueue]:
+def queues_in_order(queues: QueueState, pool: str) -> list[ClassQueue]:
     """Return the nonempty queues of a pool in the order in which they are served."""
     nonempty = list(pool_queues(queues, pool))
     nonempty.sort(key=_queue_order_key)
     return nonempty
 
 
-def is_owed(queue: ClassQueue) -> bool:
+def has_earned_next(queue: ClassQueue) -> bool:
     """Return whether a class has earned the cost of its next request, so that it is served next."""
     return queue.earned >= queue.head().queued_cost
 
 
 def _queue_order_key(queue: ClassQueue) -> tuple[int, int, bool, float]:
     # Queues of the same tier are ordered by age, after a preference for requests on time.
-    earned_order = 0 if is_owed(queue) else 1
+    earned_order = 0 if has_earned_next(queue) else 1
     return (earned_order, queue.service_class.priority, not queue.on_time, queue.head().arrived)
 
 
-def upper_waits(queues: QueueState, pool: str, tier: int) -> bool:
+def has_upper_waiting(queues: QueueState, pool: str, tier: int) -> bool:
     """Return whether a request of a more urgent tier waits in a pool."""
     return any(queue.service_class.priority < tier for queue in pool_queues(queues, pool))
 
@@ -247,13 +247,13 @@
     of its next request. Prevents starvation of less urgent classes by a class that never empties.
     """
     work = req.queued_cost
-    if req.request_id in queue.late:
-        queue.late_earned = max(0.0, queue.late_earned - work)
-    elif queue.late:
-        queue.late_earned += work * queue.service_class.assured_share
+    if req.request_id in queue.overdue_requests:
+        queue.overdue_earned = max(0.0, queue.overdue_earned - work)
+    elif queue.overdue_requests:
+        queue.overdue_earned += work * queue.service_class.assured_share
     remove(queues, req)
-    if not queue.late:
-        queue.late_earned = 0.0
+    if not queue.overdue_requests:
+        queue.overdue_earned = 0.0
     queue.earned = max(0.0, queue.earned - work)
     pool = queues.targets[req.target].pool
     for target in queues.pools[pool]:
@@ -280,7 +280,7 @@
         _, request_id = heappop(queues.deadlines)
         queue = queues.index.get(request_id)
         if queue is not None:
-            by_id[request_id] = queue.on_time.get(request_id) or queue.late[request_id]
+            by_id[request_id] = queue.on_time.get(request_id) or queue.overdue_requests[request_id]
     return list(by_id.values())
 
 
--- a/packages/turmericweir-core/turmericweir_core/state/registry_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/registry_state.py
@@ -19,12 +19,12 @@
     # When a read last succeeded.
     read_at: float = _NEVER
     # No reader sent an update in time, so this instance is the fallback reader until one does.
-    stands_in: bool = False
+    is_fallback_reader: bool = False
     # Whether this instance is chosen as a reader, and when the choice is evaluated again.
-    is_picked: bool = False
-    pick_due: float = _NEVER
+    is_chosen_reader: bool = False
+    next_choice_at: float = _NEVER
     # The instance that last sent a registry update, and when: it can currently read the store.
-    told_by: InstanceName | None = None
-    told_at: float = _NEVER
+    updated_by: InstanceName | None = None
+    updated_at: float = _NEVER
     # Entries missing since the store recovered, and until when they remain in use.
-    missing: dict[ServerName, float] = field(default_factory=dict)
+    missing_until: dict[ServerName, float] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/reliability.py
+++ b/packages/turmericweir-core/turmericweir_core/state/reliability.py
@@ -23,10 +23,10 @@
 _USUAL_FAILURE_SHARE: Final = 0.2
 
 
-class ServerRecord(Struct):
+class FailureCounts(Struct):
     """Decayed counts of requests to one server."""
 
-    at: float = 0.0
+    updated_at: float = 0.0
     tried: float = 0.0
     failed: float = 0.0
 
@@ -34,16 +34,16 @@
 class ReliabilityState(Struct):
     """Failure counts of all servers that this instance has used."""
 
-    by_server: dict[ServerName, ServerRecord] = field(default_factory=dict)
+    by_server: dict[ServerName, FailureCounts] = field(default_factory=dict)
 
 
 def note_end(state: ReliabilityState, now: float, server: ServerName, *, failed: bool) -> None:
     """Record the result of a request."""
-    record = state.by_server.setdefault(server, ServerRecord(at=now))
-    decay = exp((record.at - now) / _DECAY_TIME_S)
+    record = state.by_server.setdefault(server, FailureCounts(updated_at=now))
+    decay = exp((record.updated_at - now) / _DECAY_TIME_S)
     record.tried = record.tried * decay + 1.0
     record.failed = record.failed * decay + float(failed)
-    record.at = now
+    record.updated_at = now
 
 
 def excess_failures(state: ReliabilityState, now: float, server: ServerName) -> float:
@@ -51,7 +51,7 @@
     record = state.by_server.get(server)
     if record is None:
         return 0.0
-    decay = exp((record.at - now) / _DECAY_TIME_S)
+    decay = exp((record.updated_at - now) / _DECAY_TIME_S)
     share = record.failed * decay / (record.tried * decay + _PRIOR_REQUESTS)
     return max(
         0.0,
--- a/packages/turmericweir-core/turmericweir_core/state/retry_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/retry_state.py
@@ -13,7 +13,7 @@
     """Number of first attempts and retries in one short interval."""
 
     since: float
-    firsts: int = 0
+    first_attempts: int = 0
     retries: int = 0
 
 
@@ -27,7 +27,7 @@
     # Newest last, by target.
     windows: dict[Target, deque[RetryBucket]] = field(default_factory=dict)
     # The highest recent number of instances, and when it was observed.
-    peak: int = 1
+    peak_instances: int = 1
     peak_at: float = float("-inf")
     started_at: float | None = None
-    look_due: float = float("-inf")
+    next_check_at: float = float("-inf")
--- a/packages/turmericweir-core/turmericweir_core/state/server_table.py
+++ b/packages/turmericweir-core/turmericweir_core/state/server_table.py
@@ -17,7 +17,7 @@
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
 from turmericweir_core.messages.events import ServerReport
-from turmericweir_core.state.leaving_notices import LeavingMark, LeavingMarks, marks_on
+from turmericweir_core.state.leaving_notices import LeavingNotice, LeavingNotices, notices_on
 
 
 class Server(Struct):
@@ -29,7 +29,7 @@
     report: ServerReport | None = None
     report_at: float = 0.0
     # Number of this instance's requests in flight on the server when the report was received.
-    own_at_report: int = 0
+    in_flight_at_report: int = 0
     # This instance's attempts in flight on the server, with their tiers.
     in_flight: dict[AttemptId, int] = field(default_factory=dict)
     # Set by any source; never reset for the same incarnation.
@@ -40,15 +40,15 @@
     refused_leaving: bool = False
     # It restarted while its entry stayed the same, so leaving notices on the entry's incarnation do
     # not apply to it.
-    outlived_entry: bool = False
+    has_outlived_entry: bool = False
     # No source names it any more; it is only kept for the requests in flight.
-    gone: bool = False
+    is_unlisted: bool = False
     # Not used before this time because a new connection to it failed.
     unreachable_until: float = 0.0
     # When the next load probe is sent.
-    probe_due: float = 0.0
+    next_probe_at: float = 0.0
     # Total number of requests sent to it by this instance, for round robin.
-    sent: int = 0
+    sent_count: int = 0
 
     @property
     def slots(self) -> int:
@@ -79,9 +79,9 @@
     listed_hash: int = 0
     # Servers write their entries themselves: an entry describes one incarnation of its server, and
     # there are no load reports.
-    own_word: bool = False
+    is_self_registered: bool = False
     # Leaving notices of all instances.
-    marks: LeavingMarks = field(default_factory=LeavingMarks)
+    leaving_notices: LeavingNotices = field(default_factory=LeavingNotices)
     # Incremented whenever a server is added or removed, starts leaving or changes its models.
     # Invalidates caches derived from the table.
     version: int = 0
@@ -92,12 +92,12 @@
     return Target(server.service.models[0] if server.service.models else server.service.name)
 
 
-def is_open(server: Server, now: float) -> bool:
+def can_take_work(server: Server, now: float) -> bool:
     """Return whether a server may be given new work."""
     return not (server.leaving or server.drained) and now >= server.unreachable_until
 
 
-def known_incarnation(server: Server) -> str:
+def reported_incarnation(server: Server) -> str:
     """Return the incarnation that the server itself reported; empty if it has not reported yet.
 
     The platform's list has its own names of incarnations, which differ from those of the servers.
@@ -108,7 +108,7 @@
 def servers_for(table: ServerTable, target: str, now: float) -> Iterator[Server]:
     """Yield the servers that may be given a request for a target."""
     for server in table.by_name.values():
-        if is_open(server, now) and server.serves(target):
+        if can_take_work(server, now) and server.serves(target):
             yield server
 
 
@@ -120,20 +120,20 @@
     if server is None or _is_restarted(table, server.entry, entry):
         new_server = Server(entry, service, leaving=entry.leaving)
         table.by_name[entry.name] = new_server
-        apply_marks(table, new_server)
+        apply_notices(table, new_server)
         table.version += 1
         return
     if server.service is not service or (entry.leaving and not server.leaving):
         table.version += 1
     server.entry = entry
     server.service = service
-    if server.gone and table.own_word and not server.refused_leaving:
+    if server.is_unlisted and table.is_self_registered and not server.refused_leaving:
         # Its entry had expired and the server has written it again. Prevents a server that was kept
         # for a request in flight from being excluded permanently.
         server.leaving = entry.leaving
-        apply_marks(table, server)
+        apply_notices(table, server)
         table.version += 1
-    server.gone = False
+    server.is_unlisted = False
     # Prevents a source that lags from revoking the leaving state.
     server.leaving = server.leaving or entry.leaving
 
@@ -141,12 +141,12 @@
 def _is_restarted(table: ServerTable, old: ServerEntry, new: ServerEntry) -> bool:
     if old.address != new.address:
         return True
-    if table.own_word:
+    if table.is_self_registered:
         return old.incarnation != new.incarnation
     return bool(new.incarnation and old.incarnation and old.incarnation != new.incarnation)
 
 
-def rebuild(table: ServerTable, config: Config) -> None:
+def rebuild_table(table: ServerTable, config: Config) -> None:
     """Update the table from the settings and the newest list."""
     entries = {**table.listed, **config.servers}
     for entry in entries.values():
@@ -159,13 +159,13 @@
             del table.by_name[name]
             table.version += 1
         elif is_gone:
-            server.gone = True
+            server.is_unlisted = True
             if not server.leaving:
                 server.leaving = True
                 table.version += 1
 
 
-def list_servers(table: ServerTable, config: Config, entries: tuple[ServerEntry, ...]) -> None:
+def apply_server_list(table: ServerTable, config: Config, entries: tuple[ServerEntry, ...]) -> None:
     """Apply the platform's list, which may lack servers and contain servers that are gone.
 
     A server missing from the list is kept while it is reachable, because the platform may have just
@@ -179,7 +179,7 @@
         if server is not None and not server.leaving and server.unreachable_until == 0.0:
             listed[name] = entry
     table.listed = listed
-    rebuild(table, config)
+    rebuild_table(table, config)
 
 
 def note_report(table: ServerTable, options: Options, now: float, report: ServerReport) -> None:
@@ -201,16 +201,16 @@
     if server.leaving != report_leaving:
         table.version += 1
     if server.report is not None and server.report.incarnation != report.incarnation:
-        server.outlived_entry = True
+        server.has_outlived_entry = True
         server.refused_leaving = False
         server.drained = False
     server.report = report
     server.report_at = now
-    server.own_at_report = len(server.in_flight)
+    server.in_flight_at_report = len(server.in_flight)
     server.leaving = report_leaving
     server.unreachable_until = 0.0
     # A delayed report may belong to an incarnation that already has a leaving notice.
-    apply_marks(table, server)
+    apply_notices(table, server)
 
 
 def note_unreachable(table: ServerTable, options: Options, now: float, name: ServerName) -> None:
@@ -227,7 +227,7 @@
         server.unreachable_until = 0.0
 
 
-def due_trials(table: ServerTable, options: Options, now: float) -> Iterator[Server]:
+def servers_to_retry(table: ServerTable, options: Options, now: float) -> Iterator[Server]:
     """Yield the servers whose exclusion has ended, and extend it until they answer a probe."""
     for server in table.by_name.values():
         if 0.0 < server.unreachable_until <= now and not server.leaving:
@@ -246,22 +246,22 @@
         table.version += 1
 
 
-def apply_marks(table: ServerTable, server: Server) -> None:
+def apply_notices(table: ServerTable, server: Server) -> None:
     """Exclude a server from new work if there is a leaving notice on its incarnation.
 
     Prevents an entry from an outdated list from reactivating a leaving server.
     """
     before = (server.leaving, server.drained)
-    for mark in marks_on(table.marks, server.entry.name):
+    for mark in notices_on(table.leaving_notices, server.entry.name):
         if _is_mark_for(table, mark, server):
-            server.leaving = server.leaving or not mark.drained
-            server.drained = server.drained or mark.drained
+            server.leaving = server.leaving or not mark.is_drained
+            server.drained = server.drained or mark.is_drained
     if before != (server.leaving, server.drained):
         table.version += 1
 
 
-def _is_mark_for(table: ServerTable, mark: LeavingMark, server: Server) -> bool:
-    if table.own_word:
+def _is_mark_for(table: ServerTable, mark: LeavingNotice, server: Server) -> bool:
+    if table.is_self_registered:
         # Prevents the notice on an earlier incarnation from excluding a server that came back.
         return mark.incarnation == server.entry.incarnation
     if server.report is None:
@@ -269,18 +269,18 @@
         return True
     if mark.incarnation == server.report.incarnation:
         return True
-    return mark.incarnation == server.entry.incarnation and not server.outlived_entry
+    return mark.incarnation == server.entry.incarnation and not server.has_outlived_entry
 
 
-def due_probes(table: ServerTable, options: Options, now: float) -> Iterator[Server]:
+def servers_to_probe(table: ServerTable, options: Options, now: float) -> Iterator[Server]:
     """Yield the servers to probe for their load now, and schedule their next probes."""
     for server in table.by_name.values():
-        if now >= server.probe_due:
-            server.probe_due = now + options.probe_s
+        if now >= server.next_probe_at:
+            server.next_probe_at = now + options.probe_s
             yield server
 
 
-def preferred(candidates: Iterable[Server], req: Request) -> list[Server]:
+def preferred_servers(candidates: Iterable[Server], req: Request) -> list[Server]:
     """Return the candidates without the servers to avoid, or all of them if none would be left."""
     servers = list(candidates)
     if not req.avoid:
--- a/packages/turmericweir-core/turmericweir_core/state/settings_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/settings_state.py
@@ -79,7 +79,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seen:
+class SeenChange:
     """A change with a verdict."""
 
     offset: int
@@ -94,7 +94,7 @@
     offset: int = 0
     entries: dict[str, Entry] = field(default_factory=dict)
     # Changes with a verdict, by id, oldest first; at most `SEEN_KEEP`.
-    seen: OrderedDict[str, Seen] = field(default_factory=OrderedDict)
+    seen: OrderedDict[str, SeenChange] = field(default_factory=OrderedDict)
     # Sums of the hashes of all entries and of all seen ids.
     entries_hash: int = 0
     seen_hash: int = 0
@@ -166,7 +166,7 @@
     if first is not None:
         return Repeated(subject, first.offset, first.kind)
     verdict = _verdict_on_unseen(state, subject, change)
-    _add_seen(state, change.change_id, Seen(offset, kind_of(verdict)))
+    _add_seen(state, change.change_id, SeenChange(offset, kind_of(verdict)))
     return verdict
 
 
@@ -233,7 +233,7 @@
         state.providers[ref] = path
 
 
-def _add_seen(state: SettingsState, change_id: str, seen: Seen) -> None:
+def _add_seen(state: SettingsState, change_id: str, seen: SeenChange) -> None:
     state.seen[change_id] = seen
     state.seen_hash = (state.seen_hash + _hash_seen(change_id, seen)) % _HASH_SPACE
     while len(state.seen) > SEEN_KEEP:
@@ -272,7 +272,9 @@
         if not is_successful(result):
             return Failure(str(result.failure()))
         entries[path] = Entry(item.version, result.unwrap(), item.operator, item.at)
-    seen = OrderedDict((item.change_id, Seen(item.offset, item.kind)) for item in snapshot.seen_ids)
+    seen = OrderedDict(
+        (item.change_id, SeenChange(item.offset, item.kind)) for item in snapshot.seen_ids
+    )
     state = SettingsState(
         offset=snapshot.offset,
         entries=entries,
@@ -359,7 +361,7 @@
     return _hash([path, entry.version, entry.written, entry.operator, entry.at])
 
 
-def _hash_seen(change_id: str, seen: Seen) -> int:
+def _hash_seen(change_id: str, seen: SeenChange) -> int:
     return _hash([change_id, seen.offset, seen.kind.value])
 
 
--- a/packages/turmericweir-core/turmericweir_core/state/settings_sync.py
+++ b/packages/turmericweir-core/turmericweir_core/state/settings_sync.py
@@ -40,7 +40,7 @@
     # An append is in flight.
     in_flight: bool = True
     # An append may have taken effect, so only the log can show the result.
-    maybe_in_log: bool = False
+    may_be_in_log: bool = False
     # Its offset in the log, once an append was acknowledged.
     offset: int | None = None
 
@@ -53,19 +53,19 @@
     # The `Config` built from the settings; replaced as a whole when they change.
     config: Config = field(default_factory=Config)
     # Whether the settings have been complete once, so that they can be used to serve traffic.
-    ready: bool = False
+    has_been_complete: bool = False
     # Consecutive raw records up to the state's offset.
-    kept: deque[LogRecord] = field(default_factory=deque)
+    recent_records: deque[LogRecord] = field(default_factory=deque)
     # Start of the log, if the log no longer has the next record needed here.
     resume_at: int = 0
     # Records from `resume_at` on, stored until a snapshot fills the gap before them.
-    ahead: deque[LogRecord] = field(default_factory=deque)
+    later_records: deque[LogRecord] = field(default_factory=deque)
     pending: dict[str, PendingChange] = field(default_factory=dict)
     started_at: float | None = None
     # The highest end offset of the log observed so far.
     known_end: int = 0
     # Whether the log has been read, and since when reads fail.
-    log_read: bool = False
+    has_read_log: bool = False
     log_failed_since: float | None = None
     # Since when the log ends before this instance's offset, and whether that was reported.
     log_shorter_since: float | None = None
@@ -75,9 +75,9 @@
     newer_peer: PeerSettings | None = None
     # Since when a peer is ahead, and when settings were last requested from a peer.
     behind_since: float | None = None
-    asked_at: float | None = None
+    requested_at: float | None = None
     # The offset at which each peer's hash last differed, so that it is reported only once.
-    diverged: dict[InstanceName, int] = field(default_factory=dict)
+    diverged_offsets: dict[InstanceName, int] = field(default_factory=dict)
     # Offset and time of the newest snapshot in the log, and when one was last tried.
     snapshot_offset: int = 0
     snapshot_seen_at: float | None = None
@@ -90,22 +90,22 @@
         An instance that is still reading the log returns 0. Prevents a peer that starts during an
         outage from using outdated settings as the newest ones.
         """
-        return self.settings.offset if self.ready else 0
+        return self.settings.offset if self.has_been_complete else 0
 
     def digest_in_force(self) -> str:
         """Return the hash of the settings in force, as sent in heartbeats."""
-        return state_digest(self.settings) if self.ready else EMPTY_DIGEST
+        return state_digest(self.settings) if self.has_been_complete else EMPTY_DIGEST
 
 
 def settings_read_offset(sync: SettingsSync) -> int:
     """Return the offset from which the log is read next."""
-    if sync.ahead:
-        return sync.ahead[-1].offset + 1
+    if sync.later_records:
+        return sync.later_records[-1].offset + 1
     return max(sync.settings.offset, sync.resume_at)
 
 
-def keep_record(sync: SettingsSync, options: Options, record: LogRecord) -> None:
+def store_record(sync: SettingsSync, options: Options, record: LogRecord) -> None:
     """Store a raw record for peers, evicting the oldest if there are too many."""
-    sync.kept.append(record)
-    while len(sync.kept) > options.settings_keep:
-        sync.kept.popleft()
+    sync.recent_records.append(record)
+    while len(sync.recent_records) > options.settings_keep:
+        sync.recent_records.popleft()
--- a/packages/turmericweir-core/turmericweir_core/state/state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/state.py
@@ -17,21 +17,21 @@
 from turmericweir_core.base.request import Request
 from turmericweir_core.state.account_store import AccountStore
 from turmericweir_core.state.claim_state import ClaimState
-from turmericweir_core.state.concurrency import LimitState as ServerLimits
+from turmericweir_core.state.concurrency import ConcurrencyLimits as ServerLimits
 from turmericweir_core.state.credit_state import CreditState
 from turmericweir_core.state.dead_state import DeadState
 from turmericweir_core.state.document_state import DocumentState
 from turmericweir_core.state.duty_state import DutyState
-from turmericweir_core.state.engine_state import EngineModels
-from turmericweir_core.state.first_wait_state import SilenceState
+from turmericweir_core.state.engine_state import EngineTable
+from turmericweir_core.state.first_wait_state import FirstWaitState
 from turmericweir_core.state.handover_state import HandoverState
 from turmericweir_core.state.lease_state import LeaseState
-from turmericweir_core.state.limit_state import LimitState
-from turmericweir_core.state.liveness_state import SignState
-from turmericweir_core.state.load_state import NewsState
+from turmericweir_core.state.limit_state import RateLimits
+from turmericweir_core.state.liveness_state import LivenessState
+from turmericweir_core.state.load_state import LoadUpdateState
 from turmericweir_core.state.membership_state import Membership
 from turmericweir_core.state.model_state import ModelState
-from turmericweir_core.state.overdue_state import LateRanks
+from turmericweir_core.state.overdue_state import OverdueRanks
 from turmericweir_core.state.pool_load import PoolLoads
 from turmericweir_core.state.pool_state import PoolState
 from turmericweir_core.state.predict import Predictor
@@ -100,15 +100,15 @@
     predictor: Predictor = field(default_factory=Predictor)
     prefixes: PrefixMap = field(default_factory=PrefixMap)
     # Load and cache contents of each server.
-    engines: EngineModels = field(default_factory=EngineModels)
+    engines: EngineTable = field(default_factory=EngineTable)
     # Split of the engines of each service into prefill and decode.
     pools: PoolState = field(default_factory=PoolState)
-    news: NewsState = field(default_factory=NewsState)
+    load_updates: LoadUpdateState = field(default_factory=LoadUpdateState)
     handover: HandoverState = field(default_factory=HandoverState)
     # Recent failures of each server.
     reliability: ReliabilityState = field(default_factory=ReliabilityState)
     stragglers: StragglerState = field(default_factory=StragglerState)
-    late_ranks: LateRanks = field(default_factory=LateRanks)
+    overdue_ranks: OverdueRanks = field(default_factory=OverdueRanks)
     # Adaptive limits of servers.
     server_limits: ServerLimits = field(default_factory=ServerLimits)
     retries: RetryBudget = field(default_factory=RetryBudget)
@@ -119,12 +119,12 @@
     document: DocumentState | None = None
     # Registry of the servers, if the platform has one.
     registry: RegistryState = field(default_factory=RegistryState)
-    rate_limits: LimitState = field(default_factory=LimitState)
+    rate_limits: RateLimits = field(default_factory=RateLimits)
     quarantine: QuarantineState = field(default_factory=QuarantineState)
     leases: LeaseState = field(default_factory=LeaseState)
     models: ModelState = field(default_factory=ModelState)
-    silence: SilenceState = field(default_factory=SilenceState)
-    signs: SignState = field(default_factory=SignState)
+    silence: FirstWaitState = field(default_factory=FirstWaitState)
+    server_liveness: LivenessState = field(default_factory=LivenessState)
     # Servers that are probed because attempts on them are unresponsive.
     dead: DeadState = field(default_factory=DeadState)
     # Counts of requests for usage reports; None if usage is not reported.
--- a/packages/turmericweir-core/turmericweir_core/state/straggler.py
+++ b/packages/turmericweir-core/turmericweir_core/state/straggler.py
@@ -37,7 +37,7 @@
     gap_s: float = 0.0
     samples: int = 0
     # When the newest sample ended.
-    seen_at: float = 0.0
+    last_sample_at: float = 0.0
     # Recent running time of answers, seconds, and their tokens in that time, both decayed.
     ran_s: float = 0.0
     ran_tokens: float = 0.0
@@ -46,7 +46,7 @@
     # Until then stopped because of overdue tokens, when there were too few servers for a verdict.
     stopped_until: float = 0.0
     # When a stopped straggler may be given its next probe.
-    probe_due: float = 0.0
+    next_probe_at: float = 0.0
     # Number of verdicts as a straggler, for the state dump.
     judged: int = 0
 
@@ -56,9 +56,9 @@
 
     by_server: dict[ServerName, ServerPace] = field(default_factory=dict)
     # When the running attempts are sampled next.
-    sample_due: float = 0.0
+    next_sample_at: float = 0.0
     # When each server last sent an overdue token.
-    late_at: dict[ServerName, float] = field(default_factory=dict)
+    overdue_token_at: dict[ServerName, float] = field(default_factory=dict)
 
 
 def server_weight(state: StragglerState, server: ServerName) -> float:
@@ -67,11 +67,11 @@
     return pace.weight if pace else 1.0
 
 
-def sample_is_due(state: StragglerState, options: Options, now: float) -> bool:
+def begin_sampling(state: StragglerState, options: Options, now: float) -> bool:
     """Return whether to sample the running attempts now, and schedule the next sampling."""
-    if now < state.sample_due:
+    if now < state.next_sample_at:
         return False
-    state.sample_due = now + options.straggler_sample_s
+    state.next_sample_at = now + options.straggler_sample_s
     return True
 
 
@@ -141,13 +141,13 @@
     state: StragglerState, now: float, server: ServerName, elapsed_s: float, tokens: int
 ) -> None:
     pace = state.by_server[server]
-    decay = exp(min(0.0, pace.seen_at - now) / _RATE_DECAY_TIME_S)
+    decay = exp(min(0.0, pace.last_sample_at - now) / _RATE_DECAY_TIME_S)
     pace.ran_s = pace.ran_s * decay + elapsed_s
     pace.ran_tokens = pace.ran_tokens * decay + tokens
-    pace.seen_at = max(pace.seen_at, now)
+    pace.last_sample_at = max(pace.last_sample_at, now)
 
 
-def judge_all(state: StragglerState, options: Options, now: float) -> list[ServerName]:
+def update_weights(state: StragglerState, options: Options, now: float) -> list[ServerName]:
     """Update the weights of all servers; return the names of new stragglers."""
     new_stragglers: list[ServerName] = []
     for service, paces in _paces_by_service(state, options).items():
@@ -162,14 +162,14 @@
     return new_stragglers
 
 
-def gap_seen(state: StragglerState, now: float, servers: Iterable[ServerName]) -> float | None:
+def recent_gap_s(state: StragglerState, now: float, servers: Iterable[ServerName]) -> float | None:
     """Return the median time between events at some servers, seconds; None without fresh samples.
 
     For each server it is the total time over all events rather than the mean of gaps. Prevents a
     few long gaps during a prefill from dominating, which would refuse callers needlessly.
     """
     server_paces = (state.by_server.get(name) for name in servers)
-    paces = [pace for pace in server_paces if pace and now - pace.seen_at <= _SAMPLE_VALID_S]
+    paces = [pace for pace in server_paces if pace and now - pace.last_sample_at <= _SAMPLE_VALID_S]
     gaps_s = [pace.ran_s / pace.ran_tokens for pace in paces if pace.ran_tokens]
     return median(gaps_s) if gaps_s else None
 
@@ -196,7 +196,7 @@
     was_normal = pace.weight == 1.0
     if ratio >= options.straggler_stop:
         if pace.weight > 0.0:
-            pace.probe_due = now + options.straggler_probe_s
+            pace.next_probe_at = now + options.straggler_probe_s
         pace.weight = 0.0
     elif ratio >= options.straggler_slow or (not was_normal and ratio > options.straggler_well):
         pace.weight = 1.0 / ratio
@@ -207,28 +207,30 @@
     return is_new
 
 
-def note_late(state: StragglerState, now: float, server: ServerName) -> None:
+def note_overdue_token(state: StragglerState, now: float, server: ServerName) -> None:
     """Record that a server sent an overdue token."""
-    state.late_at[server] = now
+    state.overdue_token_at[server] = now
 
 
-def was_late(state: StragglerState, options: Options, now: float, server: ServerName) -> bool:
+def has_overdue_token(
+    state: StragglerState, options: Options, now: float, server: ServerName
+) -> bool:
     """Return whether a server has recently sent an overdue token."""
-    overdue_token_at = state.late_at.get(server)
+    overdue_token_at = state.overdue_token_at.get(server)
     return overdue_token_at is not None and now - overdue_token_at < options.move_well_s
 
 
-def was_late_before(state: StragglerState, now: float, server: ServerName, gap_s: float) -> bool:
+def is_repeated_gap(state: StragglerState, now: float, server: ServerName, gap_s: float) -> bool:
     """Return whether an overdue gap that ends now follows an earlier one on the same server.
 
     All answers in a batch get their tokens at nearly the same time. A gap that ended about one gap
     ago is an earlier one; a gap that ends at the same time is the same pause in another answer.
     """
-    overdue_token_at = state.late_at.get(server)
+    overdue_token_at = state.overdue_token_at.get(server)
     return overdue_token_at is not None and 0.5 * gap_s <= now - overdue_token_at <= 2.0 * gap_s
 
 
-def is_behind(
+def is_gap_outlier(
     state: StragglerState, options: Options, service: str, server: ServerName, gap_s: float
 ) -> bool:
     """Return whether a gap on a server is well above those of the other servers of its service.
@@ -244,7 +246,7 @@
     return bool(other_gaps_s) and gap_s >= options.straggler_slow * median(other_gaps_s)
 
 
-def stop(
+def stop_straggler(
     state: StragglerState,
     options: Options,
     now: float,
@@ -264,24 +266,26 @@
     pace.judged += is_new
     pace.gap_s = max(pace.gap_s, gap_s)
     pace.weight = 0.0
-    pace.probe_due = pace.stopped_until = now + options.straggler_probe_s
+    pace.next_probe_at = pace.stopped_until = now + options.straggler_probe_s
     return is_new
 
 
-def may_probe(state: StragglerState, now: float, server: ServerName, in_flight: int) -> bool:
+def can_probe_straggler(
+    state: StragglerState, now: float, server: ServerName, in_flight: int
+) -> bool:
     """Return whether a stopped straggler may be given one request as a probe."""
     pace = state.by_server.get(server)
-    return pace is not None and not in_flight and now >= pace.probe_due
+    return pace is not None and not in_flight and now >= pace.next_probe_at
 
 
 def note_probe(state: StragglerState, options: Options, now: float, server: ServerName) -> None:
     """Record that a stopped straggler was given a request as a probe."""
     pace = state.by_server.get(server)
     if pace is not None and pace.weight == 0.0:
-        pace.probe_due = now + options.straggler_probe_s
+        pace.next_probe_at = now + options.straggler_probe_s
 
 
 def forget_server(state: StragglerState, server: ServerName) -> None:
     """Discard the observations of a server that restarted or is gone."""
     state.by_server.pop(server, None)
-    state.late_at.pop(server, None)
+    state.overdue_token_at.pop(server, None)
--- a/packages/turmericweir-core/turmericweir_core/state/subset_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/subset_state.py
@@ -22,9 +22,9 @@
 
     by_target: dict[Target, TargetSubset] = field(default_factory=dict)
     # Servers in the subset of any requested target, as of the last evaluation.
-    used: frozenset[ServerName] = frozenset()
-    used_due: float = 0.0
+    used_servers: frozenset[ServerName] = frozenset()
+    next_used_update_at: float = 0.0
     # Data centres that are known to be in another region.
-    foreign: frozenset[str] = frozenset()
+    foreign_centres: frozenset[str] = frozenset()
     # Live instances of the region, as of the last tick.
     instances: int = 1
--- a/packages/turmericweir-core/turmericweir_core/store/document.py
+++ b/packages/turmericweir-core/turmericweir_core/store/document.py
@@ -110,7 +110,7 @@
     document.raw = event.raw
     state.config = event.config
     state.has_settings = True
-    server_table.rebuild(state.servers, state.config)
+    server_table.rebuild_table(state.servers, state.config)
     return log
 
 
@@ -121,8 +121,8 @@
 
 def _record_proof(state: State, now: float, asked_at: float) -> list[Effect]:
     document = _document(state)
-    is_first = document.own_proof_at == _NEVER
-    document.own_proof_at = max(document.own_proof_at, asked_at)
+    is_first = document.local_proof_at == _NEVER
+    document.local_proof_at = max(document.local_proof_at, asked_at)
     document.proof_at = max(document.proof_at, asked_at)
     # All instances read at the start, so the first proof is not announced.
     return [] if is_first else _announce_proof(state, store_duty.read_receivers(state, now))
@@ -154,12 +154,12 @@
     document = _document(state)
     if document.started_at is None:
         document.started_at = now
-    if now < document.ask_due:
+    if now < document.next_query_at:
         return []
     peer = _peer_to_ask(state, now)
     if peer is None:
         return []
-    document.ask_due = now + _REQUEST_INTERVAL_S
+    document.next_query_at = now + _REQUEST_INTERVAL_S
     return _request_proof(state, now, peer)
 
 
@@ -185,7 +185,7 @@
     if now - document.proof_at <= state.options.store.settings_read_s + _UNANNOUNCED_S:
         return None
     announcer = _last_announcer(state, now)
-    if announcer is not None and document.asked % _OTHER_PEER_EVERY:
+    if announcer is not None and document.query_number % _OTHER_PEER_EVERY:
         # Other peers are asked from time to time, as the announcer may have failed.
         return announcer
     others = store_duty.settings_sources(state, now)
@@ -205,19 +205,19 @@
     """
     registry = state.registry
     if (
-        registry.told_by is None
-        or now - registry.told_at > state.options.store.servers_read_s + _ANNOUNCER_EXTRA_S
+        registry.updated_by is None
+        or now - registry.updated_at > state.options.store.servers_read_s + _ANNOUNCER_EXTRA_S
     ):
         return None
-    return membership.member(state, registry.told_by)
+    return membership.member(state, registry.updated_by)
 
 
 def _request_proof(state: State, now: float, peer: Member) -> list[Effect]:
     document = _document(state)
-    document.asked += 1
-    document.asked_at[document.asked] = now
-    document.asked_at.pop(document.asked - _PENDING_REQUESTS_MAX, None)
-    request = DocumentAsk(document.version, document.asked)
+    document.query_number += 1
+    document.queries_sent_at[document.query_number] = now
+    document.queries_sent_at.pop(document.query_number - _PENDING_REQUESTS_MAX, None)
+    request = DocumentAsk(document.version, document.query_number)
     return [SendDatagram(peer.name, peer.peer_address, request)]
 
 
@@ -251,7 +251,7 @@
     if message.number == _NO_REQUEST:
         peer = membership.member(state, sender)
         return _request_proof(state, now, peer) if peer is not None else []
-    asked_at = document.asked_at.pop(message.number, None)
+    asked_at = document.queries_sent_at.pop(message.number, None)
     if asked_at is None or message.version > document.version:
         # The document is on its way; a later request returns a proof for it.
         return []
--- a/packages/turmericweir-core/turmericweir_core/store/registry.py
+++ b/packages/turmericweir-core/turmericweir_core/store/registry.py
@@ -55,7 +55,7 @@
             if listed.get(entry.name) != entry:
                 rows.append(RegistryRow(offset, entry.name, entry))
             effects += _take_entry(listed, entry)
-        registry.missing.pop(entry.name, None)
+        registry.missing_until.pop(entry.name, None)
     for name, offset in event.removed:
         if _is_newer(registry, name, offset) and listed.pop(name, None) is not None:
             rows.append(RegistryRow(offset, name))
@@ -92,7 +92,7 @@
 
 def on_news(state: State, now: float, sender: InstanceName, update: RegistryNews) -> list[Effect]:
     """Apply a reader's update, or request the whole list if the hash does not match."""
-    state.registry.told_by, state.registry.told_at = sender, now
+    state.registry.updated_by, state.registry.updated_at = sender, now
     store_duty.note_reader(state, now, InstanceName(update.reader or sender))
     effects = _relay_update(state, now, sender, update)
     listed = dict(state.servers.listed)
@@ -107,12 +107,12 @@
     _adopt(state, now, listed)
     if server_list.hash_full_entries(listed.values()) == update.servers_hash:
         state.registry.read_at = now
-        state.registry.missing.clear()
+        state.registry.missing_until.clear()
         return effects
     peer = membership.member(state, sender)
-    if peer is None or now < state.members.servers_ask_due:
+    if peer is None or now < state.members.next_servers_request_at:
         return effects
-    state.members.servers_ask_due = now + _LIST_REQUEST_INTERVAL_S
+    state.members.next_servers_request_at = now + _LIST_REQUEST_INTERVAL_S
     return [*effects, SendPeer(sender, peer.peer_address, ServersAsk())]
 
 
@@ -130,7 +130,7 @@
     listed: dict[ServerName, ServerEntry],
     was_away: bool,
 ) -> list[Effect]:
-    missing = state.registry.missing
+    missing = state.registry.missing_until
     if was_away and name not in missing:
         missing[name] = now + _RENEWAL_WAIT_S
     if now < missing.get(name, _NEVER):
@@ -158,7 +158,7 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Remove entries that are still missing some time after the store's return."""
-    missing = state.registry.missing
+    missing = state.registry.missing_until
     expired = [name for name, missing_until in missing.items() if now >= missing_until]
     if not expired or now - state.registry.read_at > _STORE_AWAY_S:
         # Missing entries are kept while the store is unreachable again.
@@ -185,8 +185,8 @@
     if listed == table.listed:
         return
     before, table.listed = table.listed, listed
-    table.own_word = True
-    server_table.rebuild(table, state.config)
+    table.is_self_registered = True
+    server_table.rebuild_table(table, state.config)
     for name, entry in listed.items():
         if name in before and before[name].incarnation != entry.incarnation:
             attempt_accounting.judge_afresh(state, now, name)
--- a/packages/turmericweir-core/turmericweir_core/trust/crash_records.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/crash_records.py
@@ -17,10 +17,10 @@
 from turmericweir_core.messages.peer_messages import Sighting
 from turmericweir_core.state.quarantine_state import (
     Crash,
+    CrashEvidence,
     CrashKey,
-    Evidence,
     QuarantineState,
-    is_named,
+    is_incarnation_known,
 )
 
 if TYPE_CHECKING:
@@ -43,11 +43,11 @@
     for key, crash in list(state.quarantine.crashes.items()):
         late = frozenset(
             Sighting(fingerprint, state.me.name)
-            for fingerprint, started in crash.own_started.items()
-            if started > crash.at
+            for fingerprint, started in crash.local_started_at.items()
+            if started > crash.first_seen_at
         )
-        if late - crash.late:
-            merge_record(state, now, key, crash.at, Evidence(late=late))
+        if late - crash.sent_after:
+            merge_record(state, now, key, crash.first_seen_at, CrashEvidence(sent_after=late))
 
 
 def merge_record(
@@ -55,7 +55,7 @@
     now: float,
     key: CrashKey,
     crashed_at: float,
-    evidence: Evidence,
+    evidence: CrashEvidence,
     *,
     send_on: bool = True,
 ) -> None:
@@ -69,23 +69,23 @@
     size_before = _size(crash)
     free_suspects = state.options.crash_suspects_keep - len(crash.suspects)
     crash.suspects.update(sorted(evidence.suspects - crash.suspects)[: max(0, free_suspects)])
-    crash.late.update(evidence.late & crash.suspects)
+    crash.sent_after.update(evidence.sent_after & crash.suspects)
     crash.cleared.update(evidence.cleared & {each.fingerprint for each in crash.suspects})
-    crash.retracted = crash.retracted or evidence.retracted
-    crash.at = min(crash.at, crashed_at)
+    crash.is_retracted = crash.is_retracted or evidence.is_retracted
+    crash.first_seen_at = min(crash.first_seen_at, crashed_at)
     if size_before == _size(crash):
         return
     crash.changed_at = now
-    crash.judged = False
+    crash.has_verdict = False
     if send_on:
-        quarantine.unsent[key] = SENDS_PER_UPDATE
+        quarantine.unsent_crashes[key] = SENDS_PER_UPDATE
     update_counts(quarantine, now, state.options.suspect_keep_s)
-    quarantine.look_through = True
+    quarantine.needs_check = True
 
 
 def _size(crash: Crash) -> tuple[int, int, int, bool]:
     """Return the sizes of a record's parts, which change whenever it grows."""
-    return len(crash.suspects), len(crash.late), len(crash.cleared), crash.retracted
+    return len(crash.suspects), len(crash.sent_after), len(crash.cleared), crash.is_retracted
 
 
 def existing_key(quarantine: QuarantineState, key: CrashKey, crashed_at: float) -> CrashKey:
@@ -93,10 +93,10 @@
     if key in quarantine.crashes:
         return key
     for other_key, crash in quarantine.crashes.items():
-        if other_key.server != key.server or abs(crash.at - crashed_at) > _SAME_CRASH_S:
+        if other_key.server != key.server or abs(crash.first_seen_at - crashed_at) > _SAME_CRASH_S:
             continue
         # Two known incarnations are two crashes.
-        if not (is_named(other_key) and is_named(key)):
+        if not (is_incarnation_known(other_key) and is_incarnation_known(key)):
             return other_key
     return key
 
@@ -108,25 +108,29 @@
     Prevents one crash from counting as two, which would refuse requests that did not cause it.
     """
     existing = existing_key(quarantine, key, crashed_at)
-    if existing == key or is_named(existing) or (not is_named(key) and existing < key):
+    if (
+        existing == key
+        or is_incarnation_known(existing)
+        or (not is_incarnation_known(key) and existing < key)
+    ):
         return existing
     quarantine.crashes[key] = quarantine.crashes.pop(existing)
-    sends_left = quarantine.unsent.pop(existing, None)
+    sends_left = quarantine.unsent_crashes.pop(existing, None)
     if sends_left is not None:
-        quarantine.unsent[key] = sends_left
+        quarantine.unsent_crashes[key] = sends_left
     return key
 
 
 def _limit_records(state: State) -> None:
     crashes = state.quarantine.crashes
     while len(crashes) > state.options.crashes_keep:
-        del crashes[min(crashes, key=lambda key: crashes[key].at)]
+        del crashes[min(crashes, key=lambda key: crashes[key].first_seen_at)]
 
 
 def update_counts(quarantine: QuarantineState, now: float, keep_s: float) -> None:
     """Count the crashes at which each fingerprint was in flight and not cleared."""
     counts: Counter[str] = Counter()
     for crash in quarantine.crashes.values():
-        if now - crash.at <= keep_s:
-            counts.update(crash.guilty())
-    quarantine.counts = dict(counts)
+        if now - crash.first_seen_at <= keep_s:
+            counts.update(crash.possible_causes())
+    quarantine.crash_counts = dict(counts)
--- a/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
@@ -23,8 +23,8 @@
 from turmericweir_core.messages.effects import Effect, SendDatagram
 from turmericweir_core.messages.peer_messages import TrialAnswer, TrialAsk, TrialEnd
 from turmericweir_core.state.membership_state import Member
-from turmericweir_core.state.quarantine_state import GivenTrial, HeldSuspect, OwnTrial
-from turmericweir_core.state.server_table import Server, is_open, servers_for
+from turmericweir_core.state.quarantine_state import IsolatedRun, IsolatedRunPermit, WaitingSuspect
+from turmericweir_core.state.server_table import Server, can_take_work, servers_for
 from turmericweir_core.trust import quarantine
 
 if TYPE_CHECKING:
@@ -81,7 +81,7 @@
 
 def hold(state: State, req: Request) -> None:
     """Hold a request outside the queues."""
-    state.quarantine.held[req.request_id] = HeldSuspect(req)
+    state.quarantine.waiting_suspects[req.request_id] = WaitingSuspect(req)
 
 
 def hold_after_crash(state: State, now: float, req: Request) -> None:
@@ -90,23 +90,23 @@
     Prevents two instances with copies of a request, each of which caused a crash, from running them
     again before they know of the other crash.
     """
-    suspect = HeldSuspect(req, ask_due=now + state.options.trial_delay_s)
-    state.quarantine.held[req.request_id] = suspect
+    suspect = WaitingSuspect(req, next_request_at=now + state.options.trial_delay_s)
+    state.quarantine.waiting_suspects[req.request_id] = suspect
 
 
 def is_held(state: State, request_id: RequestId) -> bool:
     """Return whether a request waits for an isolated run."""
-    return request_id in state.quarantine.held
+    return request_id in state.quarantine.waiting_suspects
 
 
 def let_go(state: State, request_id: RequestId) -> None:
     """Remove a request from the held ones."""
-    state.quarantine.held.pop(request_id, None)
+    state.quarantine.waiting_suspects.pop(request_id, None)
 
 
 def step(state: State, now: float) -> list[Decision]:
     """Return the decisions on all held suspects, the most urgent first."""
-    suspects = state.quarantine.held
+    suspects = state.quarantine.waiting_suspects
     if not suspects:
         return []
     decisions: list[Decision] = []
@@ -117,7 +117,7 @@
     return decisions
 
 
-def _advance_one(state: State, now: float, suspect: HeldSuspect) -> list[Decision]:
+def _advance_one(state: State, now: float, suspect: WaitingSuspect) -> list[Decision]:
     req = suspect.req
     decision = _decide_without_run(state, now, req)
     if decision is not None:
@@ -126,15 +126,15 @@
     if quarantine.may_have_crashed(state, now, req):
         # Waits also if it is a suspect already, as this may be its second crash, and then for the
         # records of other instances.
-        suspect.ask_due = now + state.options.trial_delay_s
+        suspect.next_request_at = now + state.options.trial_delay_s
         return []
     if quarantine.awaits_verdict(state, req.fingerprint):
         return []
-    if suspect.asked is not None:
-        return _await_answer(state, now, suspect, suspect.asked)
-    if now < suspect.ask_due:
+    if suspect.asked_server is not None:
+        return _await_answer(state, now, suspect, suspect.asked_server)
+    if now < suspect.next_request_at:
         return []
-    suspect.ask_due = now + state.options.trial_ask_s
+    suspect.next_request_at = now + state.options.trial_ask_s
     server = _pick_server(state, now, suspect)
     return [] if server is None else _request_run(state, now, suspect, server)
 
@@ -150,26 +150,28 @@
 
 
 def _await_answer(
-    state: State, now: float, suspect: HeldSuspect, asked_server: ServerName
+    state: State, now: float, suspect: WaitingSuspect, asked_server: ServerName
 ) -> list[Decision]:
     if now - suspect.asked_at < state.options.trial_answer_s:
         return []
     # Runs without a grant, as the home does not answer.
-    suspect.asked = None
+    suspect.asked_server = None
     return _start_run(state, suspect, asked_server, now, InstanceName(""))
 
 
-def _pick_server(state: State, now: float, suspect: HeldSuspect) -> Server | None:
+def _pick_server(state: State, now: float, suspect: WaitingSuspect) -> Server | None:
     """Return the server with the fewest other requests that a further crash would affect."""
-    busy_servers = {each.server for each in state.quarantine.own.values()}
+    busy_servers = {each.server for each in state.quarantine.isolated_runs.values()}
     busy_servers |= {
-        each.asked for each in state.quarantine.held.values() if each.asked is not None
+        each.asked_server
+        for each in state.quarantine.waiting_suspects.values()
+        if each.asked_server is not None
     }
     best: Server | None = None
     best_rank = (2, 0)
     for server in servers_for(state.servers, suspect.req.target, now):
         name = server.entry.name
-        if name in busy_servers or now < suspect.denied.get(name, now):
+        if name in busy_servers or now < suspect.excluded_until.get(name, now):
             continue
         rank = (int(name in suspect.req.avoid), _requests_on(server))
         if rank < best_rank:
@@ -184,7 +186,9 @@
     return max(len(server.in_flight), reported)
 
 
-def _request_run(state: State, now: float, suspect: HeldSuspect, server: Server) -> list[Decision]:
+def _request_run(
+    state: State, now: float, suspect: WaitingSuspect, server: Server
+) -> list[Decision]:
     name = server.entry.name
     fingerprint = suspect.req.fingerprint
     home = _home(state, now)
@@ -194,25 +198,25 @@
             return _start_run(state, suspect, name, now, state.me.name)
         _record_denial(state, now, suspect, name)
         return []
-    suspect.asked = name
+    suspect.asked_server = name
     suspect.asked_at = now
     ask = TrialAsk(name, fingerprint)
     return [Send(SendDatagram(home.name, home.peer_address, ask))]
 
 
 def _start_run(
-    state: State, suspect: HeldSuspect, name: ServerName, now: float, home: InstanceName
+    state: State, suspect: WaitingSuspect, name: ServerName, now: float, home: InstanceName
 ) -> list[Decision]:
     server = state.servers.by_name.get(name)
-    if server is None or not is_open(server, now):
+    if server is None or not can_take_work(server, now):
         return _end_run(state, now, home, TrialEnd(name, suspect.req.fingerprint))
     let_go(state, suspect.req.request_id)
     return [RunAlone(suspect.req, server, home)]
 
 
-def _record_denial(state: State, now: float, suspect: HeldSuspect, name: ServerName) -> None:
-    suspect.denied[name] = now + 2 * state.options.trial_ask_s
-    suspect.ask_due = now
+def _record_denial(state: State, now: float, suspect: WaitingSuspect, name: ServerName) -> None:
+    suspect.excluded_until[name] = now + 2 * state.options.trial_ask_s
+    suspect.next_request_at = now
 
 
 # --- suspects that run -----------------------------------------------------------------------
@@ -220,12 +224,12 @@
 
 def note_started(state: State, now: float, run: RunAlone, attempt: Attempt) -> None:
     """Record the isolated run of a suspect that was started."""
-    state.quarantine.own[attempt.attempt_id] = OwnTrial(
+    state.quarantine.isolated_runs[attempt.attempt_id] = IsolatedRun(
         request_id=run.req.request_id,
         server=attempt.server,
         fingerprint=run.req.fingerprint,
         home=run.home,
-        renew_due=now + state.options.trial_lease_s / 3,
+        next_renewal_at=now + state.options.trial_lease_s / 3,
     )
 
 
@@ -233,7 +237,7 @@
     state: State, now: float, attempt_id: AttemptId, *, broken: bool = False
 ) -> list[Effect]:
     """End the isolated run of an attempt; `broken` means that its server may have crashed."""
-    run = state.quarantine.own.pop(attempt_id, None)
+    run = state.quarantine.isolated_runs.pop(attempt_id, None)
     if run is None:
         return []
     end = TrialEnd(run.server, run.fingerprint, broken)
@@ -244,19 +248,19 @@
 def review_running(state: State, now: float) -> list[Effect]:
     """End the isolated runs that have lasted long enough, and renew the others."""
     effects: list[Effect] = []
-    for attempt_id, run in list(state.quarantine.own.items()):
+    for attempt_id, run in list(state.quarantine.isolated_runs.items()):
         if _has_run_long_enough(state, now, run):
             # It got further than at the crash. Prevents it from counting as a suspect of a crash
             # that the next suspect causes here.
             quarantine.note_cleared(state, now, run.fingerprint)
             effects += note_ended(state, now, attempt_id)
-        elif now >= run.renew_due:
-            run.renew_due = now + state.options.trial_lease_s / 3
+        elif now >= run.next_renewal_at:
+            run.next_renewal_at = now + state.options.trial_lease_s / 3
             effects += _renew(state, now, run)
     return effects
 
 
-def _has_run_long_enough(state: State, now: float, run: OwnTrial) -> bool:
+def _has_run_long_enough(state: State, now: float, run: IsolatedRun) -> bool:
     req = state.requests.get(run.request_id)
     if req is None or req.attempt is None:
         return False
@@ -267,7 +271,7 @@
     return first_token_at is not None and now - first_token_at >= state.options.trial_s
 
 
-def _renew(state: State, now: float, run: OwnTrial) -> list[Effect]:
+def _renew(state: State, now: float, run: IsolatedRun) -> list[Effect]:
     if run.home == state.me.name:
         _grant_run(state, now, run.home, run.server, run.fingerprint)
         return []
@@ -305,22 +309,22 @@
         return False
     if quarantine.awaits_verdict(state, fingerprint):
         return False
-    return now >= state.quarantine.barred.get(fingerprint, now)
+    return now >= state.quarantine.runs_barred_until.get(fingerprint, now)
 
 
 def _grant_run(
     state: State, now: float, holder: InstanceName, server: ServerName, fingerprint: str
 ) -> bool:
-    for name, grant in state.quarantine.given.items():
+    for name, grant in state.quarantine.permits.items():
         # A renewal by the holder is not a conflict.
         if (name, grant.fingerprint, grant.holder) == (server, fingerprint, holder):
             continue
         if name != server and grant.fingerprint != fingerprint:
             continue
-        if now < grant.until and _is_live(state, now, grant.holder):
+        if now < grant.permitted_until and _is_live(state, now, grant.holder):
             return False
     until = now + state.options.trial_lease_s
-    state.quarantine.given[server] = GivenTrial(holder, fingerprint, until)
+    state.quarantine.permits[server] = IsolatedRunPermit(holder, fingerprint, until)
     return True
 
 
@@ -343,7 +347,7 @@
 
 
 def _holds_grant(state: State, name: InstanceName, server: ServerName, fingerprint: str) -> bool:
-    grant = state.quarantine.given.get(server)
+    grant = state.quarantine.permits.get(server)
     return grant is not None and (grant.holder, grant.fingerprint) == (name, fingerprint)
 
 
@@ -353,9 +357,9 @@
     if end.broken:
         # Waits until a crash would have been detected and reported here.
         wait_s = state.options.crash_doubt_s + state.options.trial_delay_s
-        state.quarantine.barred[end.fingerprint] = now + wait_s
+        state.quarantine.runs_barred_until[end.fingerprint] = now + wait_s
     if _holds_grant(state, sender, server, end.fingerprint):
-        del state.quarantine.given[server]
+        del state.quarantine.permits[server]
 
 
 def on_answer(
@@ -363,10 +367,10 @@
 ) -> list[Decision]:
     """Start the suspect that was granted a run, or let it ask for another server."""
     name = ServerName(answer.server)
-    for suspect in list(state.quarantine.held.values()):
-        if suspect.asked != name or suspect.req.fingerprint != answer.fingerprint:
+    for suspect in list(state.quarantine.waiting_suspects.values()):
+        if suspect.asked_server != name or suspect.req.fingerprint != answer.fingerprint:
             continue
-        suspect.asked = None
+        suspect.asked_server = None
         if answer.granted:
             return _start_run(state, suspect, name, now, sender)
         _record_denial(state, now, suspect, name)
@@ -378,5 +382,5 @@
 
 
 def _is_running(state: State, server: ServerName, fingerprint: str) -> bool:
-    running = state.quarantine.own.values()
+    running = state.quarantine.isolated_runs.values()
     return any((each.server, each.fingerprint) == (server, fingerprint) for each in running)
