--- a/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
@@ -23,7 +23,7 @@
 from turmericweir_core.base.tiers import most_urgent
 from turmericweir_core.messages.effects import Count, DistrustConnections, Effect, ProbeServer
 from turmericweir_core.messages.events import ServerReport
-from turmericweir_core.state.liveness_state import ServerSigns
+from turmericweir_core.state.liveness_state import ServerLiveness
 from turmericweir_core.state.server_table import Server
 
 if TYPE_CHECKING:
@@ -32,11 +32,11 @@
 _NEVER: Final = float("-inf")
 
 
-def evidence_of(state: State, server: ServerName) -> ServerSigns:
+def evidence_of(state: State, server: ServerName) -> ServerLiveness:
     """Return the liveness evidence of a server."""
-    evidence = state.signs.by_server.get(server)
+    evidence = state.server_liveness.by_server.get(server)
     if evidence is None:
-        evidence = state.signs.by_server[server] = ServerSigns()
+        evidence = state.server_liveness.by_server[server] = ServerLiveness()
     return evidence
 
 
@@ -45,13 +45,13 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Find overdue attempts; probe their servers and stop reusing connections to them."""
-    signs = state.signs
+    signs = state.server_liveness
     signs.overdue.clear()
     if not state.options.probe_servers:
         return []
     _record_token_times(state)
-    was_paused = now - signs.looked_at > state.options.sign_tick_max_s
-    signs.looked_at = now
+    was_paused = now - signs.checked_at > state.options.sign_tick_max_s
+    signs.checked_at = now
     if was_paused:
         # This process was paused, and has not read the data that arrived meanwhile.
         return []
@@ -67,21 +67,21 @@
 
 def _record_token_times(state: State) -> None:
     """Record the token gaps and newest tokens of running attempts since the last tick."""
-    for evidence in state.signs.by_server.values():
-        evidence.longest_gap *= state.options.gap_decay
-        evidence.newest_token.clear()
+    for evidence in state.server_liveness.by_server.values():
+        evidence.longest_gap_s *= state.options.gap_decay
+        evidence.newest_token_at.clear()
     for req in state.requests.values():
         attempt = req.attempt
         if attempt is None or attempt.last_token_at is None:
             continue
         evidence = evidence_of(state, attempt.server)
-        evidence.longest_gap = max(evidence.longest_gap, attempt.longest_gap)
+        evidence.longest_gap_s = max(evidence.longest_gap_s, attempt.longest_gap)
         attempt.longest_gap = 0.0
-        newest_token_at = evidence.newest_token.get(attempt.tier, _NEVER)
-        evidence.newest_token[attempt.tier] = max(newest_token_at, attempt.last_token_at)
-    for name in list(state.signs.by_server):
+        newest_token_at = evidence.newest_token_at.get(attempt.tier, _NEVER)
+        evidence.newest_token_at[attempt.tier] = max(newest_token_at, attempt.last_token_at)
+    for name in list(state.server_liveness.by_server):
         if name not in state.servers.by_name:
-            del state.signs.by_server[name]
+            del state.server_liveness.by_server[name]
 
 
 def _probe_overdue_server(state: State, now: float, name: ServerName) -> list[Effect]:
@@ -90,7 +90,7 @@
     if server is None or now - evidence.suspected_at < state.options.sign_probe_s:
         return []
     evidence.suspected_at = now
-    server.probe_due = now + state.options.probe_s
+    server.next_probe_at = now + state.options.probe_s
     address = server.entry.address
     return [
         ProbeServer(name, address),
@@ -104,10 +104,10 @@
 
     Prevents further requests from being sent over other connections that were lost with them.
     """
-    signs = state.signs
-    if len(signs.overdue) < 2 or now - signs.distrusted_at < state.options.sign_probe_s:
+    signs = state.server_liveness
+    if len(signs.overdue) < 2 or now - signs.idle_discarded_at < state.options.sign_probe_s:
         return []
-    signs.distrusted_at = now
+    signs.idle_discarded_at = now
     return [DistrustConnections(each.entry.address) for each in state.servers.by_name.values()]
 
 
@@ -117,21 +117,21 @@
     A slower answer is acted on at the next tick, and a late one is ignored. Prevents wrong evidence
     from a server that was frozen and answers waiting probes just before its overdue tokens.
     """
-    evidence = state.signs.by_server.get(report.server)
+    evidence = state.server_liveness.by_server.get(report.server)
     if evidence is None or now - report.asked_at > state.options.sign_answer_s:
         return False
-    evidence.answers_at = report.asked_at
+    evidence.answered_probe_at = report.asked_at
     evidence.answered_count = report.running + report.waiting
     if now - report.asked_at > state.options.sign_at_once_s:
         return False
-    return report.server in state.signs.overdue
+    return report.server in state.server_liveness.overdue
 
 
 def record_lost_connection(state: State, now: float, name: ServerName) -> None:
     """Record that a connection to a server was found lost."""
     evidence_of(state, name).lost_at = now
-    if len(state.signs.overdue) > 1:
-        state.signs.lost_together_at = now
+    if len(state.server_liveness.overdue) > 1:
+        state.server_liveness.lost_together_at = now
 
 
 # --- evaluation ------------------------------------------------------------------------------
@@ -139,27 +139,29 @@
 
 def has_evidence_of_loss(state: State, now: float, req: Request, attempt: Attempt) -> bool:
     """Return whether there is enough evidence to suspect an attempt before the long wait."""
-    if attempt.server not in state.signs.overdue or not _is_overdue(state, now, req, attempt):
+    if attempt.server not in state.server_liveness.overdue or not _is_overdue(
+        state, now, req, attempt
+    ):
         return False
     evidence = evidence_of(state, attempt.server)
     limit_s = _overdue_after_s(state, req, attempt)
     last_data_at = _last_data_at(attempt)
-    if evidence.answers_at < last_data_at:
+    if evidence.answered_probe_at < last_data_at:
         return False
-    has_common_loss = state.signs.lost_together_at >= last_data_at
+    has_common_loss = state.server_liveness.lost_together_at >= last_data_at
     if attempt.last_token_at is None and (has_common_loss or evidence.lost_at >= last_data_at):
         # The reused connection is older than the loss of other connections.
         return True
-    if evidence.answers_at - last_data_at < limit_s:
+    if evidence.answered_probe_at - last_data_at < limit_s:
         return False
-    if has_common_loss or len(state.signs.overdue) > 1:
+    if has_common_loss or len(state.server_liveness.overdue) > 1:
         return True
     if attempt.last_token_at is None:
         return _is_uncounted(state, req, attempt)
-    if max(evidence.newest_token.values(), default=_NEVER) - last_data_at >= limit_s:
+    if max(evidence.newest_token_at.values(), default=_NEVER) - last_data_at >= limit_s:
         return True
     # A single server may only be paused. It has to answer another probe after twice the time.
-    return evidence.answers_at - last_data_at >= 2.0 * limit_s
+    return evidence.answered_probe_at - last_data_at >= 2.0 * limit_s
 
 
 def _last_data_at(attempt: Attempt) -> float:
@@ -191,10 +193,10 @@
     # Doubled with each attempt. Prevents repeated retries of a request that is slow everywhere.
     doublings: float = 2.0 ** max(0, req.tries - 1)
     if attempt.last_token_at is None:
-        usual_gap_s = state.silence.longest_wait.get(attempt.server)
+        usual_gap_s = state.silence.longest_first_wait_s.get(attempt.server)
         min_s, max_s = options.first_overdue_min_s, options.first_silence_s
     else:
-        usual_gap_s = evidence_of(state, attempt.server).longest_gap
+        usual_gap_s = evidence_of(state, attempt.server).longest_gap_s
         min_s, max_s = options.stream_overdue_min_s, options.silence_s
     if not usual_gap_s:
         # No answers of this server have been measured yet.
@@ -207,7 +209,7 @@
     if attempt.tier == most_urgent(state.config):
         return False
     last_data_at = _last_data_at(attempt)
-    newest = evidence_of(state, attempt.server).newest_token
+    newest = evidence_of(state, attempt.server).newest_token_at
     if any(
         tier > attempt.tier and token_at - last_data_at > limit_s
         for tier, token_at in newest.items()
@@ -240,6 +242,6 @@
     server = state.servers.by_name.get(attempt.server)
     evidence = evidence_of(state, attempt.server)
     lag = state.options.report_lag_s if req.kind is Kind.MODEL else 0.0
-    if server is None or evidence.answers_at - lag <= attempt.started:
+    if server is None or evidence.answered_probe_at - lag <= attempt.started:
         return False
     return evidence.answered_count < len(server.in_flight)
--- a/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
@@ -28,7 +28,7 @@
 
 def note_begun(state: State, now: float, attempt: Attempt) -> None:
     """Record the wait for the first token or for a whole plain answer."""
-    waits = state.silence.longest_wait
+    waits = state.silence.longest_first_wait_s
     decayed = waits.get(attempt.server, 0.0) * state.options.first_wait_decay
     waits[attempt.server] = max(decayed, now - attempt.started)
 
@@ -90,7 +90,7 @@
         return waited_s >= limit_s * 2.0 ** max(0, req.tries - 1)
     if waited_s >= options.first_silence_share * (req.deadline - attempt.started):
         return True
-    longest_wait_s = state.silence.longest_wait.get(attempt.server, 0.0)
+    longest_wait_s = state.silence.longest_first_wait_s.get(attempt.server, 0.0)
     # Doubled with each attempt. Prevents repeated retries of a request that is slow everywhere.
     doublings: float = 2.0 ** max(0, req.tries - 1)
     limit_s = (
--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -29,7 +29,13 @@
 from turmericweir_core.messages.effects import Effect, Log, SendDatagram, SendPeer
 from turmericweir_core.messages.events import ServerReport
 from turmericweir_core.messages.peer_messages import CrashesAsk, CrashNews, CrashRecord, Sighting
-from turmericweir_core.state.quarantine_state import Break, Crash, CrashKey, Evidence, crash_key
+from turmericweir_core.state.quarantine_state import (
+    BrokenConnection,
+    Crash,
+    CrashEvidence,
+    CrashKey,
+    crash_key,
+)
 from turmericweir_core.state.server_table import note_unreachable
 from turmericweir_core.trust.crash_records import (
     SENDS_PER_UPDATE,
@@ -64,12 +70,12 @@
 
 def is_suspect(state: State, fingerprint: str) -> bool:
     """Return whether a fingerprint was in flight at a crash and may only run isolated."""
-    return fingerprint in state.quarantine.counts
+    return fingerprint in state.quarantine.crash_counts
 
 
 def crash_count(state: State, fingerprint: str) -> int:
     """Return the number of crashes at which a fingerprint was in flight."""
-    return state.quarantine.counts.get(fingerprint, 0)
+    return state.quarantine.crash_counts.get(fingerprint, 0)
 
 
 def awaits_verdict(state: State, fingerprint: str) -> bool:
@@ -77,7 +83,7 @@
     if crash_count(state, fingerprint) < _CRASHES_FOR_REFUSAL:
         return False
     crashes = state.quarantine.crashes.values()
-    return any(not each.judged and fingerprint in each.guilty() for each in crashes)
+    return any(not each.has_verdict and fingerprint in each.possible_causes() for each in crashes)
 
 
 # --- evidence --------------------------------------------------------------------------------
@@ -117,7 +123,9 @@
 def _record_break(
     state: State, now: float, req: Request, attempt: Attempt, *, silent: bool
 ) -> None:
-    connection_break = Break(now, attempt.incarnation, req.fingerprint, attempt.started, silent)
+    connection_break = BrokenConnection(
+        now, attempt.incarnation, req.fingerprint, attempt.started, silent
+    )
     state.quarantine.breaks.setdefault(attempt.server, []).append(connection_break)
 
 
@@ -131,7 +139,9 @@
         return False
     wait_s = state.options.crash_doubt_s
     return any(
-        each.fingerprint == req.fingerprint and not each.silent and now - each.at < wait_s
+        each.fingerprint == req.fingerprint
+        and not each.is_unresponsive
+        and now - each.broke_at < wait_s
         for breaks in state.quarantine.breaks.values()
         for each in breaks
     )
@@ -146,7 +156,7 @@
     breaks = state.quarantine.breaks.get(attempt.server)
     if breaks:
         proven_s = state.options.crash_doubt_s
-        remaining = [each for each in breaks if each.at - attempt.started <= proven_s]
+        remaining = [each for each in breaks if each.broke_at - attempt.started <= proven_s]
         state.quarantine.breaks[attempt.server] = remaining
 
 
@@ -154,12 +164,12 @@
     state: State, now: float, key: CrashKey, crashed_at: float, fingerprint: str, started_at: float
 ) -> None:
     """Record that a request of this instance was in flight at a crash."""
-    evidence = Evidence(suspects=frozenset({Sighting(fingerprint, state.me.name)}))
+    evidence = CrashEvidence(suspects=frozenset({Sighting(fingerprint, state.me.name)}))
     merge_record(state, now, key, crashed_at, evidence)
     crash = state.quarantine.crashes[existing_key(state.quarantine, key, crashed_at)]
     # Uses the earlier of two copies, as that one may have been in flight.
-    earlier = crash.own_started.get(fingerprint, started_at)
-    crash.own_started[fingerprint] = min(earlier, started_at)
+    earlier = crash.local_started_at.get(fingerprint, started_at)
+    crash.local_started_at[fingerprint] = min(earlier, started_at)
     withdraw_late_sightings(state, now)
 
 
@@ -167,17 +177,17 @@
     """Compare a reported incarnation with the broken connections and the recorded crashes."""
     quarantine = state.quarantine
     for broken in quarantine.breaks.pop(report.server, ()):
-        if now - broken.at > _BREAK_KEEP_S:
+        if now - broken.broke_at > _BREAK_KEEP_S:
             continue
         if broken.incarnation and broken.incarnation != report.incarnation:
             key = CrashKey(report.server, broken.incarnation)
-            _record_sighting(state, now, key, broken.at, broken.fingerprint, broken.started)
-        elif now - broken.at < _REPORT_DELAY_MAX_S:
+            _record_sighting(state, now, key, broken.broke_at, broken.fingerprint, broken.started)
+        elif now - broken.broke_at < _REPORT_DELAY_MAX_S:
             quarantine.breaks.setdefault(report.server, []).append(broken)
     key = CrashKey(report.server, report.incarnation)
     crash = quarantine.crashes.get(key)
-    if crash is not None and now - crash.at > _REPORT_DELAY_S:
-        merge_record(state, now, key, crash.at, Evidence(retracted=True))
+    if crash is not None and now - crash.first_seen_at > _REPORT_DELAY_S:
+        merge_record(state, now, key, crash.first_seen_at, CrashEvidence(is_retracted=True))
 
 
 def note_cleared(state: State, now: float, fingerprint: str) -> None:
@@ -189,7 +199,13 @@
         return
     for key, crash in state.quarantine.crashes.items():
         if fingerprint in crash.in_flight():
-            merge_record(state, now, key, crash.at, Evidence(cleared=frozenset({fingerprint})))
+            merge_record(
+                state,
+                now,
+                key,
+                crash.first_seen_at,
+                CrashEvidence(cleared=frozenset({fingerprint})),
+            )
 
 
 # --- verdicts --------------------------------------------------------------------------------
@@ -199,26 +215,28 @@
     """Give the pending verdicts: refuse fingerprints, or withdraw earlier verdicts."""
     effects: list[Effect] = []
     for key, crash in state.quarantine.crashes.items():
-        if crash.judged or now - crash.changed_at < state.options.verdict_wait_s:
+        if crash.has_verdict or now - crash.changed_at < state.options.verdict_wait_s:
             continue
-        crash.judged = True
+        crash.has_verdict = True
         effects += _give_verdict(state, now, key, crash)
     return effects
 
 
 def _give_verdict(state: State, now: float, key: CrashKey, crash: Crash) -> list[Effect]:
     quarantine = state.quarantine
-    if crash.retracted:
+    if crash.is_retracted:
         _withdraw_verdicts(state, crash)
         return [Log("crash_retracted", {"peer": key.server, "incarnation": key.incarnation})]
-    causes = [each for each in crash.guilty() if crash_count(state, each) >= _CRASHES_FOR_REFUSAL]
+    causes = [
+        each for each in crash.possible_causes() if crash_count(state, each) >= _CRASHES_FOR_REFUSAL
+    ]
     # If two fingerprints were in flight at two crashes, only their isolated runs can tell which one
     # is the cause.
     if len(causes) != 1 or causes[0] in quarantine.refused:
         return []
     fingerprint = causes[0]
-    quarantine.refused[fingerprint] = crash.at + state.options.quarantine_s
-    quarantine.look_through = True
+    quarantine.refused[fingerprint] = crash.first_seen_at + state.options.quarantine_s
+    quarantine.needs_check = True
     return [Log("quarantined", {"fingerprint": fingerprint, "peer": key.server})]
 
 
@@ -240,39 +258,41 @@
 
 def _expire(state: State, now: float) -> None:
     quarantine = state.quarantine
-    if now < quarantine.expire_due:
+    if now < quarantine.next_expiry_at:
         return
-    quarantine.expire_due = now + _RESEND_S
+    quarantine.next_expiry_at = now + _RESEND_S
     for key, crash in list(quarantine.crashes.items()):
-        if now - crash.at > state.options.quarantine_s:
+        if now - crash.first_seen_at > state.options.quarantine_s:
             del quarantine.crashes[key]
-            quarantine.unsent.pop(key, None)
+            quarantine.unsent_crashes.pop(key, None)
     for fingerprint, until in list(quarantine.refused.items()):
         if now >= until:
             del quarantine.refused[fingerprint]
     for server, breaks in list(quarantine.breaks.items()):
-        if not breaks or now - breaks[-1].at > _BREAK_KEEP_S:
+        if not breaks or now - breaks[-1].broke_at > _BREAK_KEEP_S:
             del quarantine.breaks[server]
-    for fingerprint, until in list(quarantine.barred.items()):
+    for fingerprint, until in list(quarantine.runs_barred_until.items()):
         if now >= until:
-            del quarantine.barred[fingerprint]
-    if quarantine.counts:
+            del quarantine.runs_barred_until[fingerprint]
+    if quarantine.crash_counts:
         update_counts(quarantine, now, state.options.suspect_keep_s)
 
 
 def _send_updates(state: State, now: float) -> list[Effect]:
     """Send changed records to the region, a second time in case the first message was lost."""
     quarantine = state.quarantine
-    has_new = any(sends_left == SENDS_PER_UPDATE for sends_left in quarantine.unsent.values())
-    if not quarantine.unsent or (not has_new and now < quarantine.resend_due):
+    has_new = any(
+        sends_left == SENDS_PER_UPDATE for sends_left in quarantine.unsent_crashes.values()
+    )
+    if not quarantine.unsent_crashes or (not has_new and now < quarantine.next_resend_at):
         return []
-    quarantine.resend_due = now + _RESEND_S
-    keys = [key for key in quarantine.unsent if key in quarantine.crashes]
-    for key, sends_left in list(quarantine.unsent.items()):
+    quarantine.next_resend_at = now + _RESEND_S
+    keys = [key for key in quarantine.unsent_crashes if key in quarantine.crashes]
+    for key, sends_left in list(quarantine.unsent_crashes.items()):
         if sends_left > 1:
-            quarantine.unsent[key] = sends_left - 1
+            quarantine.unsent_crashes[key] = sends_left - 1
         else:
-            del quarantine.unsent[key]
+            del quarantine.unsent_crashes[key]
     update = CrashNews(_records(state, now, keys))
     peers = membership.region_instances(state, now)
     me = state.me.name
@@ -288,25 +308,25 @@
     return CrashRecord(
         server=key.server,
         incarnation=key.incarnation,
-        age_s=max(0.0, now - crash.at),
+        age_s=max(0.0, now - crash.first_seen_at),
         suspects=sorted(crash.suspects),
-        late=sorted(crash.late),
+        late=sorted(crash.sent_after),
         cleared=sorted(crash.cleared),
-        retracted=crash.retracted,
+        retracted=crash.is_retracted,
     )
 
 
 def _request_records(state: State, now: float) -> list[Effect]:
     """Ask a random peer for missed records, as soon as there is one and then periodically."""
     quarantine = state.quarantine
-    if now < quarantine.ask_due:
+    if now < quarantine.next_request_at:
         return []
     me = state.me.name
     peers = [each for each in membership.region_instances(state, now) if each.name != me]
     if not peers:
-        quarantine.ask_due = now + _RESEND_S
+        quarantine.next_request_at = now + _RESEND_S
         return []
-    quarantine.ask_due = now + state.options.crashes_ask_s
+    quarantine.next_request_at = now + state.options.crashes_ask_s
     peer = state.rng.choice(peers)
     return [SendDatagram(peer.name, peer.peer_address, CrashesAsk(_crashes_hash(state)))]
 
@@ -316,9 +336,9 @@
         (
             *key,
             sorted(crash.suspects),
-            sorted(crash.late),
+            sorted(crash.sent_after),
             sorted(crash.cleared),
-            crash.retracted,
+            crash.is_retracted,
         )
         for key, crash in sorted(state.quarantine.crashes.items())
     ]
@@ -346,7 +366,7 @@
             continue
         key = CrashKey(ServerName(record.server), record.incarnation)
         crashed_at = now - max(0.0, record.age_s)
-        evidence = Evidence(
+        evidence = CrashEvidence(
             frozenset(record.suspects),
             frozenset(record.late),
             frozenset(record.cleared),
--- a/packages/turmericweir-core/turmericweir_core/trust/retry.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/retry.py
@@ -39,7 +39,7 @@
     """Count a first attempt, which adds a fraction of a retry to the budget."""
     budget, options = state.retries, state.options
     if options.retry_window_s:
-        _bucket(budget, now, req.target).firsts += 1
+        _bucket(budget, now, req.target).first_attempts += 1
         return
     tokens = _tokens_left(budget, options) + options.retry_share
     budget.tokens = min(options.retry_burst, tokens)
@@ -76,14 +76,14 @@
 def on_tick(state: State, now: float) -> None:
     """Update the number of instances that share the burst."""
     budget = state.retries
-    if not state.options.retry_window_s or now < budget.look_due:
+    if not state.options.retry_window_s or now < budget.next_check_at:
         return
-    budget.look_due = now + _INSTANCES_CHECK_S
+    budget.next_check_at = now + _INSTANCES_CHECK_S
     if budget.started_at is None:
         budget.started_at = now
     live = len(membership.live_instances(state, now))
-    if live >= budget.peak or now - budget.peak_at > _PEAK_KEEP_S:
-        budget.peak = live
+    if live >= budget.peak_instances or now - budget.peak_at > _PEAK_KEEP_S:
+        budget.peak_instances = live
         budget.peak_at = now
 
 
@@ -93,8 +93,8 @@
 
 def _sharing_instances(budget: RetryBudget, now: float) -> int:
     if budget.started_at is None or now - budget.started_at < _START_S:
-        return max(budget.peak, _START_INSTANCES)
-    return budget.peak
+        return max(budget.peak_instances, _START_INSTANCES)
+    return budget.peak_instances
 
 
 def _bucket(budget: RetryBudget, now: float, target: Target) -> RetryBucket:
@@ -114,5 +114,5 @@
     oldest = now - options.retry_window_s
     while window and window[0].since < oldest - _BUCKET_S:
         window.popleft()
-    firsts = sum(each.firsts for each in window if each.since >= oldest)
+    firsts = sum(each.first_attempts for each in window if each.since >= oldest)
     return firsts, sum(each.retries for each in window)
--- a/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
@@ -113,7 +113,7 @@
             me = other.me
             member = Member(name, me.data_centre, me.peer_address, region="home")
             is_reachable = me.data_centre == state.me.data_centre and name not in self.dead
-            member.heard_at = float("inf") if is_reachable else float("-inf")
+            member.last_seen_at = float("inf") if is_reachable else float("-inf")
             state.members.by_name[name] = member
         for centre in self.centres:
             if centre != state.me.data_centre:
@@ -128,8 +128,8 @@
         )
         remote = state.members.centres.setdefault(centre, RemoteCentre(centre, "home"))
         remote.roster = roster
-        remote.heard_at = self.now if is_partitioned else float("inf")
-        remote.word = Word(
+        remote.last_seen_at = self.now if is_partitioned else float("inf")
+        remote.status_message = Word(
             centre, relay=0, seq=1, members_hash=0, live=len(roster), settings_offset=0
         )
 
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -162,7 +162,7 @@
         value = {
             "offset": state.offset,
             "hash": state_digest(state),
-            "ready": self._sync.ready,
+            "ready": self._sync.has_been_complete,
             "entries": entries,
         }
         await request.answer(HTTPStatus.OK, value)
--- a/tests/core/claims/test_claim_ledger.py
+++ b/tests/core/claims/test_claim_ledger.py
@@ -30,8 +30,8 @@
     decode,
     encode,
 )
-from turmericweir_core.state.claim_clock import told_clocks
-from turmericweir_core.state.claim_ledger import Ledger, floor_of, fold, holder_of, restart
+from turmericweir_core.state.claim_clock import clocks_for_record
+from turmericweir_core.state.claim_ledger import ClaimLedger, floor_of, fold, holder_of, restart
 
 OPTIONS: Final = Options(claim_retention_s=60.0, claim_carry_records=8)
 KEYS: Final = ("a", "b")
@@ -56,9 +56,9 @@
     """The stream, its writers and its true ledger."""
 
     records: list[Any] = field(default_factory=list)
-    truth: Ledger = field(default_factory=Ledger)
+    truth: ClaimLedger = field(default_factory=ClaimLedger)
     # The true ledger at each offset, for writers that have read up to there.
-    history: list[Ledger] = field(default_factory=lambda: [Ledger()])
+    history: list[ClaimLedger] = field(default_factory=lambda: [ClaimLedger()])
     writers: list[Sending] = field(default_factory=lambda: [Sending() for _ in WRITERS])
     now_ms: int = 1_000_000
     requests: int = 0
@@ -74,7 +74,7 @@
             writer=WRITERS[index],
             number=sending.number,
             at_ms=self.now_ms,
-            clocks=told_clocks(ledger.clock),
+            clocks=clocks_for_record(ledger.clock),
             upto=ledger.offset,
             floor=floor_of(ledger),
             carried=_carried(ledger) if kind == "carry" else (),
@@ -94,7 +94,7 @@
         claimed, sending.claimed = sending.claimed, []
         return tuple(Withdrawal(key, request_id) for key, request_id in claimed)
 
-    def _ended(self, sending: Sending, ledger: Ledger) -> tuple[EndRecord, ...]:
+    def _ended(self, sending: Sending, ledger: ClaimLedger) -> tuple[EndRecord, ...]:
         held_claims = [
             (key, request_id)
             for key, request_id in sending.claimed
@@ -120,9 +120,16 @@
         self.history.append(deepcopy(self.truth))
 
 
-def _carried(ledger: Ledger) -> tuple[CarriedClaim, ...]:
+def _carried(ledger: ClaimLedger) -> tuple[CarriedClaim, ...]:
     return tuple(
-        CarriedClaim(each.claim, each.holder, each.claimed_at, each.at_ms, each.unsure, each.end)
+        CarriedClaim(
+            each.claim,
+            each.holder,
+            each.claim_offset,
+            each.retention_from_ms,
+            each.is_unsure,
+            each.end,
+        )
         for each in islice(ledger.claims.values(), 2)
     )
 
@@ -161,25 +168,25 @@
 
 def check_late_reader(stream: Stream, start: int) -> None:
     """Read from an offset, and compare with the true ledger wherever the reader is whole."""
-    ledger = Ledger()
+    ledger = ClaimLedger()
     restart(ledger, start)
     for offset in range(start, len(stream.records)):
         fold(ledger, OPTIONS, offset, stream.records[offset])
         check_sure(ledger, stream.history[offset + 1])
-        if ledger.whole:
+        if ledger.has_all_claims:
             check_against(ledger, stream.history[offset + 1])
 
 
-def check_sure(ledger: Ledger, truth: Ledger) -> None:
+def check_sure(ledger: ClaimLedger, truth: ClaimLedger) -> None:
     """Check that every holder that a reader is sure of is the true holder."""
     for key in KEYS:
         holder = holder_of(ledger, OPTIONS, key)
         true_holder = holder_of(truth, OPTIONS, key)
-        if holder is not None and not holder.unsure and true_holder is not None:
+        if holder is not None and not holder.is_unsure and true_holder is not None:
             assert holder.claim == true_holder.claim
 
 
-def check_against(ledger: Ledger, truth: Ledger) -> None:
+def check_against(ledger: ClaimLedger, truth: ClaimLedger) -> None:
     """Check that a reader has a holder for every held key, and the true one if it is sure."""
     for key in KEYS:
         true_holder = holder_of(truth, OPTIONS, key)
@@ -187,7 +194,7 @@
             continue
         holder = holder_of(ledger, OPTIONS, key)
         assert holder is not None, f"{key} lacks {true_holder}"
-        assert holder.unsure or holder.claim == true_holder.claim
+        assert holder.is_unsure or holder.claim == true_holder.claim
 
 
 @settings(max_examples=400, deadline=None, suppress_health_check=[HealthCheck.too_slow])
@@ -208,7 +215,7 @@
     stream = Stream()
     for step in steps:
         step(stream)
-    ledger = Ledger()
+    ledger = ClaimLedger()
     start = min(until + missed, len(stream.records))
     for offset in range(min(until, start)):
         fold(ledger, OPTIONS, offset, stream.records[offset])
@@ -216,7 +223,7 @@
     for offset in range(start, len(stream.records)):
         fold(ledger, OPTIONS, offset, stream.records[offset])
         check_sure(ledger, stream.history[offset + 1])
-        if ledger.whole:
+        if ledger.has_all_claims:
             check_against(ledger, stream.history[offset + 1])
 
 
@@ -269,34 +276,34 @@
         )
         self.records.append(encode(batch))
 
-    def read(self, ledger: Ledger, until: int | None = None) -> None:
+    def read(self, ledger: ClaimLedger, until: int | None = None) -> None:
         """Read the next records into a ledger."""
         for offset in range(ledger.offset, len(self.records) if until is None else until):
             fold(ledger, OPTIONS, offset, self.records[offset])
 
     def check_from(self, start: int) -> None:
         """Check that a reader that starts at an offset is whole and right at the end."""
-        truth = Ledger()
+        truth = ClaimLedger()
         self.read(truth)
-        reader = Ledger()
+        reader = ClaimLedger()
         restart(reader, start)
         self.read(reader)
-        assert reader.whole
+        assert reader.has_all_claims
         check_against(reader, truth)
 
 
 def holder(script: Script) -> str | None:
     """Return the request that truly holds key a."""
-    truth = Ledger()
+    truth = ClaimLedger()
     script.read(truth)
     true_holder = holder_of(truth, OPTIONS, "a")
     return true_holder.claim.request_id if true_holder else None
 
 
-def sure_holder_of_a(ledger: Ledger) -> str | None:
+def sure_holder_of_a(ledger: ClaimLedger) -> str | None:
     """Return the request that a reader is sure to hold key a."""
     holder = holder_of(ledger, OPTIONS, "a")
-    return holder.claim.request_id if holder is not None and not holder.unsure else None
+    return holder.claim.request_id if holder is not None and not holder.is_unsure else None
 
 
 def test_first_claim_holds_until_it_is_withdrawn() -> None:
@@ -382,7 +389,7 @@
     script.add(0, 1, claim="r1")
     script.add(1, 1)
     script.add(1, 2, carry="r1")
-    late = Ledger()
+    late = ClaimLedger()
     restart(late, 1)
     script.read(late)
     assert floor_of(late) == NO_FLOOR
@@ -391,7 +398,7 @@
     script.add(0, 2, floor=NO_FLOOR, withdraw="r1")
     script.add(1, 3, floor=2, claim="r2")
     script.read(late)
-    assert late.whole
+    assert late.has_all_claims
     assert sure_holder_of_a(late) == "r2"
 
 
@@ -414,9 +421,9 @@
     script.add(0, 2, withdraw="r1")
     script.add(2, 1, claim="r2")
     script.add(1, 1, upto=1, carry="r1")
-    truth = Ledger()
+    truth = ClaimLedger()
     script.read(truth)
-    late = Ledger()
+    late = ClaimLedger()
     restart(late, 3)
     script.read(late)
     check_sure(late, truth)
@@ -440,13 +447,13 @@
     script.add(0, 3, claim="r2")
     script.add(1, 1, carry="r2")
     script.add(0, 4, floor=3)
-    truth = Ledger()
+    truth = ClaimLedger()
     script.read(truth)
-    reader = Ledger()
+    reader = ClaimLedger()
     script.read(reader, until=1)
     restart(reader, 3)
     script.read(reader)
-    assert reader.whole
+    assert reader.has_all_claims
     check_against(reader, truth)
 
 
@@ -454,8 +461,8 @@
     script = Script()
     script.add(0, 1, claim="r1")
     script.add(1, 1, floor=0)
-    late = Ledger()
+    late = ClaimLedger()
     restart(late, 1)
     script.read(late)
-    assert not late.whole
+    assert not late.has_all_claims
     assert floor_of(late) == NO_FLOOR
--- a/tests/core/claims/test_claims.py
+++ b/tests/core/claims/test_claims.py
@@ -211,7 +211,7 @@
     """Check that no whole ledger lacks a live claim."""
     for instance in world.instances:
         ledger = instance.state.claims.ledger
-        if not ledger.whole or ledger.offset != len(world.records):
+        if not ledger.has_all_claims or ledger.offset != len(world.records):
             continue
         for key in world.truth.claims:
             true_holder = holder_of(world.truth, world.options, key)
@@ -219,7 +219,7 @@
                 continue
             holder = holder_of(ledger, world.options, key)
             assert holder is not None, f"{instance.state.me.name} lacks the holder of {key}"
-            assert holder.unsure or holder.claim == true_holder.claim
+            assert holder.is_unsure or holder.claim == true_holder.claim
 
 
 def run_history(
@@ -551,7 +551,7 @@
 
 def knows_all_claims(instance: Instance) -> bool:
     """Return whether an instance's ledger is whole."""
-    return instance.state.claims.ledger.whole
+    return instance.state.claims.ledger.has_all_claims
 
 
 def test_new_instance_requests_a_floor() -> None:
--- a/tests/core/claims_world.py
+++ b/tests/core/claims_world.py
@@ -50,7 +50,7 @@
 from turmericweir_core.records.claim_answer import KeptAnswer
 from turmericweir_core.records.claim_record import CLAIMS_STREAM
 from turmericweir_core.reducers.reducer import new_state, reduce
-from turmericweir_core.state.claim_ledger import Ledger, fold, holder_of
+from turmericweir_core.state.claim_ledger import ClaimLedger, fold, holder_of
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.state import Identity, State
 
@@ -113,7 +113,7 @@
     late: list[Any] = field(default_factory=list)
     # Delayed or duplicated messages between instances.
     delayed: list[tuple[InstanceName, SendPeer]] = field(default_factory=list)
-    truth: Ledger = field(default_factory=Ledger)
+    truth: ClaimLedger = field(default_factory=ClaimLedger)
     instances: list[Instance] = field(default_factory=list)
     runs: list[Run] = field(default_factory=list)
     requests: dict[str, Request] = field(default_factory=dict)
@@ -143,7 +143,7 @@
             service_by_target={TARGET: service},
         )
         state.settings.config = state.config
-        state.settings.ready = True
+        state.settings.has_been_complete = True
         state.has_settings = True
         self.instances.append(instance)
         self.handle(instance, ListRead((SERVER,), ()))
@@ -340,7 +340,7 @@
     def expire_records(self) -> None:
         """Expire the records before the oldest live claim, as operators are allowed to."""
         offsets = [
-            claim.kept_at
+            claim.record_offset
             for key, claim in self.truth.claims.items()
             if holder_of(self.truth, self.options, key) is not None
         ]
--- a/tests/core/credits/test_credit.py
+++ b/tests/core/credits/test_credit.py
@@ -20,7 +20,7 @@
 from turmericweir_core.membership.subset import rendezvous_weight, target_subset
 from turmericweir_core.messages.events import PeerReceived, Tick
 from turmericweir_core.messages.peer_messages import CreditDemand, CreditGrant, TierDemand
-from turmericweir_core.state.credit_state import Ledger
+from turmericweir_core.state.credit_state import CreditLedger
 from turmericweir_core.state.state import State
 
 S0 = ServerName("s0")
@@ -51,7 +51,7 @@
 
 def usable_credit(world: LoadWorld, state: State, server: ServerName) -> int:
     """Return the number of slots that an instance may use under its current grant."""
-    credit = state.credits.held.get(server)
+    credit = state.credits.held_by_server.get(server)
     if credit is None or world.now >= credit.valid_until:
         return 0
     return sum(credit.slots.values())
@@ -161,8 +161,8 @@
     before = world.messages
     world.advance(30)
     assert world.messages == before
-    assert all(not state.credits.held for state in world.states.values())
-    assert all(not state.credits.given for state in world.states.values())
+    assert all(not state.credits.held_by_server for state in world.states.values())
+    assert all(not state.credits.granted_by_server for state in world.states.values())
 
 
 def test_a_request_that_fits_costs_one_demand_and_its_grant() -> None:
@@ -198,16 +198,16 @@
             world.end(world.oldest())
     before = world.messages
     if lost:
-        holdings = world.states[dispatcher].credits.given[S0].holdings
+        holdings = world.states[dispatcher].credits.granted_by_server[S0].holdings
         idle_holders = [name for name, each in holdings.items() if each.total()]
-        oldest = min(idle_holders, key=lambda name: holdings[name].heard_at)
+        oldest = min(idle_holders, key=lambda name: holdings[name].received_at)
         world.lose = lambda sender, receiver: receiver == oldest
     asker = next(n for n in world.states if not usable_credit(world, world.states[n], S0))
     world.arrive("fitting", instance=index_of(world, asker), name="next")
     assert ("next" in world.running_ids()) is not lost
     world.advance(0.4)
     assert "next" in world.running_ids()
-    contended = any(each.credits.held[S0].contended for each in world.states.values())
+    contended = any(each.credits.held_by_server[S0].is_contended for each in world.states.values())
     assert contended is lost
     if not lost:
         assert world.messages - before <= 6
@@ -289,7 +289,7 @@
     world = make_world(instances=3, slots=4)
     dispatcher = agreed_dispatcher(world)
     one, two = (name for name in world.states if name != dispatcher)
-    ledger = world.states[dispatcher].credits.given.setdefault(S0, Ledger())
+    ledger = world.states[dispatcher].credits.granted_by_server.setdefault(S0, CreditLedger())
     world.keep_late()
     for seq in range(1, 16):
         for sender, wanted in ((one, 5), (two, 3)):
@@ -492,7 +492,7 @@
             world.advance(0.1 if step == "pass" else 2.0)
         usable = sum(usable_credit(world, state, S0) for state in world.states.values())
         assert usable <= room
-        ledger = world.states[dispatcher].credits.given.get(S0)
+        ledger = world.states[dispatcher].credits.granted_by_server.get(S0)
         if ledger is not None:
             assert sum(each.total() for each in ledger.holdings.values()) <= room
 
@@ -515,7 +515,9 @@
     world.cut.discard(dispatcher)
     world.advance(2.0)
     assert world.running_ids() == ["c", "q"]
-    assert world.states[list(world.states)[other]].credits.held[S0].dispatcher == dispatcher
+    assert (
+        world.states[list(world.states)[other]].credits.held_by_server[S0].dispatcher == dispatcher
+    )
 
 
 def test_new_dispatcher_takes_over() -> None:
@@ -543,7 +545,8 @@
     counters = [each for each in world.running.values() if each.service_class == "counter"]
     assert len(counters) == 2
     assert all(
-        world.states[name].credits.held[S0].dispatcher in new_dispatchers for name in survivors
+        world.states[name].credits.held_by_server[S0].dispatcher in new_dispatchers
+        for name in survivors
     )
 
 
@@ -561,7 +564,7 @@
     world.advance(0.5)
     assert "c" in world.running_ids()
     assert usable_credit(world, world.states[other], S0) >= 1
-    assert world.now >= world.states[other].credits.held[S0].fallback_until
+    assert world.now >= world.states[other].credits.held_by_server[S0].fallback_until
     assert sum(usable_credit(world, state, S0) for state in world.states.values()) <= 3
 
 
@@ -631,10 +634,10 @@
     dispatcher = agreed_dispatcher(world)
     one, two = (name for name in world.states if name != dispatcher)
     world.arrive("quote", instance=index_of(world, one))
-    slots = dict(world.states[one].credits.held[S0].slots)
+    slots = dict(world.states[one].credits.held_by_server[S0].slots)
     stale = CreditGrant(S0, 1, 99, 9.0, contended=False, keep=None, displace_above=0)
     world.event(one, PeerReceived(two, stale))
-    assert world.states[one].credits.held[S0].slots == slots
+    assert world.states[one].credits.held_by_server[S0].slots == slots
 
 
 def test_stale_demand_is_ignored() -> None:
@@ -645,7 +648,7 @@
     for seq, running in ((3, 1), (2, 9)):
         demand = CreditDemand(S0, seq, 0, 2, [TierDemand(2, running, 0)])
         world.event(dispatcher, PeerReceived(other, demand))
-    holding = world.states[dispatcher].credits.given[S0].holdings[other]
+    holding = world.states[dispatcher].credits.granted_by_server[S0].holdings[other]
     assert holding.seq == 3
     assert holding.running() == 1
 
--- a/tests/core/engines/test_engine_pools.py
+++ b/tests/core/engines/test_engine_pools.py
@@ -28,7 +28,7 @@
         world.state, world.now, request(world, CONFIRM, 1_400), servers(world)
     )
     assert split
-    world.state.pools.splits[MODEL].shortest_gap_s = CONFIRM.token_gap_target_s
+    world.state.pools.splits[MODEL].lowest_gap_target_s = CONFIRM.token_gap_target_s
     report_demand(world, 1, long_ms=2_400, quick_ms=1_200, middle_ms=1_200)
     return world
 
@@ -78,7 +78,7 @@
 
 def test_streams_with_equal_gaps_share_engines(world: StoreWorld) -> None:
     """Guards against separate medium engines where no stream has a shorter gap target."""
-    world.state.pools.splits[MODEL].shortest_gap_s = ADVICE.token_gap_target_s
+    world.state.pools.splits[MODEL].lowest_gap_target_s = ADVICE.token_gap_target_s
     kind = engine_pools.prompt_kind(
         world.state, request(world, ADVICE, 9_000), servers(world)[0].service
     )
--- a/tests/core/engines/test_engine_speed.py
+++ b/tests/core/engines/test_engine_speed.py
@@ -11,7 +11,7 @@
 from turmericweir_core.engines import engine_model
 from turmericweir_core.messages.events import EndComplete
 from turmericweir_core.state import engine_speed
-from turmericweir_core.state.engine_state import EngineBook
+from turmericweir_core.state.engine_state import EngineInfo
 
 
 @pytest.mark.parametrize(
@@ -19,32 +19,34 @@
 )
 def test_speed_is_learned_from_noisy_requests(first_ms: float, factor: float) -> None:
     """Guards against a wrong speed after sixty requests with ten percent of noise."""
-    speed = engine_speed.common(Options())
+    speed = engine_speed.reference_speed(Options())
     rng = Random(7)
     for number in range(60):
         work = 15.0 if number % 3 else rng.uniform(100.0, 400.0)
         took = (first_ms + factor * work) * rng.uniform(0.9, 1.1)
-        engine_speed.learn(speed, work, took)
+        engine_speed.update_speed(speed, work, took)
     assert speed.factor == pytest.approx(factor, rel=0.25)
     assert speed.first_ms == pytest.approx(first_ms, rel=0.25)
 
 
 def test_equal_prompts_keep_the_factor_bounded() -> None:
     """Guards against an unbounded factor where all prompts have one size."""
-    speed = engine_speed.common(Options())
+    speed = engine_speed.reference_speed(Options())
     for _ in range(400):
-        engine_speed.learn(speed, 15.0, 75.0)
+        engine_speed.update_speed(speed, 15.0, 75.0)
     assert 0.1 <= speed.factor <= 8.0
     assert speed.first_ms + 15.0 * speed.factor == pytest.approx(75.0, rel=0.05)
 
 
 def test_outlier_changes_the_speed_little() -> None:
     """Guards against a large change of the speed by one outlier."""
-    speed = engine_speed.common(Options())
+    speed = engine_speed.reference_speed(Options())
     for number in range(60):
-        engine_speed.learn(speed, 20.0 if number % 2 else 200.0, 80.0 if number % 2 else 260.0)
+        engine_speed.update_speed(
+            speed, 20.0 if number % 2 else 200.0, 80.0 if number % 2 else 260.0
+        )
     previous_ms = speed.first_ms + 100.0 * speed.factor
-    engine_speed.learn(speed, 100.0, 30_000.0)
+    engine_speed.update_speed(speed, 100.0, 30_000.0)
     assert speed.first_ms + 100.0 * speed.factor <= 1.15 * previous_ms
 
 
@@ -54,7 +56,7 @@
     """
     world = StoreWorld(engines=2)
     probe = world.request("probe", prompt_tokens=17_000)
-    record = EngineBook()
+    record = EngineInfo()
     common_ms = engine_model.own_work_ms(world.state, record, probe)
     for number in range(40):
         tokens = 17_000 if number % 2 else 1_000
--- a/tests/core/engines/test_load_relay.py
+++ b/tests/core/engines/test_load_relay.py
@@ -35,14 +35,14 @@
     record = engine_model.book_of(state, ENGINE)
     attempt = f"{name}.{number}"
     record.prefills[attempt] = Prefill(WORK_MS, 1, 1_000, WORK_MS, network.now, None)  # type: ignore[index]
-    state.engines.changed = True
+    state.engines.has_unsent_load = True
 
 
 def finish_prompts(network: StoreNetwork, name: str) -> None:
     """End all prompts of an instance at the engine."""
     state = network.nodes[name].state
     engine_model.book_of(state, ENGINE).prefills.clear()
-    state.engines.changed = True
+    state.engines.has_unsent_load = True
 
 
 def known_request_counts(network: StoreNetwork) -> set[int]:
@@ -115,7 +115,7 @@
         send_prompt(network, name)
     network.run(0.6)
     for name in senders:
-        relay = network.nodes[name].state.news.plan.teller
+        relay = network.nodes[name].state.load_updates.plan.own_relay
         assert relay is None or relay.name != frozen
     counts = {
         engine_model.request_count(engine_model.book_of(node.state, ENGINE), network.now)
@@ -145,4 +145,4 @@
     for seq in range(200):
         update = LoadNews("x", seq, [], parts)
         network.give(member, PeerReceived(InstanceName("i001"), update))
-    assert len(state.news.passed_on.parts) < 200
+    assert len(state.load_updates.relayed_updates.parts) < 200
--- a/tests/core/fault_world.py
+++ b/tests/core/fault_world.py
@@ -45,7 +45,7 @@
 from turmericweir_core.messages.peer_messages import PeerMessage
 from turmericweir_core.reducers.reducer import new_state, reduce
 from turmericweir_core.state.membership_state import Member
-from turmericweir_core.state.server_table import rebuild
+from turmericweir_core.state.server_table import rebuild_table
 from turmericweir_core.state.state import Identity, State
 
 TARGET: Final = Target("lm")
@@ -156,9 +156,9 @@
         state = new_state(identity, self.options, seed=len(self.states))
         state.config = self.config
         state.settings.config = self.config
-        state.settings.ready = True
+        state.settings.has_been_complete = True
         state.has_settings = True
-        rebuild(state.servers, self.config)
+        rebuild_table(state.servers, self.config)
         self.states[name] = state
         self.introduce()
         return name
@@ -170,7 +170,7 @@
                 if other is not state:
                     me = other.me
                     member = Member(me.name, DATA_CENTRE, me.peer_address, region=REGION)
-                    member.heard_at = float("inf")
+                    member.last_seen_at = float("inf")
                     state.members.by_name[me.name] = member
 
     def event(self, instance: InstanceName, event: Event) -> None:
--- a/tests/core/leases/test_lease.py
+++ b/tests/core/leases/test_lease.py
@@ -12,7 +12,7 @@
 from turmericweir_core.leases import lease_flow
 from turmericweir_core.messages.effects import AppendRecords
 from turmericweir_core.records.lease_record import Act, LeaseRecord, Scope, decode, encode
-from turmericweir_core.state.lease_ledger import Ledger, begin, fold
+from turmericweir_core.state.lease_ledger import LeaseLedger, fold, start_at_end
 
 WAIT_S: Final = OPTIONS.lease_s + OPTIONS.lease_margin_s
 
@@ -76,7 +76,7 @@
     assert fence_after > fence_before
     lease = lease_flow.held(successor.state, world.clock(successor), SCOPE)
     assert lease is not None
-    assert not lease.taken_over
+    assert not lease.is_taken_over
 
 
 def test_successor_waits_for_the_lease_and_margin_of_a_dead_holder() -> None:
@@ -94,7 +94,7 @@
     assert fence_of(world, holder) is None
     lease = lease_flow.held(successor.state, world.clock(successor), SCOPE)
     assert lease is not None
-    assert lease.taken_over
+    assert lease.is_taken_over
 
 
 def test_paused_holder_does_not_renew_after_a_successor() -> None:
@@ -230,7 +230,7 @@
         world.run(0.02, 0.02)
     # The holder is paused right after a renewal, which the successor reads at once.
     holder.paused = True
-    successor.state.leases.read_due = 0.0
+    successor.state.leases.next_read_at = 0.0
     world.run(2 * WAIT_S, 0.02)
     assert world.holders() == [successor]
 
@@ -261,29 +261,29 @@
 
 
 def test_first_of_two_rival_grants_wins_by_its_offset() -> None:
-    ledger = Ledger()
-    begin(ledger, 0, 0.0)
-    assert fold(ledger, 1.0, 0, record(Act.GRANT, 1, 0, "a")).valid
-    assert not fold(ledger, 1.0, 1, record(Act.GRANT, 1, 0, "b")).valid
+    ledger = LeaseLedger()
+    start_at_end(ledger, 0, 0.0)
+    assert fold(ledger, 1.0, 0, record(Act.GRANT, 1, 0, "a")).is_valid
+    assert not fold(ledger, 1.0, 1, record(Act.GRANT, 1, 0, "b")).is_valid
     assert ledger.leases[SCOPE].instance == "a"
     assert ledger.leases[SCOPE].fence == 0
 
 
 def test_renewal_that_lands_after_the_successors_grant_is_void() -> None:
-    ledger = Ledger()
-    begin(ledger, 0, 0.0)
+    ledger = LeaseLedger()
+    start_at_end(ledger, 0, 0.0)
     fold(ledger, 1.0, 0, record(Act.GRANT, 1, 0, "a"))
-    assert fold(ledger, 1.0, 1, record(Act.GRANT, 1, 1, "b")).valid
-    assert not fold(ledger, 1.0, 2, record(Act.RENEW, 2, 1, "a", fence=0)).valid
+    assert fold(ledger, 1.0, 1, record(Act.GRANT, 1, 1, "b")).is_valid
+    assert not fold(ledger, 1.0, 2, record(Act.RENEW, 2, 1, "a", fence=0)).is_valid
     assert ledger.leases[SCOPE].instance == "b"
 
 
 def test_uncertain_release_does_not_free_the_lease() -> None:
-    ledger = Ledger()
-    begin(ledger, 5, 0.0)
+    ledger = LeaseLedger()
+    start_at_end(ledger, 5, 0.0)
     folded = fold(ledger, 1.0, 5, record(Act.RELEASE, 9, 3, "a", fence=0))
-    assert folded.valid
-    assert not folded.sure
+    assert folded.is_valid
+    assert not folded.is_sure
     assert not ledger.leases[SCOPE].released
 
 
@@ -303,8 +303,8 @@
     ],
 )
 def test_malformed_record_is_skipped(value: Any) -> None:
-    ledger = Ledger()
-    begin(ledger, 0, 0.0)
+    ledger = LeaseLedger()
+    start_at_end(ledger, 0, 0.0)
     assert fold(ledger, 1.0, 0, value).record is None
     assert ledger.offset == 1
     assert ledger.leases == {}
--- a/tests/core/leases/test_model_placement.py
+++ b/tests/core/leases/test_model_placement.py
@@ -29,7 +29,7 @@
 )
 from turmericweir_core.leases.order_steps import WantedModel, orders_for_model
 from turmericweir_core.records.lease_record import Scope
-from turmericweir_core.state.model_state import ModelTarget, Usage
+from turmericweir_core.state.model_state import ModelTarget, ModelUsage
 
 SCOPE: Final = Scope("lm", "dc-1")
 OPTIONS: Final = Options()
@@ -63,7 +63,7 @@
     for line in lines:
         if line.startswith("want"):
             for order in orders_for_model(SCOPE, read_want(line), holdings):
-                flags = [" urgent"] * order.urgent + [" follows"] * order.follows
+                flags = [" urgent"] * order.is_urgent + [" follows"] * order.is_follow_up
                 out.append(f"{order.kind} {order.server} {order.label}{''.join(flags)}")
     check_lines(case, out)
 
@@ -92,7 +92,7 @@
     counts: list[int] = []
     for index, use in enumerate(demand):
         now = start + index * OPTIONS.model_round_s
-        note_demand(target, OPTIONS, now, Usage(use))
+        note_demand(target, OPTIONS, now, ModelUsage(use))
         warm = now - start >= OPTIONS.model_warm_s
         choose_count(target, OPTIONS, now, CountInput(bounds, servers, SLOTS, warm, False))
         counts.append(target.count)
@@ -274,7 +274,7 @@
     world.run(1.0)
     plan = next(iter(state.models.plans.values()))
     world.run(10.0)
-    (name,) = plan.targets["big"].chosen
+    (name,) = plan.targets["big"].chosen_servers
     world.engines[name].broken = True
     world.engines[name].loading.clear()
     world.run(SETTLE_S)
--- a/tests/core/lifecycle_script.py
+++ b/tests/core/lifecycle_script.py
@@ -45,7 +45,7 @@
     Tick,
 )
 from turmericweir_core.reducers.reducer import new_state, reduce
-from turmericweir_core.state.server_table import rebuild
+from turmericweir_core.state.server_table import rebuild_table
 from turmericweir_core.state.state import Identity, State
 
 TARGET: Final = Target("lm")
@@ -197,7 +197,7 @@
         servers={entry.name: entry for entry in entries},
     )
     state.settings.config = state.config
-    state.settings.ready = True
+    state.settings.has_been_complete = True
     state.has_settings = True
-    rebuild(state.servers, state.config)
+    rebuild_table(state.servers, state.config)
     return state
--- a/tests/core/limits/test_limit.py
+++ b/tests/core/limits/test_limit.py
@@ -17,7 +17,7 @@
 from turmericweir_core.limits import limit
 from turmericweir_core.limits.limit_home import Division, on_demand, rebalance
 from turmericweir_core.messages.peer_messages import LimitDemand
-from turmericweir_core.state.limit_state import Bucket, Claim, customer_key
+from turmericweir_core.state.limit_state import Bucket, QuantityGrant, customer_key
 from turmericweir_standins.measure_limits import CUSTOMER, LimitWorld
 
 RATE: Final = 40.0
@@ -271,7 +271,9 @@
 ) -> None:
     # Rebalancing grants no more than the pool or the previous total, and leaves no claim starved if
     # there was a free share.
-    claims = [Claim(each, held_share) for each, held_share in zip(demands, granted, strict=False)]
+    claims = [
+        QuantityGrant(each, held_share) for each, held_share in zip(demands, granted, strict=False)
+    ]
     granted_before = sum(each.granted for each in claims)
     division = Division(pool, sum(demands), len(claims))
     rebalance(division, claims, 1.4)
@@ -285,7 +287,7 @@
 def test_a_bucket_admits_at_its_rate_whatever_the_sizes() -> None:
     # A request larger than the bucket is admitted while the level is positive, and the debt is
     # paid before the next one.
-    bucket = Bucket(rate=10.0, depth=5.0, level=1.0, at=0.0)
+    bucket = Bucket(rate=10.0, depth=5.0, level=1.0, refilled_at=0.0)
     bucket.level -= 100.0
     assert bucket.wait_s() == pytest.approx(9.9)
     bucket.refill(9.8)
--- a/tests/core/load_world.py
+++ b/tests/core/load_world.py
@@ -40,7 +40,7 @@
 )
 from turmericweir_core.reducers.reducer import new_state, reduce
 from turmericweir_core.state.membership_state import Member
-from turmericweir_core.state.server_table import rebuild
+from turmericweir_core.state.server_table import rebuild_table
 from turmericweir_core.state.state import Identity, State
 
 MODEL = Target("tailor-lm")
@@ -136,9 +136,9 @@
         state.config = self.config
         # Ticks take the configuration in force from here.
         state.settings.config = self.config
-        state.settings.ready = True
+        state.settings.has_been_complete = True
         state.has_settings = True
-        rebuild(state.servers, self.config)
+        rebuild_table(state.servers, self.config)
         self.states[name] = state
 
     @property
@@ -157,7 +157,7 @@
                 member = state.members.by_name.setdefault(
                     other, Member(other, DATA_CENTRE, f"127.0.0.1:{other}", region="khomas")
                 )
-                member.heard_at = self.now
+                member.last_seen_at = self.now
 
     # --- events ----------------------------------------------------------------------------
 
--- a/tests/core/membership/test_membership.py
+++ b/tests/core/membership/test_membership.py
@@ -25,7 +25,7 @@
     ServerReport,
 )
 from turmericweir_core.messages.peer_messages import Heartbeat, Mark, MarksAsk, SettingsSend, Word
-from turmericweir_core.state.server_table import is_open, note_leaving
+from turmericweir_core.state.server_table import can_take_work, note_leaving
 
 # Longest time until a dead member is removed, with 64 instances as well: the time without progress
 # and the delay of gossip.
@@ -426,7 +426,7 @@
     for name in names:
         node = network.nodes[name]
         node.state.settings.settings.offset = 7 if name == "south-01" else 9
-        node.state.settings.ready = True
+        node.state.settings.has_been_complete = True
 
     def offsets(name: str) -> list[int]:
         return [
@@ -471,14 +471,14 @@
     network, names = network_of_five_centres(2)
     state = network.nodes[names[0]].state
     centre = state.members.centres["south"]
-    assert centre.word is not None
-    newest_status = centre.word
+    assert centre.status_message is not None
+    newest_status = centre.status_message
     old_status = Word("south", newest_status.relay, newest_status.seq - 1, 1, 99, 99)
 
     beat = replace(sent_heartbeats(network, names[1])[0], words=[old_status], seq=100_000)
     network.give(names[0], PeerReceived(InstanceName(names[1]), beat))
 
-    assert centre.word == newest_status
+    assert centre.status_message == newest_status
 
 
 # --- backend servers -------------------------------------------------------------------------
@@ -503,7 +503,7 @@
 def is_engine_open(network: Network, name: str) -> bool:
     state = network.nodes[name].state
     server = state.servers.by_name.get(ENGINE.name)
-    return server is not None and is_open(server, network.now)
+    return server is not None and can_take_work(server, network.now)
 
 
 def is_closed_everywhere(network: Network, names: list[str]) -> bool:
@@ -616,15 +616,15 @@
     notices = [Mark(f"server-{number}", "1", False, 0) for number in range(100)]
     network.give("a", PeerReceived(InstanceName("b"), replace(beat, marks=notices)))
 
-    assert len(state.servers.marks.by_key) == 10
+    assert len(state.servers.leaving_notices.by_key) == 10
     network.run(40.0)
-    assert not state.servers.marks.by_key
-    assert state.servers.marks.digest == 0
+    assert not state.servers.leaving_notices.by_key
+    assert state.servers.leaving_notices.digest == 0
 
     # Notices older than the limit are ignored. Prevents a peer from restoring an expired notice.
     old_beat = replace(beat, seq=2, marks=[Mark("old", "1", False, 31)])
     network.give("a", PeerReceived(InstanceName("b"), old_beat))
-    assert ServerName("old") not in state.servers.marks.incarnations
+    assert ServerName("old") not in state.servers.leaving_notices.incarnations
 
 
 def tag_of(network: Network) -> int:
@@ -778,5 +778,7 @@
     world.run(12.0)
 
     assert world.network.agree(alive, alive)
-    digests = {world.network.nodes[peer_name].state.servers.marks.digest for peer_name in alive}
+    digests = {
+        world.network.nodes[peer_name].state.servers.leaving_notices.digest for peer_name in alive
+    }
     assert len(digests) <= 1
--- a/tests/core/model_world.py
+++ b/tests/core/model_world.py
@@ -171,7 +171,7 @@
         _set_config(state, self.config(*wants) if wants else self.states[0].config)
         peers = tuple(other.me.peer_address for other in self.states)
         # Represents all instances that send requests; it is listed but never live.
-        callers = Member(CALLERS, DATA_CENTRE, "10.0.0.2:1", told_at=float("inf"))
+        callers = Member(CALLERS, DATA_CENTRE, "10.0.0.2:1", reported_at=float("inf"))
         state.members.by_name[CALLERS] = callers
         self.states.append(state)
         self.handle(state, SeedsGiven(peers))
@@ -316,5 +316,5 @@
 def _set_config(state: State, config: Config) -> None:
     state.config = config
     state.settings.config = config
-    state.settings.ready = True
+    state.settings.has_been_complete = True
     state.has_settings = True
--- a/tests/core/placement/test_placement.py
+++ b/tests/core/placement/test_placement.py
@@ -21,7 +21,7 @@
 from turmericweir_core.state import prefix
 from turmericweir_core.state.membership_state import RemoteCentre
 from turmericweir_core.state.prefix import PrefixMap
-from turmericweir_core.state.server_table import rebuild
+from turmericweir_core.state.server_table import rebuild_table
 from turmericweir_core.state.state import Identity, State
 
 OPTIONS = Options()
@@ -45,7 +45,7 @@
         service_by_target={MODEL: service},
         servers=entries,
     )
-    rebuild(state.servers, state.config)
+    rebuild_table(state.servers, state.config)
     return state
 
 
--- a/tests/core/placement/test_predicted_admission.py
+++ b/tests/core/placement/test_predicted_admission.py
@@ -12,7 +12,7 @@
 from turmericweir_core.messages.effects import FinishRequest, Log, StartAttempt
 from turmericweir_core.messages.events import EndComplete
 from turmericweir_core.messages.peer_messages import DemandRow, LoadNews
-from turmericweir_core.state.pool_state import Split
+from turmericweir_core.state.pool_state import EngineSplit
 
 # Events of three tokens; with 50 ms between them, 300 tokens take 5 s.
 GAP_S: Final = 0.05
@@ -113,8 +113,8 @@
     """Guards against spreading the wait over engines that do not serve the request."""
     world = StoreWorld(engines=5)
     world.wait(0.05)
-    split = world.state.pools.splits[MODEL] = Split(reading=1, quick_first=True)
-    split.settings = world.state.config.offset
+    split = world.state.pools.splits[MODEL] = EngineSplit(prefill_count=1, is_short_first=True)
+    split.cached_settings = world.state.config.offset
     demand = [DemandRow(MODEL, 500, 3_500, None)]
     for number in range(14):
         world.wait(0.05)
--- a/tests/core/placement/test_straggler.py
+++ b/tests/core/placement/test_straggler.py
@@ -20,7 +20,7 @@
 from turmericweir_core.messages.events import CallerLeft, EndCancelled
 from turmericweir_core.placement.dispatch import cancel
 from turmericweir_core.state import concurrency, straggler
-from turmericweir_core.state.concurrency import LimitState
+from turmericweir_core.state.concurrency import ConcurrencyLimits
 from turmericweir_core.state.straggler import StragglerState
 
 OPTIONS = Options()
@@ -166,7 +166,7 @@
     for number, gap in enumerate(gaps):
         pace = straggler.ServerPace("lm", gap_s=gap, samples=99)
         state.by_server[ServerName(f"s{number}")] = pace
-    straggler.judge_all(state, OPTIONS, 1.0)
+    straggler.update_weights(state, OPTIONS, 1.0)
     normal_servers = sum(1 for pace in state.by_server.values() if pace.weight == 1.0)
     assert 2 * normal_servers >= len(gaps)
 
@@ -384,8 +384,8 @@
     for running in list(bench.world.running.values()):
         if running.server != S0:
             bench.world.end(running)
-    for server in [each for each in bench.world.first.credits.held if each != S0]:
-        del bench.world.first.credits.held[server]
+    for server in [each for each in bench.world.first.credits.held_by_server if each != S0]:
+        del bench.world.first.credits.held_by_server[server]
     bench.gap_s[S0] = 0.1
     bench.run(0.5)
     assert bench.moved() == [name]
@@ -452,7 +452,7 @@
 
 def test_plain_limit_follows_latency() -> None:
     """Guards against a limit that does not follow the latency of plain calls."""
-    state = LimitState()
+    state = ConcurrencyLimits()
     now = 0.0
     for _ in range(100):
         now += 0.1
@@ -471,7 +471,7 @@
 
 def test_engine_limit_keeps_the_promised_gap() -> None:
     """Guards against a limit that ignores late tokens, or falls below its floor."""
-    state = LimitState()
+    state = ConcurrencyLimits()
     now = 0.0
     for _ in range(100):
         now += OPTIONS.limit_adjust_s
@@ -485,7 +485,7 @@
 
 def test_engine_limit_keeps_the_promised_first_token() -> None:
     """Guards against a limit that ignores late first tokens."""
-    state = LimitState()
+    state = ConcurrencyLimits()
     now = 0.0
     for _ in range(20):
         now += OPTIONS.limit_adjust_s
@@ -498,7 +498,7 @@
 @given(st.lists(st.floats(0.001, 100.0), max_size=60), st.integers(1, 64))
 def test_limit_stays_in_its_bounds(latencies: list[float], slots: int) -> None:
     """Guards against a limit below one request or above the server's slots."""
-    state = LimitState()
+    state = ConcurrencyLimits()
     for number, latency in enumerate(latencies):
         concurrency.note_latency(state, OPTIONS, float(number), S0, slots, latency)
         assert 1 <= concurrency.limited_slots(state, S0, slots) <= slots
--- a/tests/core/requests/test_lifecycle.py
+++ b/tests/core/requests/test_lifecycle.py
@@ -280,6 +280,6 @@
             break
     assert all(len(each.accounts) == 1 for each in environment.observed_requests.values())
     assert not environment.state.queues.index
-    assert not environment.state.quarantine.held
-    assert not environment.state.quarantine.own
+    assert not environment.state.quarantine.waiting_suspects
+    assert not environment.state.quarantine.isolated_runs
     assert not any(server.in_flight for server in environment.state.servers.by_name.values())
--- a/tests/core/settings/test_settings_inforce.py
+++ b/tests/core/settings/test_settings_inforce.py
@@ -27,7 +27,7 @@
         InstanceName("b-9"),
         "b",
         "127.0.0.1:1",
-        heard_at=heard_at,
+        last_seen_at=heard_at,
         leaving=leaving,
         settings_offset=offset,
     )
--- a/tests/core/settings/test_settings_sync.py
+++ b/tests/core/settings/test_settings_sync.py
@@ -185,7 +185,7 @@
     def show(self) -> str:
         """Return a description of the instance in one line."""
         paths = " ".join(f"{path}@{it.version}" for path, it in self.sync.settings.entries.items())
-        ready = "ready" if self.sync.ready else "not ready"
+        ready = "ready" if self.sync.has_been_complete else "not ready"
         config = self.sync.config.offset
         return f"at {self.sync.settings.offset}, {ready}, config of {config}: {paths}".rstrip(": ")
 
--- a/tests/core/store/test_document.py
+++ b/tests/core/store/test_document.py
@@ -85,7 +85,7 @@
     world = StoreWorld()
     peer = add_peer(world)
     world.now += 3.5
-    world.state.members.by_name[peer].heard_at = world.now
+    world.state.members.by_name[peer].last_seen_at = world.now
     asks = [effect for effect in world.wait(0.1) if isinstance(effect, SendDatagram)]
     (ask,) = [effect.message for effect in asks if isinstance(effect.message, DocumentAsk)]
     asked_at = world.now
--- a/tests/core/store/test_registry.py
+++ b/tests/core/store/test_registry.py
@@ -191,7 +191,7 @@
     world.give(
         ListRead((), (ListedInstance(InstanceName("a-2"), "dc-a", "127.0.0.1:2", "x", False),))
     )
-    world.state.members.by_name[InstanceName("a-2")].heard_at = world.now
+    world.state.members.by_name[InstanceName("a-2")].last_seen_at = world.now
     world.state.members.by_name[InstanceName("a-2")].region = "home"
     entry: ServerEntry = world.entries[0]
     effects = world.give(RegistryRead(((entry, 20),)))
--- a/tests/core/store_world.py
+++ b/tests/core/store_world.py
@@ -130,7 +130,7 @@
         member = Member(
             member_name, "dc-a", f"127.0.0.1:{sum(map(ord, name))}", region="home", seq=1
         )
-        member.heard_at = self.now
+        member.last_seen_at = self.now
         self.state.members.by_name[member_name] = member
         return member_name
 
--- a/tests/core/trust/test_quarantine.py
+++ b/tests/core/trust/test_quarantine.py
@@ -156,9 +156,9 @@
     server = world.runs[0][1]
     world.break_all(server, alive=False)
     world.tick()
-    assert "bystander" in world.states[next(iter(world.states))].quarantine.counts
+    assert "bystander" in world.states[next(iter(world.states))].quarantine.crash_counts
     world.advance(2.0)
-    assert not world.states[next(iter(world.states))].quarantine.counts
+    assert not world.states[next(iter(world.states))].quarantine.crash_counts
     world.advance_until_done()
     assert world.outcome("bystander") == COMPLETED
 
@@ -196,7 +196,7 @@
     while not state.quarantine.crashes:
         assert world.now < 110.0, "the crash was not noticed"
         world.tick()
-    assert state.quarantine.counts == {"one": 1}
+    assert state.quarantine.crash_counts == {"one": 1}
 
 
 def test_delayed_report_from_before_the_crash() -> None:
@@ -211,7 +211,7 @@
     world.servers[name].incarnation += 1
     state = world.states[next(iter(world.states))]
     world.tick()
-    assert state.quarantine.counts == {"one": 1}
+    assert state.quarantine.crash_counts == {"one": 1}
 
 
 def test_broken_connection_of_a_live_server() -> None:
@@ -247,7 +247,7 @@
     world.advance(3 * world.options.tick_s)
     assert not world.attempts("one")
     world.advance(0.6)
-    assert world.states[run.instance].quarantine.counts == {"one": 1}
+    assert world.states[run.instance].quarantine.crash_counts == {"one": 1}
 
 
 def test_broken_connection_without_other_streams() -> None:
@@ -277,7 +277,7 @@
     tokens = state.retries.tokens
     world.crash(attempt.server, "one", alive=True)
     world.tick()
-    assert state.quarantine.counts == {"one": 1}
+    assert state.quarantine.crash_counts == {"one": 1}
     assert state.retries.tokens == tokens
     world.advance_until_done()
     assert world.outcome("one") == COMPLETED
@@ -291,9 +291,9 @@
     world.tick()
     world.crash(world.runs[0][1], alive=True)
     state = world.states[next(iter(world.states))]
-    assert not state.quarantine.counts
+    assert not state.quarantine.crash_counts
     world.advance(0.2)
-    assert state.quarantine.counts == {"one": 1}
+    assert state.quarantine.crash_counts == {"one": 1}
 
 
 def test_broken_connections_before_the_first_report() -> None:
@@ -321,7 +321,7 @@
     world.advance(0.3)
     for state in world.states.values():
         assert list(state.quarantine.crashes) == [CrashKey(ServerName("s0"), "1")]
-        assert state.quarantine.counts == {"bystander": 1}
+        assert state.quarantine.crash_counts == {"bystander": 1}
 
 
 def test_sent_to_a_server_that_has_just_crashed() -> None:
@@ -337,7 +337,7 @@
     world.arrive("late", instance=1)
     world.advance(0.3)
     for state in world.states.values():
-        assert state.quarantine.counts == {"in flight": 1}
+        assert state.quarantine.crash_counts == {"in flight": 1}
 
 
 def test_copy_sent_to_a_server_that_the_other_has_just_crashed() -> None:
@@ -353,7 +353,7 @@
     world.arrive("late", instance=1, fingerprint=POISON)
     world.advance(0.3)
     for state in world.states.values():
-        assert state.quarantine.counts == {POISON: 1}
+        assert state.quarantine.crash_counts == {POISON: 1}
 
 
 def test_one_suspect_at_a_time_on_a_server() -> None:
--- a/tests/core/trust/test_retry_window.py
+++ b/tests/core/trust/test_retry_window.py
@@ -20,7 +20,7 @@
     for _ in range(12):
         world.now += 0.5
         for member in world.state.members.by_name.values():
-            member.heard_at = world.now
+            member.last_seen_at = world.now
         retry.on_tick(world.state, world.now)
 
 
--- a/tests/ctl/fake_daemon.py
+++ b/tests/ctl/fake_daemon.py
@@ -158,7 +158,7 @@
     def _report_centre(self, data_centre: str, offset: int, age_s: float) -> None:
         status = Word(data_centre, relay=1, seq=1, members_hash=1, live=2, settings_offset=offset)
         heard_at = anyio.current_time() - age_s
-        centre = RemoteCentre(data_centre, heard_at=heard_at, word=status)
+        centre = RemoteCentre(data_centre, last_seen_at=heard_at, status_message=status)
         self.node.state.members.centres[data_centre] = centre
 
 
