--- a/packages/turmericweir-core/turmericweir_core/base/config.py
+++ b/packages/turmericweir-core/turmericweir_core/base/config.py
@@ -14,14 +14,14 @@
 from turmericweir_core.base.routes import RouteTable
 
 
-class Kind(StrEnum):
+class ServiceKind(StrEnum):
     """The kind of traffic that a service handles."""
 
     MODEL = "model"
     PLAIN = "plain"
 
 
-class Policy(StrEnum):
+class PlacementPolicy(StrEnum):
     """How servers are selected; see docs/design/placement.md."""
 
     # First come, first served, round robin, without classes; the reference for measurements.
@@ -88,11 +88,11 @@
     service_class: str | None = None
 
 
-class Capacity(Struct, frozen=True):
+class CapacityBounds(Struct, frozen=True):
     """Bounds and prices for ordering servers of a service; the bounds apply per data centre."""
 
-    least: int
-    most: int
+    servers_min: int
+    servers_max: int
     # Time from an order until the new server accepts requests.
     boot_s: float
     # Price of a server per second, by data centre.
@@ -105,7 +105,7 @@
     """A group of interchangeable backend servers."""
 
     name: str
-    kind: Kind
+    kind: ServiceKind
     # Names of the models that its servers may serve; empty for plain services.
     models: tuple[str, ...] = ()
     # The first match applies; calls without a match are repeatable only if the method is safe.
@@ -126,7 +126,7 @@
     # Path of the health check of a server; empty if it has none.
     health_path: str = ""
     # None if turmericweir does not order the servers of this service.
-    capacity: Capacity | None = None
+    capacity: CapacityBounds | None = None
 
 
 class ServerEntry(Struct, frozen=True, array_like=True):
@@ -155,7 +155,7 @@
     idle_s: float = 75.0
 
 
-class ModelWant(Struct, frozen=True):
+class ModelReplicas(Struct, frozen=True):
     """How many servers of a service should have a model loaded."""
 
     model: str
@@ -186,9 +186,9 @@
     # Service by model name or plain service name.
     service_by_target: dict[Target, Service] = field(default_factory=dict)
     servers: dict[ServerName, ServerEntry] = field(default_factory=dict)
-    wants: dict[str, ModelWant] = field(default_factory=dict)
+    model_replicas: dict[str, ModelReplicas] = field(default_factory=dict)
     operators: dict[str, Operator] = field(default_factory=dict)
-    policy: Policy = Policy.COUNTS
+    policy: PlacementPolicy = PlacementPolicy.COUNTS
     routes: RouteTable = field(default_factory=RouteTable)
     # Whether requests on non-public routes need the key of a customer.
     keys_required: bool = False
--- a/packages/turmericweir-core/turmericweir_core/base/ids.py
+++ b/packages/turmericweir-core/turmericweir_core/base/ids.py
@@ -15,11 +15,11 @@
 Target = NewType("Target", str)
 
 
-def request_of(name: AttemptId) -> RequestId:
+def request_id_of(name: AttemptId) -> RequestId:
     """Return the id of the request that an attempt belongs to."""
     return RequestId(name.rpartition(".")[0])
 
 
-def attempt_id(request_id: RequestId, number: int) -> AttemptId:
+def make_attempt_id(request_id: RequestId, number: int) -> AttemptId:
     """Return the id of a request's attempt with the given number."""
     return AttemptId(f"{request_id}.{number}")
--- a/packages/turmericweir-core/turmericweir_core/base/model_label.py
+++ b/packages/turmericweir-core/turmericweir_core/base/model_label.py
@@ -23,19 +23,19 @@
         adapter = f"+{self.adapter}" if self.adapter else ""
         return f"{self.model}{version}{adapter}"
 
-    def is_of(self, model: str, version: str) -> bool:
+    def is_model_version(self, model: str, version: str) -> bool:
         """Return whether this is the given version of a model, without an adapter."""
         own_version = self.version or FIRST_VERSION
         return self.model == model and not self.adapter and own_version == version
 
 
-def parse_label(text: str) -> ModelLabel:
+def parse_model_label(text: str) -> ModelLabel:
     """Parse a label into its parts."""
     versioned, _, adapter = text.partition("+")
     model, _, version = versioned.partition("@")
     return ModelLabel(model, version, adapter)
 
 
-def bare_name(text: str) -> str:
+def label_model_name(text: str) -> str:
     """Return the model name of a label, without version and adapter."""
     return text.partition("+")[0].partition("@")[0]
--- a/packages/turmericweir-core/turmericweir_core/base/request.py
+++ b/packages/turmericweir-core/turmericweir_core/base/request.py
@@ -6,7 +6,7 @@
 
 from msgspec import Struct, field
 
-from turmericweir_core.base.config import Kind, ServiceClass
+from turmericweir_core.base.config import ServiceClass, ServiceKind
 from turmericweir_core.base.ids import AttemptId, RequestId, ServerName, Target
 
 
@@ -17,7 +17,7 @@
     # The deadline passed before the answer began.
     DEADLINE = "deadline"
     # The connection or the server became unresponsive.
-    SILENT = "silent"
+    UNRESPONSIVE = "silent"
     # New connections to the server fail, and it was unresponsive all that time.
     SERVER_DEAD = "server_dead"
     # The server has become slow, and another one has free capacity.
@@ -28,7 +28,7 @@
     QUARANTINED = "quarantined"
 
 
-class Phase(StrEnum):
+class RequestPhase(StrEnum):
     """The phase of a request."""
 
     # Waiting for the claim of its idempotency key.
@@ -46,7 +46,7 @@
 
     attempt_id: AttemptId
     server: ServerName
-    started: float
+    started_at: float
     # The tier that it runs at: the tier of the request, or the most urgent one if the attempt uses
     # the assured share of its class.
     tier: int = 0
@@ -55,18 +55,18 @@
     # Set just before the first byte is sent; until then the server cannot have started.
     sent: bool = False
     # It was sent over a connection that was reused from an earlier request.
-    kept_connection: bool = False
+    reused_connection: bool = False
     # Tokens received in this attempt.
     tokens: int = 0
     first_token_at: float | None = None
     last_token_at: float | None = None
     # A longer gap between tokens counts as late: the target of its class, if it has one.
-    gap_late_s: float = float("inf")
+    late_gap_s: float = float("inf")
     # Number of consecutive late gaps.
-    late_gaps: int = 0
+    consecutive_late_gaps: int = 0
     # The longest time between tokens since the previous tick, and since the first token.
-    longest_gap: float = 0.0
-    worst_gap: float = 0.0
+    tick_max_gap_s: float = 0.0
+    max_gap_s: float = 0.0
     # Why the reducer cancelled it; the end of the attempt is still awaited.
     cancelled: CancelReason | None = None
     # The pool whose accounting includes this attempt, and the work counted for it there.
@@ -81,13 +81,13 @@
     """A request that this instance accepted from a caller."""
 
     request_id: RequestId
-    kind: Kind
+    kind: ServiceKind
     # Name of the model or plain service.
     target: Target
     customer: str
     team: str
     service_class: ServiceClass
-    arrived: float
+    arrived_at: float
     # Time after which an answer that has not begun is useless to the caller.
     deadline: float
     # May be run more than once. True for model calls; set by the service for plain calls.
@@ -105,7 +105,7 @@
     expected_tokens: int | None = None
     # The answer is streamed to the caller as it arrives.
     streamed: bool = False
-    phase: Phase = Phase.WAITING
+    phase: RequestPhase = RequestPhase.WAITING
     attempt: Attempt | None = None
     # Number of attempts so far, including those that were never sent.
     attempts: int = 0
@@ -119,16 +119,16 @@
     # Work counted for it while it waits; fixed when it is queued to keep the sums consistent.
     queued_cost: float = 0.0
     # Attempts that were preempted by more urgent tiers; these are not failures.
-    displaced: int = 0
+    displaced_attempts: int = 0
     # It was moved off a slow server once; it is not moved again.
-    moved: bool = False
+    was_moved: bool = False
     # It was counted among the requests that servers started.
     is_metered: bool = False
     # The caller closed the connection; the request continues only to produce its account.
     caller_left: bool = False
     # One of its attempts became unresponsive. The next attempts use new connections, as other idle
     # ones may be broken for the same reason.
-    went_silent: bool = False
+    had_unresponsive_attempt: bool = False
     # Whether the customer was identified by a key, which may be revoked.
     keyed: bool = False
     # Parts of the prompt in order, each with its token count; an engine skips the prefill of
@@ -137,16 +137,16 @@
     # Number of servers that may run it; None uses the limit of the options.
     sends_max: int | None = None
     # Attempts that were sent, except those that the server reported as not run.
-    sends: int = 0
+    sent_attempts: int = 0
     # Latest time of the final answer to the caller, whatever is still running; None for no limit.
     end_by: float | None = None
     # Servers that failed this request; avoided while others are available.
-    avoid: set[ServerName] = field(default_factory=set)
+    failed_servers: set[ServerName] = field(default_factory=set)
 
     @property
-    def tries(self) -> int:
+    def counted_attempts(self) -> int:
         """Return the number of attempts without the preempted ones, which are not failures."""
-        return self.attempts - self.displaced
+        return self.attempts - self.displaced_attempts
 
     @property
     def priority(self) -> int:
--- a/packages/turmericweir-core/turmericweir_core/base/routes.py
+++ b/packages/turmericweir-core/turmericweir_core/base/routes.py
@@ -52,19 +52,19 @@
     """All routes of one version of the settings."""
 
     # By host and path prefix.
-    by_place: dict[tuple[str, str], Route] = field(default_factory=dict)
+    by_host_and_prefix: dict[tuple[str, str], Route] = field(default_factory=dict)
 
-    def find(self, host: str, path: str) -> Route | None:
+    def find_route(self, host: str, path: str) -> Route | None:
         """Return the route with the longest matching prefix of a path."""
         slash = len(path)
         while (slash := path.rfind("/", 0, slash)) >= 0:
-            route = self.by_place.get((host, path[: slash + 1]))
+            route = self.by_host_and_prefix.get((host, path[: slash + 1]))
             if route is not None:
                 return route
         return None
 
 
-def make_table(routes: Iterable[Route]) -> RouteTable:
+def build_route_table(routes: Iterable[Route]) -> RouteTable:
     """Return a table of the routes; the first of several with the same host and prefix applies."""
     table: dict[tuple[str, str], Route] = {}
     for route in routes:
--- a/packages/turmericweir-core/turmericweir_core/base/store_times.py
+++ b/packages/turmericweir-core/turmericweir_core/base/store_times.py
@@ -35,26 +35,26 @@
     settings_read_s: float = 0.7
     # Age of the proof at which the first instance reads by itself, and the time until the last one
     # does.
-    settings_late_s: float = 1.6
-    settings_spread_s: float = 0.3
+    settings_fallback_s: float = 1.6
+    settings_fallback_spread_s: float = 0.3
     # The same for the entries of servers.
     servers_read_s: float = 0.9
-    servers_late_s: float = 1.15
-    servers_spread_s: float = 0.4
+    servers_fallback_s: float = 1.15
+    servers_fallback_spread_s: float = 0.4
     # Callers are denied only by settings with a proof that is not older than this.
-    deny_proof_s: float = 2.5
+    deny_proof_max_age_s: float = 2.5
 
 
-def store_times(settings_bound_s: float, drain_bound_s: float) -> StoreTimes:
+def derive_store_times(settings_bound_s: float, drain_bound_s: float) -> StoreTimes:
     """Return the times for the given bounds on settings and on leaving servers."""
     settings_read_s = _SETTINGS_READ_SHARE * settings_bound_s
     servers_read_s = min(_SERVERS_READ_MAX_S, _SERVERS_READ_SHARE * drain_bound_s)
     return StoreTimes(
         settings_read_s=settings_read_s,
-        settings_late_s=settings_read_s + _SETTINGS_PROPAGATION_S,
-        settings_spread_s=_SETTINGS_SPREAD_SHARE * settings_bound_s,
+        settings_fallback_s=settings_read_s + _SETTINGS_PROPAGATION_S,
+        settings_fallback_spread_s=_SETTINGS_SPREAD_SHARE * settings_bound_s,
         servers_read_s=servers_read_s,
-        servers_late_s=servers_read_s + _SERVERS_PROPAGATION_S,
-        servers_spread_s=_SERVERS_SPREAD_SHARE * drain_bound_s,
-        deny_proof_s=max(_DENY_PROOF_MIN_S, _DENY_PROOF_SHARE * settings_bound_s),
+        servers_fallback_s=servers_read_s + _SERVERS_PROPAGATION_S,
+        servers_fallback_spread_s=_SERVERS_SPREAD_SHARE * drain_bound_s,
+        deny_proof_max_age_s=max(_DENY_PROOF_MIN_S, _DENY_PROOF_SHARE * settings_bound_s),
     )
--- a/packages/turmericweir-core/turmericweir_core/base/tiers.py
+++ b/packages/turmericweir-core/turmericweir_core/base/tiers.py
@@ -9,7 +9,7 @@
 from turmericweir_core.base.config import Config, ServiceClass
 
 
-def most_urgent(config: Config) -> int:
+def most_urgent_configured_tier(config: Config) -> int:
     """Return the most urgent tier that is configured."""
     return min((each.priority for each in config.classes.values()), default=0)
 
@@ -29,13 +29,13 @@
     return shares
 
 
-def rank_of(service_class: ServiceClass) -> int:
+def scheduling_rank(service_class: ServiceClass) -> int:
     """Return the scheduling rank of a class at the servers; lower ranks go first."""
     rank = service_class.rank
     return service_class.priority if rank is None else rank
 
 
-def with_ranks(classes: Iterable[ServiceClass], ranks: int) -> list[ServiceClass]:
+def assign_ranks(classes: Iterable[ServiceClass], ranks: int) -> list[ServiceClass]:
     """Return the classes with ranks from 0 to `ranks` - 1, by priority and then by target.
 
     Within one priority the shorter target goes first, which prevents a short request with a tight
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_end.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_end.py
@@ -12,14 +12,14 @@
 from turmericweir_core.claims.claim_peer import kept_message
 from turmericweir_core.claims.claim_vote import known_holder, release
 from turmericweir_core.messages.effects import Effect
-from turmericweir_core.records.claim_answer import KeptAnswer, KeptEnd, keep_end
+from turmericweir_core.records.claim_answer import StoredAnswer, StoredEnd, store_end
 from turmericweir_core.records.claim_record import ClaimEnd, EndRecord
 from turmericweir_core.state.claim_state import drop_wait
 from turmericweir_core.state.state import State
 
 
 def note_finished(
-    state: State, now: float, account: Account, answer: KeptAnswer | None
+    state: State, now: float, account: Account, answer: StoredAnswer | None
 ) -> list[Effect]:
     """Release the key of a request that never ran; store and send the end of one that ran."""
     claims = state.claims
@@ -36,8 +36,8 @@
         claims.remote_waiters.pop(request_id, None)
         return release(state, request_id, key)
     end = ClaimEnd(account.outcome, account.reason, account.status)
-    kept_end = KeptEnd(end, answer)
-    keep_end(claims.answers, state.options, request_id, kept_end)
+    kept_end = StoredEnd(end, answer)
+    store_end(claims.answers, state.options, request_id, kept_end)
     put_end(claims.outbox, state.options, now, request_id, EndRecord(key, request_id, end))
     askers = claims.remote_waiters.pop(request_id, [])
     return [kept_message(state, asker, request_id, kept_end) for asker in askers]
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
@@ -13,7 +13,7 @@
 from turmericweir_core.claims.claim_outbox import flush, is_log_slow, writer_of
 from turmericweir_core.membership.membership import is_live, live_instances
 from turmericweir_core.messages.effects import Effect
-from turmericweir_core.records.claim_record import NO_VIEW, Writer
+from turmericweir_core.records.claim_record import NO_VIEW, RecordWriter
 from turmericweir_core.state.claim_view import View, is_member
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.state import State
@@ -121,7 +121,7 @@
     return not state.claims.waits and not state.claims.held_keys and not state.claims.outbox.claims
 
 
-def _next_members(state: State, now: float, view: View) -> tuple[Writer, ...]:
+def _next_members(state: State, now: float, view: View) -> tuple[RecordWriter, ...]:
     live: dict[str, Member] = {each.name: each for each in live_instances(state, now)}
     claims = state.claims
     claims.live_before = (claims.live_before & {each.incarnation for each in view.members}) | {
@@ -143,11 +143,11 @@
     return tuple(sorted(writers.values(), key=lambda each: each.incarnation))
 
 
-def _writer_of_member(member: Member) -> Writer:
-    return Writer(member.name, member.incarnation, member.peer_address)
+def _writer_of_member(member: Member) -> RecordWriter:
+    return RecordWriter(member.name, member.incarnation, member.peer_address)
 
 
-def _is_present(state: State, now: float, writer: Writer, live: Member | None) -> bool:
+def _is_present(state: State, now: float, writer: RecordWriter, live: Member | None) -> bool:
     """Return whether a member is live or has recently written to the log."""
     quiet_members = state.claims.unresponsive_members
     if live is not None:
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
@@ -18,15 +18,15 @@
 from turmericweir_core.records.claim_record import (
     CLAIMS_STREAM,
     AgreedClaim,
-    Batch,
     CarriedClaim,
+    ClaimBatch,
     EndRecord,
     NewClaim,
+    RecordWriter,
     ViewChange,
     Withdrawal,
-    Writer,
     encode,
-    time_of,
+    uuid7_time_ms,
 )
 from turmericweir_core.state.claim_clock import clocks_for_record
 from turmericweir_core.state.claim_ledger import Claim, floor_of
@@ -40,7 +40,7 @@
 def put_claim(outbox: Outbox, request_id: RequestId, claim: NewClaim) -> None:
     """Queue a claim for writing."""
     outbox.claims[request_id] = claim
-    outbox.clock_ms = max(outbox.clock_ms, time_of(request_id))
+    outbox.clock_ms = max(outbox.clock_ms, uuid7_time_ms(request_id))
 
 
 def put_withdrawal(
@@ -71,7 +71,7 @@
     return any(_has_claim(batch, request_id) for batch in outbox.acknowledged_appends.values())
 
 
-def _has_claim(batch: Batch, request_id: RequestId) -> bool:
+def _has_claim(batch: ClaimBatch, request_id: RequestId) -> bool:
     return any(claim.request_id == request_id for claim in batch.claims)
 
 
@@ -146,12 +146,12 @@
     return bool(outbox.claims) or is_delay_over or is_requested
 
 
-def writer_of(state: State) -> Writer:
+def writer_of(state: State) -> RecordWriter:
     """Return this process as a writer of the log."""
-    return Writer(state.me.name, state.me.incarnation, state.me.peer_address)
+    return RecordWriter(state.me.name, state.me.incarnation, state.me.peer_address)
 
 
-def _compose_batch(state: State) -> Batch:
+def _compose_batch(state: State) -> ClaimBatch:
     claims = state.claims
     outbox = claims.outbox
     landed = outbox.acknowledged_appends.values()
@@ -162,7 +162,7 @@
     ended |= set(outbox.claims)
     view = claims.ledger.views.current
     includes_view = (outbox.needs_carry or outbox.needs_floor) and view is not None and view.members
-    return Batch(
+    return ClaimBatch(
         writer=writer_of(state),
         number=outbox.number + 1,
         at_ms=outbox.clock_ms,
@@ -193,7 +193,7 @@
     if members is None or view is None:
         return None
     agreed = tuple(
-        AgreedClaim(vote.claim, vote.holder, time_of(vote.claim.request_id))
+        AgreedClaim(vote.claim, vote.holder, uuid7_time_ms(vote.claim.request_id))
         for vote in claims.votes.values()
     )
     return ViewChange(view.epoch, members, agreed, claims.outbox.is_replacement)
@@ -217,7 +217,7 @@
     )
 
 
-def _is_empty(batch: Batch) -> bool:
+def _is_empty(batch: ClaimBatch) -> bool:
     has_entries = batch.carried or batch.withdrawn or batch.ends or batch.claims
     return not (has_entries or batch.members or batch.join or batch.change)
 
@@ -236,7 +236,7 @@
     return True
 
 
-def _record_sent(state: State, now: float, batch: Batch) -> None:
+def _record_sent(state: State, now: float, batch: ClaimBatch) -> None:
     outbox = state.claims.outbox
     outbox.in_flight = batch
     outbox.in_flight_at = now
@@ -258,7 +258,7 @@
             wait.is_claim_sent = True
 
 
-def on_done(state: State, event: AppendDone) -> Batch | None:
+def on_done(state: State, event: AppendDone) -> ClaimBatch | None:
     """Record a successful append; return its batch unless it was already read."""
     outbox = state.claims.outbox
     batch = outbox.in_flight
@@ -266,7 +266,7 @@
         return None
     outbox.in_flight = None
     outbox.failures = 0
-    if event.first < state.claims.ledger.offset:
+    if event.first_offset < state.claims.ledger.offset:
         return None
     outbox.acknowledged_appends[batch.number] = batch
     return batch
@@ -281,7 +281,7 @@
     batch = outbox.in_flight
     if batch is None or now - outbox.in_flight_at < state.options.claim_call_s:
         return []
-    failed = AppendFailed(CLAIMS_STREAM, str(batch.number), "never answered", maybe=True)
+    failed = AppendFailed(CLAIMS_STREAM, str(batch.number), "never answered", may_have_applied=True)
     return on_failed(state, now, failed)
 
 
@@ -320,7 +320,7 @@
     return [ReadLog(CLAIMS_STREAM, claims.ledger.offset)]
 
 
-def note_read_back(outbox: Outbox, batch: Batch, *, valid: bool) -> None:
+def note_read_back(outbox: Outbox, batch: ClaimBatch, *, valid: bool) -> None:
     """Remove the entries of a local record that was read back, unless the record is void."""
     outbox.acknowledged_appends.pop(batch.number, None)
     if not valid:
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
@@ -14,7 +14,7 @@
 from turmericweir_core.base.reasons import Reason
 from turmericweir_core.messages.effects import Effect, SendPeer
 from turmericweir_core.messages.peer_messages import ClaimAsk, ClaimKept, ClaimOpen, ClaimUnheld
-from turmericweir_core.records.claim_answer import KeptAnswer, KeptEnd
+from turmericweir_core.records.claim_answer import StoredAnswer, StoredEnd
 from turmericweir_core.records.claim_record import ClaimEnd
 from turmericweir_core.state.claim_state import RemoteWaiter, Wait
 from turmericweir_core.state.state import State
@@ -43,7 +43,7 @@
     return [_reply(asker, ClaimUnheld(ask.waiter, ask.holder, state.claims.ledger.offset))]
 
 
-def kept_message(state: State, asker: RemoteWaiter, holder: str, kept_end: KeptEnd) -> Effect:
+def kept_message(state: State, asker: RemoteWaiter, holder: str, kept_end: StoredEnd) -> Effect:
     """Return the message that reports the end of a call to an asker."""
     answer = kept_end.answer
     message = ClaimKept(
@@ -79,14 +79,14 @@
     return [SendPeer(InstanceName(peer), address, ask)]
 
 
-def end_told(message: ClaimKept) -> KeptEnd | None:
+def end_told(message: ClaimKept) -> StoredEnd | None:
     """Return the end that a message reports, or None if this release does not know its values."""
     try:
         end = ClaimEnd(Outcome(message.outcome), Reason(message.reason), message.status)
     except ValueError:
         return None
     if not message.has_answer or message.status is None:
-        return KeptEnd(end, None)
+        return StoredEnd(end, None)
     try:
         headers = tuple(
             (name.encode(HEADER_ENCODING), value.encode(HEADER_ENCODING))
@@ -94,8 +94,8 @@
         )
         body = b64decode(message.body, validate=True)
     except ValueError:
-        return KeptEnd(end, None)
-    return KeptEnd(end, KeptAnswer(message.status, headers, body))
+        return StoredEnd(end, None)
+    return StoredEnd(end, StoredAnswer(message.status, headers, body))
 
 
 def _decode_header(part: bytes) -> str:
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
@@ -23,7 +23,7 @@
 from turmericweir_core.claims.claim_outbox import is_in_doubt, put_withdrawal, writer_of
 from turmericweir_core.messages.effects import Effect, SendPeer
 from turmericweir_core.messages.peer_messages import ClaimRelease, ClaimVote, ClaimVoteAsk
-from turmericweir_core.records.claim_record import NewClaim, Writer, time_of
+from turmericweir_core.records.claim_record import NewClaim, RecordWriter, uuid7_time_ms
 from turmericweir_core.state.claim_ledger import Claim, ClaimFoldResult, holder_of
 from turmericweir_core.state.claim_state import ClaimState, Vote
 from turmericweir_core.state.claim_view import View, is_member
@@ -43,7 +43,7 @@
 
 
 def _claimed_at_ms(vote: Vote) -> int:
-    return time_of(vote.claim.request_id)
+    return uuid7_time_ms(vote.claim.request_id)
 
 
 # --- agreeing --------------------------------------------------------------------------------
@@ -61,7 +61,7 @@
     return view
 
 
-def agree(state: State, claim: NewClaim, holder: Writer) -> bool:
+def agree(state: State, claim: NewClaim, holder: RecordWriter) -> bool:
     """Agree to a claim unless another request may hold its key; return whether it is agreed."""
     claims = state.claims
     current = holder_of(claims.ledger, state.options, claim.key)
@@ -82,7 +82,7 @@
     """Answer an instance that requests agreement to a claim."""
     view = voting_view(state)
     claim = NewClaim(ask.key, ask.fingerprint, ask.request_id)
-    holder = Writer(sender, ask.incarnation, ask.address)
+    holder = RecordWriter(sender, ask.incarnation, ask.address)
     may_agree = view is not None and view.epoch == ask.epoch and is_member(view, holder)
     is_agreed = may_agree and agree(state, claim, holder)
     other = known_holder(state.claims, state.options, ask.key, ask.request_id)
@@ -97,13 +97,13 @@
         epoch=vote.epoch,
         request_id=vote.request_id,
         voter=vote.voter,
-        agreed=False,
+        is_agreed=False,
         holder=other.claim.request_id,
         holder_fingerprint=other.claim.fingerprint,
         holder_instance=other.holder.instance,
         holder_incarnation=other.holder.incarnation,
         holder_address=other.holder.address,
-        in_log=holder_of(state.claims.ledger, state.options, other.claim.key) is not None,
+        is_in_log=holder_of(state.claims.ledger, state.options, other.claim.key) is not None,
     )
 
 
@@ -175,7 +175,7 @@
 
 
 def _withdraw_if_ended(
-    state: State, now: float, offset: int, claim: NewClaim, holder: Writer
+    state: State, now: float, offset: int, claim: NewClaim, holder: RecordWriter
 ) -> None:
     """Withdraw a local claim that a view change restored after its release.
 
--- a/packages/turmericweir-core/turmericweir_core/credits/credit.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit.py
@@ -22,7 +22,7 @@
 
 from msgspec.structs import replace
 
-from turmericweir_core.base.config import Policy
+from turmericweir_core.base.config import PlacementPolicy
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.credits import credit_demand, credit_dispatcher, credit_holder
 from turmericweir_core.credits.dispatcher_selection import (
@@ -46,7 +46,7 @@
 
 def ask(state: State, now: float, pool: str) -> list[Effect]:
     """Request credit for the waiting requests of a pool, and withdraw demand that has ended."""
-    if state.config.policy is not Policy.CREDITS:
+    if state.config.policy is not PlacementPolicy.CREDITS:
         return []
     if not state.credits.demanded_servers and not queue_state.has_waiting(state.queues, pool):
         return []
@@ -91,7 +91,7 @@
 def note_freed(state: State, now: float, server: Server) -> list[Effect]:
     """Report the end of an attempt to the dispatcher if the server is contended."""
     credit = state.credits.held_by_server.get(server.entry.name)
-    if state.config.policy is not Policy.CREDITS or credit is None:
+    if state.config.policy is not PlacementPolicy.CREDITS or credit is None:
         return []
     credit.used_at = now
     if not credit.is_contended:
@@ -142,7 +142,7 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Renew credit, run deferred settlements, and detect dispatchers that do not answer."""
-    if state.config.policy is not Policy.CREDITS:
+    if state.config.policy is not PlacementPolicy.CREDITS:
         if state.credits.held_by_server or state.credits.granted_by_server:
             state.credits = CreditState()
         return []
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -20,7 +20,7 @@
 
 from msgspec.structs import replace
 
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.tiers import lowest_tier
@@ -75,7 +75,7 @@
     """Return whether a model server is known to have more demand than slots."""
     held_credit = state.credits.held_by_server
     return any(
-        server.service.kind is Kind.MODEL
+        server.service.kind is ServiceKind.MODEL
         and server.entry.name in held_credit
         and held_credit[server.entry.name].is_contended
         for server in servers
@@ -179,7 +179,7 @@
         tiers = wanted.setdefault(server.entry.name, {})
         demand = tiers.get(tier, TierDemand(tier, 0, 0))
         waiting = demand.waiting + ceil(requests / len(servers))
-        total_pressed = demand.pressed + added_pressed
+        total_pressed = demand.displacing + added_pressed
         tiers[tier] = TierDemand(
             tier, 0, min(server.slots, waiting), min(server.slots, total_pressed)
         )
@@ -327,8 +327,8 @@
 
 
 def _has_more_displacements(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
-    pressed = {each.tier: each.pressed for each in asked}
-    return any(each.pressed > pressed.get(each.tier, 0) for each in tiers)
+    pressed = {each.tier: each.displacing for each in asked}
+    return any(each.displacing > pressed.get(each.tier, 0) for each in tiers)
 
 
 def _has_unneeded_slots(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
@@ -16,9 +16,9 @@
 
 from msgspec import Struct
 
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.ids import InstanceName, ServerName
-from turmericweir_core.base.tiers import lowest_tier, most_urgent
+from turmericweir_core.base.tiers import lowest_tier, most_urgent_configured_tier
 from turmericweir_core.credits.credit_allocation import Capacity
 from turmericweir_core.credits.credit_assured import update_assured_tiers
 from turmericweir_core.credits.credit_ledger import (
@@ -191,16 +191,16 @@
     limit = min(limit, limited_slots(state.server_limits, server.entry.name, server.slots))
     slots = limit + options.slack_slots if can_take_work(server, now) else 0
     lower = slots
-    if server.service.kind is Kind.PLAIN:
+    if server.service.kind is ServiceKind.PLAIN:
         # A running plain call cannot be preempted, so slots are reserved for the most urgent tier.
         lower = max(0, slots - ceil(options.reserve_share * limit))
     return Capacity(
         slots=slots,
         lower_slots=lower,
         spare=options.credit_spare,
-        most_urgent=most_urgent(state.config),
+        most_urgent=most_urgent_configured_tier(state.config),
         lowest=lowest_tier(state.config),
-        by_tier=server.service.kind is Kind.PLAIN,
+        by_tier=server.service.kind is ServiceKind.PLAIN,
         sharing=sharing_instances(state, any_target(server)),
     )
 
@@ -320,11 +320,11 @@
     grant = CreditGrant(
         server=server.entry.name,
         demand_seq=holding.seq,
-        number=holding.number,
+        grant_number=holding.number,
         ttl_s=state.options.credit_ttl_s,
-        contended=holding.contended,
+        is_contended=holding.contended,
         # Repeated with every grant, as the first one may be lost.
-        keep=holding.attempts_to_keep,
+        attempts_to_keep=holding.attempts_to_keep,
         displace_above=holding.displace_above,
         tiers=tiers,
         load=_load_update(state, now, server, holding),
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
@@ -9,7 +9,7 @@
 from math import floor
 from typing import TYPE_CHECKING
 
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.credits.credit_ledger import demand_once_started, grant_covers
@@ -80,7 +80,7 @@
     used = used_by_tier(server)
     tiers = sorted({*credit.slots, *used, tier}, reverse=True)
     left_by_tier = [_slots_left(credit, used, each, tier) for each in tiers]
-    if server.service.kind is Kind.MODEL:
+    if server.service.kind is ServiceKind.MODEL:
         return sum(left_by_tier)
     # Sums the slots left from the least urgent tier up; the smallest sum limits the room.
     room = sum(
@@ -102,7 +102,7 @@
     Prevents the upper request from waiting until all attempts beyond the credit have ended.
     """
     credit = state.credits.held_by_server.get(server.entry.name)
-    if credit is None or now >= credit.valid_until or server.service.kind is not Kind.MODEL:
+    if credit is None or now >= credit.valid_until or server.service.kind is not ServiceKind.MODEL:
         return -1
     reported = sum(each.running for each in credit.newest_demand)
     # Attempts displaced for other instances are not replaced here.
@@ -139,7 +139,7 @@
 
 def displaceable_attempts(state: State, now: float, server: Server, tier: int) -> int:
     """Return the number of lower attempts on a server whose end would free a slot for a tier."""
-    if server.service.kind is not Kind.MODEL or covered_room(state, now, server, tier) != 0:
+    if server.service.kind is not ServiceKind.MODEL or covered_room(state, now, server, tier) != 0:
         return 0
     return sum(
         running
@@ -176,26 +176,26 @@
     """Apply a grant; return False if it is stale or from another dispatcher."""
     name = ServerName(grant.server)
     credit = state.credits.held_by_server.get(name)
-    if credit is None or credit.dispatcher != sender or grant.number < credit.grant_number:
+    if credit is None or credit.dispatcher != sender or grant.grant_number < credit.grant_number:
         # Stale, or from a former dispatcher.
         return False
     sent_at = _take_sending_time(credit, grant.demand_seq)
     if sent_at is None:
         return False
     before = sum(credit.slots.values())
-    if grant.number > credit.grant_number:
+    if grant.grant_number > credit.grant_number:
         credit.slots = {each.tier: each.slots for each in grant.tiers}
         credit.assured = {each.tier: each.assured for each in grant.tiers if each.assured}
         credit.needs_confirmation = credit.needs_confirmation or sum(credit.slots.values()) < before
-    credit.grant_number = grant.number
-    credit.is_contended = grant.contended
+    credit.grant_number = grant.grant_number
+    credit.is_contended = grant.is_contended
     if (
         grant.demand_seq == credit.seq
-        and not grant.contended
+        and not grant.is_contended
         and grant_covers(grant.tiers, credit.newest_demand)
     ):
         _record_started(state, credit, name)
-    credit.attempts_to_keep = grant.keep
+    credit.attempts_to_keep = grant.attempts_to_keep
     credit.displace_above = grant.displace_above
     # Counts from the sending of the demand, and the dispatcher from its receipt. Prevents the use
     # of a delayed grant whose slots were already granted to another instance.
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
@@ -70,7 +70,7 @@
     for holding in ledger.holdings.values():
         short = missing_slots(holding, capacity)
         for tier in sorted(holding.demand):
-            count = min(short, holding.demand[tier].pressed)
+            count = min(short, holding.demand[tier].displacing)
             if count:
                 pressed[tier] = pressed.get(tier, 0) + count
                 short -= count
--- a/packages/turmericweir-core/turmericweir_core/duties/capacity.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity.py
@@ -12,7 +12,7 @@
 from math import ceil
 from typing import TYPE_CHECKING, Final
 
-from turmericweir_core.base.config import Capacity, Service
+from turmericweir_core.base.config import CapacityBounds, Service
 from turmericweir_core.duties import capacity_plan, election
 from turmericweir_core.duties.capacity_plan import PresentServers
 from turmericweir_core.engines import engine_pools
@@ -64,7 +64,7 @@
 
 
 def _evaluate_service(
-    state: State, now: float, service: Service, capacity: Capacity
+    state: State, now: float, service: Service, capacity: CapacityBounds
 ) -> list[Effect]:
     present = _present_servers(state, service, capacity)
     needed = _needed_engines(state, now, service, present)
@@ -98,7 +98,7 @@
 
 
 def _present_servers(
-    state: State, service: Service, capacity: Capacity
+    state: State, service: Service, capacity: CapacityBounds
 ) -> dict[str, PresentServers]:
     names = {listed.data_centre for listed in state.servers.listed.values()} & set(capacity.prices)
     counts = {name: [0, 0] for name in (names or capacity.prices)}
@@ -151,7 +151,7 @@
 def _order_servers(
     state: State,
     now: float,
-    capacity: Capacity,
+    capacity: CapacityBounds,
     subject: OrderSubject,
     count: int,
     present_count: int,
--- a/packages/turmericweir-core/turmericweir_core/duties/capacity_plan.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity_plan.py
@@ -16,7 +16,7 @@
 
 from msgspec import Struct
 
-from turmericweir_core.base.config import Capacity
+from turmericweir_core.base.config import CapacityBounds
 
 # Minimum number of lasting servers in a data centre.
 _LASTING_MIN: Final = 1
@@ -37,7 +37,7 @@
 
 
 def plan_servers(
-    capacity: Capacity,
+    capacity: CapacityBounds,
     present: dict[str, PresentServers],
     needed: int,
     *,
@@ -52,28 +52,31 @@
     if not present:
         return {}
     if capacity.spot_share is None:
-        shares = _spread(needed, dict.fromkeys(present, capacity.most))
+        shares = _spread(needed, dict.fromkeys(present, capacity.servers_max))
         return {
-            name: WantedServers(max(capacity.least, servers), 0) for name, servers in shares.items()
+            name: WantedServers(max(capacity.servers_min, servers), 0)
+            for name, servers in shares.items()
         }
-    base = min(capacity.most, max(_LASTING_MIN, capacity.least))
+    base = min(capacity.servers_max, max(_LASTING_MIN, capacity.servers_min))
     room = {
         name: (
-            min(servers.spot, capacity.most - base) if name in unavailable else capacity.most - base
+            min(servers.spot, capacity.servers_max - base)
+            if name in unavailable
+            else capacity.servers_max - base
         )
         for name, servers in present.items()
     }
     spot = _spread(max(0, needed - base * len(present)), room)
     lacking = needed - base * len(present) - sum(spot.values())
     extra = _spread(
-        max(0, lacking), {name: capacity.most - base - spot[name] for name in unavailable}
+        max(0, lacking), {name: capacity.servers_max - base - spot[name] for name in unavailable}
     )
     share = ceil(needed / len(present))
     planned = {}
     for name, servers in present.items():
         least = min(initial_counts.get(name, 0), share) - servers.spot
         lasting = max(base + extra.get(name, 0), min(servers.lasting, least))
-        planned[name] = WantedServers(lasting, min(spot[name], capacity.most - lasting))
+        planned[name] = WantedServers(lasting, min(spot[name], capacity.servers_max - lasting))
     return planned
 
 
--- a/packages/turmericweir-core/turmericweir_core/duties/election.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/election.py
@@ -17,7 +17,7 @@
 from turmericweir_core.membership import membership, relays
 from turmericweir_core.messages.effects import Effect, Log, SendDatagram
 from turmericweir_core.messages.peer_messages import DutyStatus
-from turmericweir_core.records.lease_record import Scope
+from turmericweir_core.records.lease_record import LeaseScope
 from turmericweir_core.state.duty_state import DutyState
 from turmericweir_core.state.lease_state import HeldLease
 from turmericweir_core.state.membership_state import Member
@@ -26,7 +26,7 @@
     from turmericweir_core.state.state import State
 
 # All duties share one lease, as their calls are few.
-SCOPE: Final = Scope("duties", "all")
+SCOPE: Final = LeaseScope("duties", "all")
 _DUTY: Final = "duties"
 _CANDIDATES_MAX: Final = 4
 # Interval between two picks of the candidates.
--- a/packages/turmericweir-core/turmericweir_core/duties/usage.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/usage.py
@@ -22,7 +22,7 @@
 from turmericweir_core.messages.effects import Count, Effect, Log, ReportUsage, SendDatagram
 from turmericweir_core.messages.events import DutyAnswered, DutyOutcome
 from turmericweir_core.messages.peer_messages import UsageCounts, WindowCounts
-from turmericweir_core.records.usage_note import UsageNote, read_note, write_note
+from turmericweir_core.records.usage_note import UsageNote, decode_usage_note, encode_usage_note
 from turmericweir_core.state import usage_meter
 from turmericweir_core.state.duty_state import DutyState, ReportedUsage
 from turmericweir_core.state.membership_state import Member
@@ -100,7 +100,7 @@
     for req in state.requests.values():
         # A plain request counts from its start, once its outcome is known.
         if req.attempt is not None and req.attempt.sent and not req.is_metered:
-            start_window = usage_meter.window_at(meter, req.attempt.started)
+            start_window = usage_meter.window_at(meter, req.attempt.started_at)
             window = window if start_window is None or req.streamed else min(window, start_window)
     return window
 
@@ -141,7 +141,7 @@
     """Settle the windows that are over, and report settled windows."""
     if not lease_flow.is_own(state, election.SCOPE):
         return []
-    note = read_note(lease_flow.newest_note(state, election.SCOPE))
+    note = decode_usage_note(lease_flow.newest_note(state, election.SCOPE))
     effects = _settle_windows(state, now, note)
     effects += _report_window(state, now, note)
     return effects
@@ -149,13 +149,13 @@
 
 def has_work(state: State) -> bool:
     """Return whether a window is being settled or waits to be reported."""
-    note = read_note(lease_flow.newest_note(state, election.SCOPE))
+    note = decode_usage_note(lease_flow.newest_note(state, election.SCOPE))
     is_waiting = any(window not in _duties(state).usage.reported for window in note.counts)
     return is_waiting or _is_settling(state, note)
 
 
 def _is_settling(state: State, note: UsageNote) -> bool:
-    return state.leases.notes.get(election.SCOPE) not in (None, write_note(note))
+    return state.leases.notes.get(election.SCOPE) not in (None, encode_usage_note(note))
 
 
 def _settle_windows(state: State, now: float, note: UsageNote) -> list[Effect]:
@@ -180,7 +180,7 @@
         return []
     counts = {noted: each for noted, each in note.counts.items() if noted not in usage.reported}
     counts |= {each: _total_counts(state, each) for each in finished}
-    settled = write_note(UsageNote(finished[-1], counts))
+    settled = encode_usage_note(UsageNote(finished[-1], counts))
     if not lease_flow.set_note(state, now, election.SCOPE, settled):
         return []
     return [
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
@@ -24,7 +24,7 @@
 from turmericweir_core.base.ids import ServerName, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Attempt, Request
-from turmericweir_core.base.tiers import rank_of
+from turmericweir_core.base.tiers import scheduling_rank
 from turmericweir_core.messages.peer_messages import SentPart
 from turmericweir_core.state import engine_speed
 from turmericweir_core.state.engine_speed import EngineSpeed
@@ -287,7 +287,7 @@
     own_ms = own_work_ms(state, record, req, saved_tokens)
     if fetch is not None:
         own_ms += fetch_ms(state.options, server, fetch)
-    rank = rank_of(req.service_class)
+    rank = scheduling_rank(req.service_class)
     wait_ms = waiting_ms(record, now, rank)
     if not wait_ms:
         record.prefilling_since = now
@@ -308,7 +308,11 @@
             continue
         record_prefilling(record, part, prefill_until)
         sent_part = SentPart(
-            attempt.server, part, tokens, read=False, for_ms=round((prefill_until - now) * _MS)
+            attempt.server,
+            part,
+            tokens,
+            is_prefilled=False,
+            prefill_ms=round((prefill_until - now) * _MS),
         )
         state.engines.unsent_parts.append(sent_part)
 
@@ -356,7 +360,7 @@
     if server is not None:
         for part, tokens in req.parts:
             if part not in record.cached:
-                sent_part = SentPart(attempt.server, part, tokens, read=True, for_ms=0)
+                sent_part = SentPart(attempt.server, part, tokens, is_prefilled=True, prefill_ms=0)
                 state.engines.unsent_parts.append(sent_part)
             record_cached(record, server, part, tokens)
     if prefill.reference_ms is not None:
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
@@ -183,8 +183,10 @@
     """Record a peer's demand."""
     for row in rows:
         peer_demand = state.pools.peers.setdefault(Target(row.target), {})
-        peer_demand[sender] = ReportedDemand(now, row.long_ms_s, row.quick_ms_s, row.middle_ms_s)
-        urgent_first.record_late_rank(state, now, sender, Target(row.target), row.late_rank)
+        peer_demand[sender] = ReportedDemand(
+            now, row.long_prompt_ms_s, row.short_prompt_ms_s, row.medium_prompt_ms_s
+        )
+        urgent_first.record_late_rank(state, now, sender, Target(row.target), row.overdue_rank)
 
 
 def engines_for(state: State, now: float, req: Request, engines: list[Server]) -> list[Server]:
@@ -365,7 +367,7 @@
     """
     service = state.config.service_by_target.get(target)
     most_urgent: dict[bool, int] = {}
-    for route in state.config.routes.by_place.values():
+    for route in state.config.routes.by_host_and_prefix.values():
         if service is None or target not in (each.target for each in route.targets):
             continue
         is_short = not _is_gap_tolerant(state, route.gap_target_s, service)
@@ -377,7 +379,7 @@
     """Return the shortest gap target of the routes to a target, or None."""
     gaps = [
         route.gap_target_s
-        for route in state.config.routes.by_place.values()
+        for route in state.config.routes.by_host_and_prefix.values()
         if route.gap_target_s is not None and target in (each.target for each in route.targets)
     ]
     return min(gaps, default=None)
--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -156,10 +156,10 @@
 def _merge(older: LoadNews, newer: LoadNews) -> LoadNews:
     """Merge two updates of one origin."""
     parts = [*older.parts, *newer.parts][-_PARTS_PER_BUNDLE_MAX:]
-    if newer.whole:
+    if newer.is_complete:
         return replace(newer, parts=parts)
     rows = {each.server: each for each in (*older.rows, *newer.rows)}
-    return replace(newer, rows=list(rows.values()), parts=parts, whole=older.whole)
+    return replace(newer, rows=list(rows.values()), parts=parts, is_complete=older.is_complete)
 
 
 def send_gathered(state: State, now: float, build: Build) -> list[Effect]:
@@ -171,7 +171,7 @@
     effects = _drop_unresponsive(state, now)
     own_update = build(state, now)
     sum_update = _sum_group(state, now, own_update)
-    has_changes = bool(sum_update.news.rows or sum_update.news.parts)
+    has_changes = bool(sum_update.update.rows or sum_update.update.parts)
     is_bundle_due = now >= relay_state.next_bundle_at
     if has_changes or (is_bundle_due and relay_state.rows):
         effects += _send_bundle(sum_update, state.load_updates.plan.other_relays)
@@ -262,7 +262,7 @@
 
 def _has_changed(previous: LoadRow, row: LoadRow) -> bool:
     """Return whether a server's row has changed; the age of prompts does not count."""
-    has_same_works = [each[:2] for each in previous.works] == [each[:2] for each in row.works]
+    has_same_works = [each[:2] for each in previous.prefills] == [each[:2] for each in row.prefills]
     return (previous.running, previous.tokens) != (row.running, row.tokens) or not has_same_works
 
 
@@ -275,12 +275,12 @@
         if not group_demand:
             continue
         own_row = rows_by_target.get(target, DemandRow(target, 0, 0))
-        ranks = [own_row.late_rank, *urgent_first.reported_late_ranks(state, now, target, group)]
+        ranks = [own_row.overdue_rank, *urgent_first.reported_late_ranks(state, now, target, group)]
         rows_by_target[target] = DemandRow(
             target,
-            own_row.long_ms_s + round(sum(each.long_prompt_ms for each in group_demand)),
-            own_row.quick_ms_s + round(sum(each.short_prompt_ms for each in group_demand)),
+            own_row.long_prompt_ms_s + round(sum(each.long_prompt_ms for each in group_demand)),
+            own_row.short_prompt_ms_s + round(sum(each.short_prompt_ms for each in group_demand)),
             min((each for each in ranks if each is not None), default=None),
-            own_row.middle_ms_s + round(sum(each.medium_prompt_ms for each in group_demand)),
+            own_row.medium_prompt_ms_s + round(sum(each.medium_prompt_ms for each in group_demand)),
         )
     return list(rows_by_target.values())
--- a/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
@@ -12,7 +12,7 @@
 
 from typing import TYPE_CHECKING, Final
 
-from turmericweir_core.base.config import Policy
+from turmericweir_core.base.config import PlacementPolicy
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.engines import engine_model, engine_pools, load_relay
 from turmericweir_core.messages.effects import Effect, SendDatagram
@@ -44,7 +44,7 @@
 def due_news(state: State, now: float) -> list[Effect]:
     """Send a load update to the other instances if one is due."""
     update_state = state.load_updates
-    if now < update_state.next_send_at or state.config.policy is not Policy.PREDICTED:
+    if now < update_state.next_send_at or state.config.policy is not PlacementPolicy.PREDICTED:
         return []
     plan = load_relay.plan(state, now)
     if plan.own_relay is not None:
@@ -116,10 +116,12 @@
     plan = state.load_updates.plan
     if plan.own_relay is not None and plan.own_relay.name == sender:
         state.load_updates.relay_seen_at = now
-    for each in bundle.news:
+    for each in bundle.updates:
         origin = InstanceName(each.origin)
-        if origin != state.me.name and record_update(state, now, origin, each.news, each.held_ms):
-            load_relay.gather_sum(state, now, sender, origin, each.news)
+        if origin != state.me.name and record_update(
+            state, now, origin, each.update, each.delay_ms
+        ):
+            load_relay.gather_sum(state, now, sender, origin, each.update)
 
 
 def record_update(
@@ -148,14 +150,14 @@
     reported_servers: set[ServerName] = set()
     for row in update.rows:
         name = ServerName(row.server)
-        if not row.works and not row.running:
+        if not row.prefills and not row.running:
             _drop_load(state, origin, origin_state, name)
         elif name in state.servers.by_name:
             reported_servers.add(name)
             _record_row(
                 engine_model.book_of(state, name), sent_at, origin, origin_state.last_receipt, row
             )
-    if update.whole:
+    if update.is_complete:
         for name in origin_state.servers - reported_servers:
             _drop_load(state, origin, origin_state, name)
     origin_state.servers |= reported_servers
@@ -175,12 +177,12 @@
     record: EngineInfo, sent_at: float, origin: InstanceName, receipt: ReceiptTime, row: LoadRow
 ) -> None:
     previous = record.peers.get(origin)
-    has_fewer_prompts = previous is not None and len(row.works) < len(previous.pending)
+    has_fewer_prompts = previous is not None and len(row.prefills) < len(previous.pending)
     if has_fewer_prompts or not engine_model.has_pending(record, sent_at):
         record.prefilling_since = sent_at
     pending = [
         PendingPrompt(float(work), rank, sent_at - age / _MS)
-        for work, rank, age in _valid_works(row.works)
+        for work, rank, age in _valid_works(row.prefills)
     ]
     record.load_version += 1
     record.peers[origin] = PeerLoad(receipt, pending, row.running, row.tokens)
@@ -196,10 +198,10 @@
         if server is None:
             continue
         record = engine_model.book_of(state, server.entry.name)
-        if part.read:
+        if part.is_prefilled:
             engine_model.record_cached(record, server, part.part, part.tokens)
         elif part.part not in record.cached:
-            engine_model.record_prefilling(record, part.part, now + part.for_ms / _MS)
+            engine_model.record_prefilling(record, part.part, now + part.prefill_ms / _MS)
 
 
 def _forget_origin(state: State, origin: InstanceName) -> None:
--- a/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
@@ -31,9 +31,9 @@
 from turmericweir_core.records.lease_record import (
     LEASES_STREAM,
     NO_OFFSET,
-    Act,
+    LeaseAction,
     LeaseRecord,
-    Scope,
+    LeaseScope,
     encode,
 )
 from turmericweir_core.state.lease_ledger import (
@@ -50,18 +50,18 @@
 # --- interface for other reducers --------------------------------------------------------------
 
 
-def request_lease(state: State, now: float, scope: Scope) -> None:
+def request_lease(state: State, now: float, scope: LeaseScope) -> None:
     """Start trying to acquire and keep the lease of a scope."""
     state.leases.wanted.setdefault(scope, now)
 
 
-def release_lease(state: State, scope: Scope) -> None:
+def release_lease(state: State, scope: LeaseScope) -> None:
     """Stop wanting the lease of a scope, which releases it."""
     state.leases.wanted.pop(scope, None)
     state.leases.idle_scopes.discard(scope)
 
 
-def rest(state: State, scope: Scope, *, resting: bool) -> None:
+def rest(state: State, scope: LeaseScope, *, resting: bool) -> None:
     """Let a lease expire while there are no orders under it, or resume its renewal."""
     if resting:
         state.leases.idle_scopes.add(scope)
@@ -69,7 +69,7 @@
         state.leases.idle_scopes.discard(scope)
 
 
-def set_note(state: State, now: float, scope: Scope, note: object) -> bool:
+def set_note(state: State, now: float, scope: LeaseScope, note: object) -> bool:
     """Write a note for successors with the next renewal; return False unless this is the holder.
 
     With conditional appends the holder of an expired lease may write as well: the append fails if
@@ -82,13 +82,13 @@
     return True
 
 
-def newest_note(state: State, scope: Scope) -> object:
+def newest_note(state: State, scope: LeaseScope) -> object:
     """Return the note of the newest valid record of a scope, by any instance, or None."""
     lease = state.leases.ledger.leases.get(scope)
     return None if lease is None else lease.note
 
 
-def held(state: State, now: float, scope: Scope) -> HeldLease | None:
+def held(state: State, now: float, scope: LeaseScope) -> HeldLease | None:
     """Return the lease of a scope if this instance holds it now.
 
     Prevents a holder that was paused past its lease from sending orders that conflict with its
@@ -99,18 +99,18 @@
     return lease if lease is not None and now < lease.expires_at else None
 
 
-def is_own(state: State, scope: Scope) -> bool:
+def is_own(state: State, scope: LeaseScope) -> bool:
     """Return whether the newest lease of a scope is this instance's, expired or not."""
     lease = state.leases.ledger.leases.get(scope)
     return lease is not None and _can_renew(state, scope, lease)
 
 
-def known_fence(state: State, scope: Scope) -> int:
+def known_fence(state: State, scope: LeaseScope) -> int:
     """Return the newest fencing number that this instance knows for a scope."""
     return _fence_for_record(state.leases, scope)
 
 
-def drop(state: State, now: float, scope: Scope) -> list[Effect]:
+def drop(state: State, now: float, scope: LeaseScope) -> list[Effect]:
     """Stop using a lease after a server refused an order under it as outdated."""
     lease = state.leases.held.pop(scope, None)
     state.leases.dropped.add(scope)
@@ -137,7 +137,7 @@
     return effects + _append_due(state, now)
 
 
-def _must_read(leases: LeaseState, state: State, scope: Scope) -> bool:
+def _must_read(leases: LeaseState, state: State, scope: LeaseScope) -> bool:
     if scope in leases.held:
         return False
     lease = leases.ledger.leases.get(scope)
@@ -165,7 +165,9 @@
     if batch is None or now - batch.sent_at < state.options.lease_call_s:
         return []
     return on_append(
-        state, now, AppendFailed(LEASES_STREAM, batch.token, "never answered", maybe=True)
+        state,
+        now,
+        AppendFailed(LEASES_STREAM, batch.token, "never answered", may_have_applied=True),
     )
 
 
@@ -191,7 +193,7 @@
     if not state.options.lease_keyed:
         return [AppendRecords(LEASES_STREAM, token, values), Count("lease.appends")]
     keys = tuple(str(record.scope) for record in records)
-    append = AppendRecords(LEASES_STREAM, token, values, keys, at=leases.ledger.offset)
+    append = AppendRecords(LEASES_STREAM, token, values, keys, expected_end=leases.ledger.offset)
     return [append, Count("lease.appends")]
 
 
@@ -202,10 +204,12 @@
         if scope not in leases.wanted:
             # The lease is not used from here on, even if the release is lost.
             del leases.held[scope]
-            records.append(_record(state, Act.RELEASE, scope, lease.fence))
+            records.append(_record(state, LeaseAction.RELEASE, scope, lease.fence))
     for scope in _to_release(state):
         if all(record.scope != scope for record in records):
-            records.append(_record(state, Act.RELEASE, scope, _fence_for_record(leases, scope)))
+            records.append(
+                _record(state, LeaseAction.RELEASE, scope, _fence_for_record(leases, scope))
+            )
     for scope in leases.wanted:
         act = _due_act(state, now, scope)
         if act is not None:
@@ -213,7 +217,7 @@
     return tuple(records)
 
 
-def _to_release(state: State) -> list[Scope]:
+def _to_release(state: State) -> list[LeaseScope]:
     """Return the scopes of own expired leases that are no longer wanted and not taken over."""
     leases = state.leases
     if not state.options.lease_keyed:
@@ -225,7 +229,7 @@
     ]
 
 
-def _fence_for_record(leases: LeaseState, scope: Scope) -> int:
+def _fence_for_record(leases: LeaseState, scope: LeaseScope) -> int:
     """Return the fencing number for a record; for a grant, that of the previous lease."""
     held_lease = leases.held.get(scope)
     if held_lease is not None:
@@ -235,7 +239,7 @@
     return NO_OFFSET if ledger_lease is None else ledger_lease.fence
 
 
-def _due_act(state: State, now: float, scope: Scope) -> Act | None:
+def _due_act(state: State, now: float, scope: LeaseScope) -> LeaseAction | None:
     """Return the record type that is due for a scope, if any."""
     leases = state.leases
     options = state.options
@@ -248,23 +252,23 @@
         return None
     if held_lease is not None:
         renew_at = held_lease.expires_at - options.lease_s + options.lease_renew_s
-        return Act.RENEW if now >= renew_at or not is_noted else None
+        return LeaseAction.RENEW if now >= renew_at or not is_noted else None
     if leases.ledger.start is None:
         return None
     if options.lease_keyed and ledger_lease is not None and _can_renew(state, scope, ledger_lease):
-        return Act.RENEW
+        return LeaseAction.RENEW
     if now - leases.ledger.caught_up_at > 2 * options.lease_read_s:
         # Unread records could make the new record void.
         return None
     if ledger_lease is not None and _can_renew(state, scope, ledger_lease):
-        return Act.RENEW
+        return LeaseAction.RENEW
     margin_s = options.lease_margin_s
     if now < free_at(leases.ledger, scope, options.lease_s, margin_s):
         return None
-    return Act.GRANT
+    return LeaseAction.GRANT
 
 
-def _can_renew(state: State, scope: Scope, lease: Lease) -> bool:
+def _can_renew(state: State, scope: LeaseScope, lease: Lease) -> bool:
     """Return whether a lease is this instance's and may be renewed, expired or not."""
     if lease.released or scope in state.leases.dropped:
         return False
@@ -272,7 +276,7 @@
     return lease.is_sure and lease.incarnation == state.me.incarnation
 
 
-def _record(state: State, act: Act, scope: Scope, fence: int) -> LeaseRecord:
+def _record(state: State, act: LeaseAction, scope: LeaseScope, fence: int) -> LeaseRecord:
     leases = state.leases
     leases.number += 1
     note = leases.notes.get(scope, newest_note(state, scope))
@@ -299,11 +303,11 @@
     match event:
         case AppendDone():
             leases.failures = 0
-            if event.first != leases.ledger.offset:
+            if event.first_offset != leases.ledger.offset:
                 # The effect of the records depends on the unread ones before them.
                 return _read_next(state, now)
             effects: list[Effect] = []
-            for offset, record in enumerate(batch.records, event.first):
+            for offset, record in enumerate(batch.records, event.first_offset):
                 effects += _apply_record(state, now, LogRecord(offset, encode(record)))
             leases.ledger.caught_up_at = now
             return effects
@@ -336,7 +340,7 @@
     leases.reading_since = now
     if leases.ledger.start is None:
         # Only the end of the stream is needed: leases from before it expire unread.
-        return [ReadLog(LEASES_STREAM, 0, limit=1, newest=state.options.lease_keyed)]
+        return [ReadLog(LEASES_STREAM, 0, limit=1, newest_by_key=state.options.lease_keyed)]
     return [ReadLog(LEASES_STREAM, leases.ledger.offset)]
 
 
@@ -351,9 +355,9 @@
         case LogNewest():
             return _on_newest(state, now, event)
         case LogExpired():
-            start_at_end(state.leases.ledger, event.end, now)
+            start_at_end(state.leases.ledger, event.end_offset, now)
             state.leases.ledger.caught_up_at = now
-            fields = {"stream": LEASES_STREAM, "end": event.end}
+            fields = {"stream": LEASES_STREAM, "end": event.end_offset}
             return [Log("leases_gap", fields)]
         case LogFailed():
             return []
@@ -361,7 +365,7 @@
 
 def _on_newest(state: State, now: float, event: LogNewest) -> list[Effect]:
     leases = state.leases
-    malformed = start_from_newest(leases.ledger, now, event.records, event.end)
+    malformed = start_from_newest(leases.ledger, now, event.records, event.end_offset)
     leases.ledger.caught_up_at = now
     for scope in [*leases.held, *leases.notes]:
         lease = leases.ledger.leases.get(scope)
@@ -380,16 +384,16 @@
     ledger = state.leases.ledger
     effects: list[Effect] = []
     if ledger.start is None:
-        start_at_end(ledger, event.end if event.end > len(event.records) else 0, now)
-    elif event.end < ledger.offset:
+        start_at_end(ledger, event.end_offset if event.end_offset > len(event.records) else 0, now)
+    elif event.end_offset < ledger.offset:
         # The platform has lost records; leases from before are left to expire.
-        fields = {"stream": LEASES_STREAM, "end": event.end, "offset": ledger.offset}
+        fields = {"stream": LEASES_STREAM, "end": event.end_offset, "offset": ledger.offset}
         effects.append(Log("log_shorter", fields))
-        start_at_end(ledger, event.end, now)
+        start_at_end(ledger, event.end_offset, now)
     for record in event.records:
         if record.offset == ledger.offset:
             effects += _apply_record(state, now, record)
-    if ledger.offset < event.end:
+    if ledger.offset < event.end_offset:
         return effects + _read_next(state, now)
     ledger.caught_up_at = now
     return effects + _append_due(state, now)
@@ -426,14 +430,14 @@
     return not lease.released and lease.incarnation != state.me.incarnation
 
 
-def _scope_of(record: LogRecord) -> Scope | None:
+def _scope_of(record: LogRecord) -> LeaseScope | None:
     value = record.value
     if not isinstance(value, dict):
         return None
     service, data_centre = value.get("service"), value.get("data_centre")
     if not isinstance(service, str) or not isinstance(data_centre, str):
         return None
-    return Scope(service, data_centre)
+    return LeaseScope(service, data_centre)
 
 
 def _apply_own_record(
@@ -446,10 +450,10 @@
     sent_at = leases.sent.pop(record.number, None)
     if not (folded.is_valid and folded.is_sure):
         return [Count("lease.void")]
-    if record.act is Act.RELEASE or sent_at is None:
+    if record.act is LeaseAction.RELEASE or sent_at is None:
         return []
     scope = record.scope
-    if record.act is Act.GRANT:
+    if record.act is LeaseAction.GRANT:
         leases.dropped.discard(scope)
     elif scope in leases.dropped:
         return []
--- a/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
@@ -12,15 +12,15 @@
 from collections.abc import Iterator
 from typing import Final
 
-from turmericweir_core.base.config import Config, Kind
+from turmericweir_core.base.config import Config, ServiceKind
 from turmericweir_core.base.ids import InstanceName, Target
-from turmericweir_core.base.model_label import bare_name
-from turmericweir_core.base.request import Phase
+from turmericweir_core.base.model_label import label_model_name
+from turmericweir_core.base.request import RequestPhase
 from turmericweir_core.membership import membership
 from turmericweir_core.membership.subset import rendezvous_weight
 from turmericweir_core.messages.effects import Effect, SendDatagram
 from turmericweir_core.messages.peer_messages import ModelDemand, ModelUse
-from turmericweir_core.records.lease_record import Scope
+from turmericweir_core.records.lease_record import LeaseScope
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.model_state import ModelUsage, ReportedModelUsage
 from turmericweir_core.state.server_table import Server, can_take_work
@@ -33,7 +33,7 @@
 # --- placers and scopes -----------------------------------------------------------------------
 
 
-def placer(state: State, now: float, scope: Scope) -> Member | None:
+def placer(state: State, now: float, scope: LeaseScope) -> Member | None:
     """Return the instance that places the models of a scope.
 
     It is picked by rendezvous hashing over the live instances of the data centre. If two instances
@@ -52,9 +52,9 @@
 def managed_services(config: Config) -> dict[str, list[str]]:
     """Return the models with wants by the service that may serve them."""
     models_by_service: dict[str, list[str]] = {}
-    for model in sorted(config.wants):
+    for model in sorted(config.model_replicas):
         service = config.service_by_target.get(Target(model))
-        if service is not None and service.kind is Kind.MODEL:
+        if service is not None and service.kind is ServiceKind.MODEL:
             models_by_service.setdefault(service.name, []).append(model)
     return models_by_service
 
@@ -68,14 +68,14 @@
     return counts
 
 
-def _receiving_scope(state: State, service: str) -> Scope | None:
+def _receiving_scope(state: State, service: str) -> LeaseScope | None:
     """Return the scope that receives this instance's use of a service's models."""
     counts = server_counts(state, service)
     if state.me.data_centre in counts:
-        return Scope(service, state.me.data_centre)
+        return LeaseScope(service, state.me.data_centre)
     if not counts:
         return None
-    return Scope(service, max(counts, key=lambda name: (counts[name], name)))
+    return LeaseScope(service, max(counts, key=lambda name: (counts[name], name)))
 
 
 # --- sending ----------------------------------------------------------------------------------
@@ -84,7 +84,7 @@
 def on_tick(state: State, now: float) -> list[Effect]:
     """Sample the use of models, and send it when it is due."""
     models = state.models
-    if not state.config.wants:
+    if not state.config.model_replicas:
         return []
     if now >= models.next_sample_at:
         models.next_sample_at = now + state.options.model_sample_s
@@ -103,9 +103,9 @@
     models = state.models
     models.samples += 1
     for req in state.requests.values():
-        if req.target not in state.config.wants or req.phase is Phase.DONE:
+        if req.target not in state.config.model_replicas or req.phase is RequestPhase.DONE:
             continue
-        is_waiting = req.phase is Phase.WAITING
+        is_waiting = req.phase is RequestPhase.WAITING
         previous = models.sampled.get(req.target, ModelUsage())
         models.sampled[req.target] = ModelUsage(
             previous.busy + (0.0 if is_waiting else 1.0),
@@ -137,7 +137,7 @@
     if server.report is None:
         return True
     # Unlike in placement, a report without models means that the server has none.
-    return any(model in (label, bare_name(label)) for label in server.report.models)
+    return any(model in (label, label_model_name(label)) for label in server.report.models)
 
 
 def _send_use(state: State, now: float) -> list[Effect]:
@@ -172,18 +172,18 @@
     """Record the use that another instance sent."""
     if membership.member(state, sender) is None or message.service not in state.config.services:
         return
-    scope = Scope(message.service, message.data_centre)
+    scope = LeaseScope(message.service, message.data_centre)
     _record_use(state, now, scope, sender, message.uses)
 
 
 def _record_use(
-    state: State, now: float, scope: Scope, sender: InstanceName, uses: list[ModelUse]
+    state: State, now: float, scope: LeaseScope, sender: InstanceName, uses: list[ModelUse]
 ) -> None:
-    by_model = {use.model: ModelUsage(max(0.0, use.busy), max(0, use.waiting)) for use in uses}
+    by_model = {use.model: ModelUsage(max(0.0, use.running), max(0, use.waiting)) for use in uses}
     state.models.reported.setdefault(scope, {})[sender] = ReportedModelUsage(now, by_model)
 
 
-def total_usage(state: State, now: float, scope: Scope, model: str) -> ModelUsage:
+def total_usage(state: State, now: float, scope: LeaseScope, model: str) -> ModelUsage:
     """Return the total use of a model on all instances, without outdated reports."""
     reports = state.models.reported.get(scope, {})
     oldest_at = now - _VALID_PERIODS * state.options.model_demand_s
--- a/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
@@ -10,9 +10,9 @@
 
 from collections.abc import Sequence
 
-from turmericweir_core.base.config import ModelWant
+from turmericweir_core.base.config import ModelReplicas
 from turmericweir_core.base.ids import ServerName
-from turmericweir_core.base.model_label import ModelLabel, parse_label
+from turmericweir_core.base.model_label import ModelLabel, parse_model_label
 from turmericweir_core.leases import lease_flow, order_flow
 from turmericweir_core.leases.model_demand import (
     is_model_missing,
@@ -33,7 +33,7 @@
 )
 from turmericweir_core.leases.order_steps import WantedModel, orders_for_model
 from turmericweir_core.messages.effects import Effect, Log, ProbeServer
-from turmericweir_core.records.lease_record import Scope
+from turmericweir_core.records.lease_record import LeaseScope
 from turmericweir_core.state.model_state import ModelTarget, Order, OrderKind, ScopePlan
 from turmericweir_core.state.server_table import Server
 from turmericweir_core.state.state import State
@@ -86,22 +86,22 @@
     return [ProbeServer(server.entry.name, server.entry.address) for server in servers]
 
 
-def _scopes(state: State, managed: dict[str, list[str]]) -> list[Scope]:
+def _scopes(state: State, managed: dict[str, list[str]]) -> list[LeaseScope]:
     return [
-        Scope(service, state.me.data_centre)
+        LeaseScope(service, state.me.data_centre)
         for service in managed
         if state.me.data_centre in server_counts(state, service)
     ]
 
 
-def _is_placer(state: State, now: float, scope: Scope) -> bool:
+def _is_placer(state: State, now: float, scope: LeaseScope) -> bool:
     if state.stopping_since is not None or not state.has_settings:
         return False
     chosen = placer(state, now, scope)
     return chosen is not None and chosen.name == state.me.name
 
 
-def _leave_scope(state: State, scope: Scope) -> None:
+def _leave_scope(state: State, scope: LeaseScope) -> None:
     if order_flow.has_open_orders(state, scope):
         # The lease is kept until its orders have ended, so that a successor may start at once.
         return
@@ -111,7 +111,7 @@
 
 
 def _update_lease(
-    state: State, now: float, scope: Scope, plan: ScopePlan, has_orders: bool
+    state: State, now: float, scope: LeaseScope, plan: ScopePlan, has_orders: bool
 ) -> None:
     if has_orders or order_flow.has_open_orders(state, scope):
         plan.busy_at = now
@@ -123,7 +123,7 @@
 # --- present state ----------------------------------------------------------------------------
 
 
-def _servers(state: State, scope: Scope) -> list[Server]:
+def _servers(state: State, scope: LeaseScope) -> list[Server]:
     servers = [
         server
         for server in state.servers.by_name.values()
@@ -154,11 +154,11 @@
     if last_report is None or now - last_report.at >= state.options.model_gone_s:
         return None
     report = last_report.report
-    loaded = {parse_label(text) for text in report.models}
-    loading = {parse_label(text) for text in report.loading}
+    loaded = {parse_model_label(text) for text in report.models}
+    loading = {parse_model_label(text) for text in report.loading}
     failing: set[str] = set()
     for key, tries in order_flow.pending_orders(state, server.entry.name):
-        label = parse_label(key[2])
+        label = parse_model_label(key[2])
         is_pending = now < tries.next_at
         if key[1] is OrderKind.LOAD:
             loading |= {label} if is_pending and label not in loaded else set()
@@ -184,7 +184,7 @@
 
 
 def _plan_scope(
-    state: State, now: float, scope: Scope, plan: ScopePlan, wanted: list[str]
+    state: State, now: float, scope: LeaseScope, plan: ScopePlan, wanted: list[str]
 ) -> tuple[list[Order], list[Effect]]:
     reported = (_holding(state, now, each) for each in _servers(state, scope))
     holdings = [each for each in reported if each is not None]
@@ -204,13 +204,13 @@
 def _plan_model(
     state: State,
     now: float,
-    scope: Scope,
+    scope: LeaseScope,
     plan: ScopePlan,
     model: str,
     holdings: Sequence[Holding],
     label_counts: dict[ServerName, int],
 ) -> tuple[WantedModel, list[Effect]]:
-    want = state.config.wants[model]
+    want = state.config.model_replicas[model]
     target = plan.targets.get(model)
     if target is None:
         holder_count = sum(1 for holding in holdings if holding.has_or_loads(model))
@@ -238,7 +238,9 @@
     return wanted, _log_count(scope, model, previous_count, target)
 
 
-def _log_count(scope: Scope, model: str, previous_count: int, target: ModelTarget) -> list[Effect]:
+def _log_count(
+    scope: LeaseScope, model: str, previous_count: int, target: ModelTarget
+) -> list[Effect]:
     if target.count == previous_count:
         return []
     fields = {
@@ -251,7 +253,7 @@
     return [Log("model_count", fields)]
 
 
-def _bounds(state: State, scope: Scope, want: ModelWant) -> Bounds:
+def _bounds(state: State, scope: LeaseScope, want: ModelReplicas) -> Bounds:
     counts = server_counts(state, scope.service)
     return Bounds(
         data_centre_share(want.min_servers, counts, scope.data_centre),
--- a/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
@@ -16,11 +16,11 @@
 from typing import Final, TypeAlias
 
 from turmericweir_core.base.ids import ServerName
-from turmericweir_core.base.model_label import parse_label
+from turmericweir_core.base.model_label import parse_model_label
 from turmericweir_core.leases import lease_flow
-from turmericweir_core.messages.effects import AskWeights, Count, Effect, Log, SendOrder
+from turmericweir_core.messages.effects import Count, Effect, Log, RequestLoadPermit, SendOrder
 from turmericweir_core.messages.events import OrderDone, ServerReport, WeightsAnswered
-from turmericweir_core.records.lease_record import Scope
+from turmericweir_core.records.lease_record import LeaseScope
 from turmericweir_core.state.lease_state import HeldLease
 from turmericweir_core.state.model_state import (
     DirectReport,
@@ -42,7 +42,7 @@
 # --- interface for other modules ----------------------------------------------------------------
 
 
-def has_open_orders(state: State, scope: Scope) -> bool:
+def has_open_orders(state: State, scope: LeaseScope) -> bool:
     """Return whether an order of a scope is unanswered."""
     return any(out.order.scope == scope for out in state.models.orders_in_flight.values())
 
@@ -59,14 +59,14 @@
     server = state.servers.by_name.get(report.server)
     if server is None:
         return
-    if Scope(server.entry.service, server.entry.data_centre) not in state.models.plans:
+    if LeaseScope(server.entry.service, server.entry.data_centre) not in state.models.plans:
         state.models.seen.pop(report.server, None)
         return
     state.models.seen[report.server] = DirectReport(report, now)
-    loaded = {parse_label(text) for text in report.models}
-    loading = {parse_label(text) for text in report.loading}
+    loaded = {parse_model_label(text) for text in report.models}
+    loading = {parse_model_label(text) for text in report.loading}
     for key, _ in list(pending_orders(state, report.server)):
-        label = parse_label(key[2])
+        label = parse_model_label(key[2])
         if key[1] is OrderKind.LOAD:
             is_effective = label in loaded or label in loading
         else:
@@ -182,7 +182,7 @@
     out = state.models.orders_in_flight.pop(event.token, None)
     if out is None:
         return []
-    if event.ok:
+    if event.is_accepted:
         return [Count("order.done")]
     fields = {
         "server": event.server,
@@ -228,7 +228,10 @@
         if not _has_open_order(state, order.server) and _lease_for(state, now, order) is not None:
             models.queried_load = order
             models.queried_at = now
-            return [AskWeights(order.label.model, order.label.version), Count("weights.asked")]
+            return [
+                RequestLoadPermit(order.label.model, order.label.version),
+                Count("weights.asked"),
+            ]
     return []
 
 
--- a/packages/turmericweir-core/turmericweir_core/leases/order_steps.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_steps.py
@@ -18,7 +18,7 @@
 from turmericweir_core.base.ids import ServerName
 from turmericweir_core.base.model_label import ModelLabel
 from turmericweir_core.leases.model_placement import Holding
-from turmericweir_core.records.lease_record import Scope
+from turmericweir_core.records.lease_record import LeaseScope
 from turmericweir_core.state.model_state import Order, OrderKind
 
 
@@ -34,7 +34,9 @@
     missing: bool = False
 
 
-def orders_for_model(scope: Scope, wanted: WantedModel, holdings: Sequence[Holding]) -> list[Order]:
+def orders_for_model(
+    scope: LeaseScope, wanted: WantedModel, holdings: Sequence[Holding]
+) -> list[Order]:
     """Return the due orders for one model."""
     holders = sum(1 for holding in holdings if holding.has_model(wanted.model))
     orders = _loads(scope, wanted, holdings, holders)
@@ -45,7 +47,7 @@
 
 
 def _loads(
-    scope: Scope, wanted: WantedModel, holdings: Sequence[Holding], holders: int
+    scope: LeaseScope, wanted: WantedModel, holdings: Sequence[Holding], holders: int
 ) -> list[Order]:
     label = ModelLabel(wanted.model, wanted.version)
     orders: list[Order] = []
@@ -66,11 +68,11 @@
 
 
 def _gets_wanted_version(wanted: WantedModel, holding: Holding) -> bool:
-    return any(label.is_of(wanted.model, wanted.version) for label in holding.labels)
+    return any(label.is_model_version(wanted.model, wanted.version) for label in holding.labels)
 
 
 def _has_wanted_version(wanted: WantedModel, holding: Holding) -> bool:
-    return any(label.is_of(wanted.model, wanted.version) for label in holding.loaded)
+    return any(label.is_model_version(wanted.model, wanted.version) for label in holding.loaded)
 
 
 def _old_labels(wanted: WantedModel, holding: Holding) -> list[ModelLabel]:
@@ -79,7 +81,7 @@
         for label in holding.labels
         if label.model == wanted.model
         and not label.adapter
-        and not label.is_of(wanted.model, wanted.version)
+        and not label.is_model_version(wanted.model, wanted.version)
     ]
 
 
@@ -92,7 +94,7 @@
 
 
 def _unloads(
-    scope: Scope, wanted: WantedModel, holdings: Sequence[Holding], holders: int
+    scope: LeaseScope, wanted: WantedModel, holdings: Sequence[Holding], holders: int
 ) -> list[Order]:
     orders: list[Order] = []
     # Servers with an unload order count as gone. Prevents two servers from unloading the last
@@ -117,11 +119,13 @@
 
 
 def _wanted_labels(wanted: WantedModel, holding: Holding) -> list[ModelLabel]:
-    return [label for label in holding.labels if label.is_of(wanted.model, wanted.version)]
+    return [
+        label for label in holding.labels if label.is_model_version(wanted.model, wanted.version)
+    ]
 
 
 def _unload(
-    scope: Scope, holding: Holding, labels: list[ModelLabel], holders: int, *, follows: bool
+    scope: LeaseScope, holding: Holding, labels: list[ModelLabel], holders: int, *, follows: bool
 ) -> list[Order]:
     return [
         Order(
--- a/packages/turmericweir-core/turmericweir_core/limits/limit.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit.py
@@ -23,7 +23,7 @@
 from msgspec import Struct
 
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import NO_LIMIT, Kind, Limit
+from turmericweir_core.base.config import NO_LIMIT, Limit, ServiceKind
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.reasons import Reason
 from turmericweir_core.limits import limit_home
@@ -106,7 +106,7 @@
 
 
 def _predicted_tokens(state: State, req: Request) -> float:
-    if req.kind is Kind.PLAIN:
+    if req.kind is ServiceKind.PLAIN:
         return 0.0
     predicted = req.predicted_tokens or state.options.predict_default
     return predicted if req.max_tokens is None else min(predicted, float(req.max_tokens))
--- a/packages/turmericweir-core/turmericweir_core/membership/leaving.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/leaving.py
@@ -110,7 +110,7 @@
 def compare_notices(state: State, now: float, sender: Member, beat: Heartbeat) -> list[Effect]:
     """Request a peer's notices where the digests have differed for some time."""
     differ_since = state.members.notices_differ_since
-    if beat.marks_hash == state.servers.leaving_notices.digest:
+    if beat.notices_hash == state.servers.leaving_notices.digest:
         differ_since.pop(sender.name, None)
         return []
     if now - differ_since.setdefault(sender.name, now) < state.options.mark_ask_s:
--- a/packages/turmericweir-core/turmericweir_core/membership/membership.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership.py
@@ -93,7 +93,7 @@
         region=centre.region,
         last_seen_at=centre.last_seen_at,
         reachable=now - centre.last_seen_at <= state.options.centre_suspect_s,
-        live=status.live if status else 0,
+        live=status.live_members if status else 0,
         settings_offset=status.settings_offset if status else 0,
     )
 
@@ -130,7 +130,7 @@
         last_seen_at=float("inf"),
         leaving=state.stopping_since is not None,
         settings_offset=state.settings_offset(),
-        strength=me.strength,
+        machine_capacity=me.machine_capacity,
     )
 
 
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
@@ -145,14 +145,14 @@
         settings_offset=me.settings_offset,
         settings_hash=state.settings_digest() if has_hash else "",
         members_hash=members.roster_hash,
-        tag=region_tag(state.me.cluster, state.me.region),
-        key=self_key(state),
+        cluster_hash=region_tag(state.me.cluster, state.me.region),
+        sender_key=self_key(state),
         newest_offset=newest_offset,
         counters="" if is_identified else _counters(state),
-        lags="" if is_identified else _lags(state, newest_offset),
+        offset_lags="" if is_identified else _lags(state, newest_offset),
         entries=_entries(state, newest_offset) if is_identified else [],
-        words=statuses,
-        strength=me.strength if is_identified else 0,
+        status_messages=statuses,
+        machine_capacity=me.machine_capacity if is_identified else 0,
     )
 
 
@@ -187,7 +187,7 @@
 def take_sender(state: State, now: float, name: InstanceName, beat: Heartbeat) -> Member | None:
     """Record the sender of a heartbeat; return None if the heartbeat cannot be used."""
     members = state.members
-    region = region_by_tag(state.me, beat.tag)
+    region = region_by_tag(state.me, beat.cluster_hash)
     if region is None:
         count_dropped_message(members, "tag")
         return None
@@ -209,7 +209,7 @@
 
 def _indexed_sender(state: State, name: InstanceName, beat: Heartbeat) -> Member | None:
     member = state.members.by_name.get(name)
-    if member is None or not _is_key_of(member, beat.key):
+    if member is None or not _is_key_of(member, beat.sender_key):
         # The sender sends its full identity as soon as it sees that rosters differ.
         count_dropped_message(state.members, "unknown_sender")
         return None
@@ -238,7 +238,7 @@
         restart(member, beat.incarnation)
     member.data_centre = beat.data_centre
     member.peer_address = beat.address
-    member.strength = beat.strength
+    member.machine_capacity = beat.machine_capacity
     index_member(members, member)
     return member
 
@@ -265,7 +265,7 @@
     if roster is None or len(roster) != len(beat.counters):
         return [Count("membership.unreadable")] if beat.counters else []
     for position, key in enumerate(roster):
-        lag = ord(beat.lags[position]) if position < len(beat.lags) else 0
+        lag = ord(beat.offset_lags[position]) if position < len(beat.offset_lags) else 0
         _record_counter_character(
             state, now, key, ord(beat.counters[position]), beat.newest_offset - lag
         )
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
@@ -35,8 +35,8 @@
         address=member.peer_address,
         incarnation=member.incarnation,
         leaving=member.leaving,
-        former=list(member.retired_incarnations[-_FORMER_MAX:]),
-        strength=member.strength,
+        earlier_incarnations=list(member.retired_incarnations[-_FORMER_MAX:]),
+        machine_capacity=member.machine_capacity,
     )
 
 
@@ -80,7 +80,7 @@
     member.data_centre = record.data_centre
     member.peer_address = record.address
     member.region = record.region
-    member.strength = record.strength
+    member.machine_capacity = record.machine_capacity
     member.reported_at = now
     # The leaving flag of an incarnation is never cleared.
     member.leaving = member.leaving or record.leaving
@@ -95,7 +95,7 @@
     retired incarnation is accepted again if the record names the current one as its predecessor and
     the current one is not live.
     """
-    is_successor = member.incarnation in record.former
+    is_successor = member.incarnation in record.earlier_incarnations
     is_member_live = is_live(state, now, member)
     if is_retired(member, record.incarnation):
         return is_successor and not is_member_live
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
@@ -85,8 +85,8 @@
         if isinstance(effect, SendDatagram) and isinstance(effect.message, Heartbeat):
             beat = replace(
                 effect.message,
-                marks=notices,
-                marks_hash=table.leaving_notices.digest,
+                leaving_notices=notices,
+                notices_hash=table.leaving_notices.digest,
                 servers_hash=table.listed_hash,
                 servers_age_s=server_list.list_age_s(state, now),
             )
@@ -112,8 +112,8 @@
         if beat.members_hash != state.members.roster_hash:
             membership_roster.refresh_roster(state, now)
         effects += membership_gossip.take_counters(state, now, sender, beat)
-    effects += membership_status.take_statuses(state, now, sender, beat.words)
-    effects += leaving.take_notices(state, now, beat.marks)
+    effects += membership_status.take_statuses(state, now, sender, beat.status_messages)
+    effects += leaving.take_notices(state, now, beat.leaving_notices)
     effects += leaving.compare_notices(state, now, sender, beat)
     effects += server_list.compare_list(state, now, sender, beat)
     if not is_known or _live_incarnation(state, now, name) not in (previous_incarnation, None):
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_status.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_status.py
@@ -83,10 +83,10 @@
 def _own_status(state: State, local_members: list[Member]) -> Word:
     return Word(
         data_centre=state.me.data_centre,
-        relay=self_key(state),
+        relay_key=self_key(state),
         seq=state.members.seq,
         members_hash=hash_members(local_members),
-        live=len(local_members),
+        live_members=len(local_members),
         settings_offset=min(member.settings_offset for member in local_members),
     )
 
@@ -131,7 +131,7 @@
     centre = centres.get(status.data_centre)
     if centre is None:
         centre = centres[status.data_centre] = RemoteCentre(status.data_centre)
-    if status.seq <= centre.seqs.get(status.relay, -1):
+    if status.seq <= centre.seqs.get(status.relay_key, -1):
         return []
     _record_seq(centre, status)
     if now < state.members.trust_after:
@@ -145,8 +145,8 @@
 
 def _record_seq(centre: RemoteCentre, status: Word) -> None:
     # Last position, so that the counter of the most recent relay is dropped last.
-    centre.seqs.pop(status.relay, None)
-    centre.seqs[status.relay] = status.seq
+    centre.seqs.pop(status.relay_key, None)
+    centre.seqs[status.relay_key] = status.seq
     while len(centre.seqs) > _RELAY_COUNTERS_MAX:
         del centre.seqs[next(iter(centre.seqs))]
 
--- a/packages/turmericweir-core/turmericweir_core/membership/relays.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/relays.py
@@ -46,7 +46,7 @@
     """
     ranked = sorted(
         members,
-        key=lambda member: (member.strength, rendezvous_weight(duty, member.name)),
+        key=lambda member: (member.machine_capacity, rendezvous_weight(duty, member.name)),
         reverse=True,
     )
     return ranked[:count]
--- a/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
@@ -127,7 +127,9 @@
 def is_registry_overdue(state: State, now: float) -> bool:
     """Return whether this instance has received no servers for too long."""
     times = state.options.store
-    overdue_s = times.servers_late_s + times.servers_spread_s * _fallback_position(state)
+    overdue_s = times.servers_fallback_s + times.servers_fallback_spread_s * _fallback_position(
+        state
+    )
     return now - state.registry.read_at > overdue_s
 
 
@@ -142,7 +144,9 @@
     if document is None or is_reader(state, now):
         return True
     times = state.options.store
-    overdue_s = times.settings_late_s + times.settings_spread_s * _fallback_position(state)
+    overdue_s = times.settings_fallback_s + times.settings_fallback_spread_s * _fallback_position(
+        state
+    )
     return now - document.proof_at > overdue_s
 
 
--- a/packages/turmericweir-core/turmericweir_core/messages/effects.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/effects.py
@@ -24,12 +24,12 @@
     # Number of tokens that the caller already has; the answer continues after them.
     resume_from: int = 0
     # Use a new connection, as another one has just become unresponsive.
-    fresh_connection: bool = False
+    needs_new_connection: bool = False
     # Use a new or recently verified connection, as the call must not be sent twice.
-    proven_connection: bool = False
+    needs_verified_connection: bool = False
     # Address of an engine whose cache holds parts of the prompt that this one lacks; empty for
     # none.
-    fetch_from: str = ""
+    fetch_from_address: str = ""
 
 
 class CancelAttempt(Struct, frozen=True):
@@ -66,7 +66,7 @@
     # The key of each record, for streams that retain the newest record of each key.
     keys: tuple[str, ...] = ()
     # Append only if the stream ends at this offset; None appends unconditionally.
-    at: int | None = None
+    expected_end: int | None = None
 
 
 class ReadLog(Struct, frozen=True):
@@ -77,7 +77,7 @@
     # Maximum number of records; None leaves it to the platform.
     limit: int | None = None
     # Read the newest record of each key instead of the records after the offset.
-    newest: bool = False
+    newest_by_key: bool = False
 
 
 class SendPeer(Struct, frozen=True):
@@ -103,7 +103,7 @@
     address: str
 
 
-class DistrustConnections(Struct, frozen=True):
+class RetireConnections(Struct, frozen=True):
     """Stop reusing the open connections to this address; requests in progress continue."""
 
     address: str
@@ -152,7 +152,7 @@
     not_after: float
 
 
-class AskWeights(Struct, frozen=True):
+class RequestLoadPermit(Struct, frozen=True):
     """Ask the weight store for permission to load a model."""
 
     model: str
@@ -166,7 +166,7 @@
     peer: InstanceName
 
 
-class SettleChange(Struct, frozen=True):
+class ReportVerdict(Struct, frozen=True):
     """Report the verdict on a change to the operator who submitted it."""
 
     change_id: str
@@ -208,13 +208,13 @@
     | SendPeer
     | SendDatagram
     | ProbeServer
-    | DistrustConnections
+    | RetireConnections
     | SendOrder
     | ReportUsage
     | OrderServers
-    | AskWeights
+    | RequestLoadPermit
     | DecodeDocument
-    | SettleChange
+    | ReportVerdict
     | Log
     | Count
     | Timing
--- a/packages/turmericweir-core/turmericweir_core/messages/events.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/events.py
@@ -15,7 +15,7 @@
 from turmericweir_core.base.ids import AttemptId, InstanceName, RequestId, ServerName
 from turmericweir_core.base.request import Request
 from turmericweir_core.messages.peer_messages import PeerMessage
-from turmericweir_core.records.claim_answer import KeptAnswer
+from turmericweir_core.records.claim_answer import StoredAnswer
 
 # --- callers ---------------------------------------------------------------------------------
 
@@ -40,7 +40,7 @@
 
     status: int
     # The answer, if the request has an idempotency key and the answer is small enough to store.
-    answer: KeptAnswer | None = None
+    answer: StoredAnswer | None = None
 
 
 class EndRefused(Struct, frozen=True):
@@ -88,7 +88,7 @@
     request_id: RequestId
     attempt_id: AttemptId
     # It is sent over a connection that was reused from an earlier request.
-    kept_connection: bool = False
+    reused_connection: bool = False
 
 
 class AttemptProgress(Struct):
@@ -128,7 +128,7 @@
     # Models that are being loaded.
     loading: tuple[str, ...] = ()
     # When the probe for this report was sent; long ago if another instance forwarded the report.
-    asked_at: float = float("-inf")
+    probe_sent_at: float = float("-inf")
 
 
 class ServerUnreachable(Struct, frozen=True):
@@ -152,11 +152,11 @@
 
 
 class CacheEvents(Struct, frozen=True):
-    """Cache events of one server, in order; with `gap`, earlier ones were lost."""
+    """Cache events of one server, in order; with `has_gap`, earlier ones were lost."""
 
     server: ServerName
     events: tuple[CacheEvent, ...]
-    gap: bool
+    has_gap: bool
 
 
 # --- platform --------------------------------------------------------------------------------
@@ -194,7 +194,7 @@
     stream: str
     records: tuple[LogRecord, ...]
     # Offset after the newest record that the platform had.
-    end: int
+    end_offset: int
 
 
 class LogNewest(Struct, frozen=True):
@@ -202,15 +202,15 @@
 
     stream: str
     records: tuple[LogRecord, ...]
-    end: int
+    end_offset: int
 
 
 class LogExpired(Struct, frozen=True):
     """The requested offset is older than the platform's retention."""
 
     stream: str
-    oldest: int
-    end: int
+    oldest_offset: int
+    end_offset: int
 
 
 class LogFailed(Struct, frozen=True):
@@ -226,8 +226,8 @@
     stream: str
     # The token that the `AppendRecords` effect carried.
     token: str
-    first: int
-    end: int
+    first_offset: int
+    end_offset: int
 
 
 class AppendFailed(Struct, frozen=True):
@@ -237,7 +237,7 @@
     token: str
     error: str
     # The append may have taken effect; only reading the stream shows it.
-    maybe: bool
+    may_have_applied: bool
 
 
 class OrderDone(Struct, frozen=True):
@@ -245,7 +245,7 @@
 
     server: ServerName
     token: str
-    ok: bool
+    is_accepted: bool
     # The server refused the order because of an outdated fencing number.
     stale_fence: bool
     error: str = ""
@@ -299,7 +299,7 @@
     # The document as it was written.
     raw: bytes
     # When the request for it was sent; None if it came from a peer.
-    asked_at: float | None
+    requested_at: float | None
     # The peer that sent it; empty if it came from the store.
     peer: str = ""
 
@@ -307,7 +307,7 @@
 class DocumentConfirmed(Struct, frozen=True):
     """A read of the store found no newer document."""
 
-    asked_at: float
+    requested_at: float
 
 
 class DocumentUnreadable(Struct, frozen=True):
@@ -325,7 +325,7 @@
     # Entries that were removed.
     removed: tuple[tuple[ServerName, int], ...] = ()
     # The entries are the complete list.
-    whole: bool = False
+    is_complete: bool = False
 
 
 class EntryUnreadable(Struct, frozen=True):
--- a/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
@@ -18,11 +18,11 @@
 
     data_centre: str
     # The key of the relay, and its heartbeat counter at the time of sending.
-    relay: int
+    relay_key: int
     seq: int
     # Hash of the keys of the live members.
     members_hash: int
-    live: int
+    live_members: int
     # The lowest offset of the settings in force among the live members.
     settings_offset: int
 
@@ -60,25 +60,25 @@
     # Hash of the keys of the roster of the sender's data centre.
     members_hash: int = 0
     # Hash of the sender's cluster and region.
-    tag: int = 0
+    cluster_hash: int = 0
     # The sender's key: a hash of its name, incarnation and `leaving`.
-    key: int = 0
+    sender_key: int = 0
     # Digests of the leaving notices and of the platform's list, and the age of that list; -1 if the
     # sender has none.
-    marks_hash: int = 0
+    notices_hash: int = 0
     servers_hash: int = 0
     servers_age_s: int = -1
     # The highest offset of settings known to the sender in its data centre.
     newest_offset: int = 0
     counters: str = ""
     # How far the offset of each member is below the newest, at most 127; empty if none is.
-    lags: str = ""
+    offset_lags: str = ""
     # Key, counter and lag of each member, one after the other.
     entries: list[int] = []
-    words: list[Word] = []
-    marks: list[Mark] = []
+    status_messages: list[Word] = []
+    leaving_notices: list[Mark] = []
     # Capacity of the sender's machine for relaying; 0 if omitted.
-    strength: int = 0
+    machine_capacity: int = 0
 
 
 class MemberRecord(Struct, frozen=True, array_like=True):
@@ -91,8 +91,8 @@
     incarnation: str
     leaving: bool
     # Earlier incarnations of this member, as far as the sender knows.
-    former: list[str] = []
-    strength: int = 0
+    earlier_incarnations: list[str] = []
+    machine_capacity: int = 0
 
 
 class MembersAsk(Struct, frozen=True, array_like=True):
@@ -118,7 +118,7 @@
 class MarksSend(Struct, frozen=True, array_like=True):
     """All leaving notices of the sender."""
 
-    marks: list[Mark] = []
+    leaving_notices: list[Mark] = []
 
 
 class ServersAsk(Struct, frozen=True, array_like=True):
@@ -156,7 +156,7 @@
 
     version: int
     # Identifies this request in the answer.
-    number: int
+    request_number: int
 
 
 class DocumentSend(Struct, frozen=True, array_like=True):
@@ -171,7 +171,7 @@
 
     version: int
     # Number of the request that this answers.
-    number: int
+    request_number: int
     age_s: float
 
 
@@ -199,7 +199,7 @@
     server: str
     # For each prompt without a first token: prefill time, rank, and time since it was sent;
     # milliseconds.
-    works: list[list[int]]
+    prefills: list[list[int]]
     # Requests whose answer has begun.
     running: int
     # Tokens of these requests.
@@ -212,9 +212,9 @@
     server: str
     part: str
     tokens: int
-    read: bool
+    is_prefilled: bool
     # How long it counts as being prefilled.
-    for_ms: int
+    prefill_ms: int
 
 
 class DemandRow(Struct, frozen=True, array_like=True):
@@ -222,12 +222,12 @@
 
     target: str
     # Work of requests that tolerate long prompts on the same engine, and of those that do not.
-    long_ms_s: int
-    quick_ms_s: int
+    long_prompt_ms_s: int
+    short_prompt_ms_s: int
     # The most urgent rank with a request that has waited too long at the sender.
-    late_rank: int | None = None
+    overdue_rank: int | None = None
     # Work of medium prompts: they tolerate no long prompts beside them, and delay shorter ones.
-    middle_ms_s: int = 0
+    medium_prompt_ms_s: int = 0
 
 
 class LoadNews(Struct, frozen=True, array_like=True):
@@ -240,21 +240,21 @@
     parts: list[SentPart] = []
     demand: list[DemandRow] = []
     # The sender has no load on servers without a row; if false, their load is unchanged.
-    whole: bool = True
+    is_complete: bool = True
 
 
 class BundledNews(Struct, frozen=True, array_like=True):
     """A forwarded load update, with its origin and the time it was delayed."""
 
     origin: str
-    news: LoadNews
-    held_ms: int
+    update: LoadNews
+    delay_ms: int
 
 
 class LoadBundle(Struct, frozen=True, array_like=True):
     """Load updates that a relay has collected from its group and from other relays."""
 
-    news: list[BundledNews]
+    updates: list[BundledNews]
 
 
 class CachesAsk(Struct, frozen=True, array_like=True):
@@ -286,7 +286,7 @@
     # Requests that could go to this server; a waiting request is counted for several servers.
     waiting: int
     # Waiting requests that may preempt less urgent work here; each is counted for one server only.
-    pressed: int = 0
+    displacing: int = 0
 
 
 class CreditDemand(Struct, frozen=True, array_like=True):
@@ -331,13 +331,13 @@
     server: str
     # The newest demand that the dispatcher had received; `ttl_s` counts from its sending.
     demand_seq: int
-    number: int
+    grant_number: int
     ttl_s: float
     # Demand exceeds the capacity; the receiver must report every change of its demand.
-    contended: bool
+    is_contended: bool
     # Attempts of tiers numbered above `displace_above` are preempted until this many are left; None
     # for no preemption.
-    keep: int | None
+    attempts_to_keep: int | None
     displace_above: int
     tiers: list[TierGrant] = []
     # Present only if it is new to the receiver.
@@ -405,7 +405,7 @@
     request_id: str
     # Incarnation of the voting process.
     voter: str
-    agreed: bool
+    is_agreed: bool
     # If not agreed: the request that holds the key according to the voter, and its instance.
     holder: str = ""
     holder_fingerprint: str = ""
@@ -413,7 +413,7 @@
     holder_incarnation: str = ""
     holder_address: str = ""
     # The holder's claim is in the log.
-    in_log: bool = False
+    is_in_log: bool = False
 
 
 class ClaimRelease(Struct, frozen=True, array_like=True):
@@ -477,7 +477,7 @@
     age_s: float
     # Requests that were in flight, and those of them that were sent only after the crash.
     suspects: list[Sighting] = []
-    late: list[Sighting] = []
+    sent_after_crash: list[Sighting] = []
     # Fingerprints of requests that completed later, through any instance.
     cleared: list[str] = []
     # The server was alive in the same incarnation afterwards: it was not a crash.
@@ -517,14 +517,14 @@
     server: str
     fingerprint: str
     # The connection broke: the server may have crashed.
-    broken: bool = False
+    connection_broke: bool = False
 
 
 class ModelUse(Struct, frozen=True, array_like=True):
     """Running and waiting requests of a model on one instance, averaged since the last report."""
 
     model: str
-    busy: float
+    running: float
     waiting: int
 
 
--- a/packages/turmericweir-core/turmericweir_core/placement/admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/admission.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct, field
 
-from turmericweir_core.base.config import Policy
+from turmericweir_core.base.config import PlacementPolicy
 from turmericweir_core.base.request import Request
 from turmericweir_core.engines import engine_pools
 from turmericweir_core.membership.subset import open_servers
@@ -48,9 +48,9 @@
 
 def decide(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
     """Decide whether a new request may wait for a server."""
-    if state.config.policy is Policy.BASELINE:
+    if state.config.policy is PlacementPolicy.BASELINE:
         return _decide_baseline(state, req)
-    if state.config.policy is Policy.PREDICTED:
+    if state.config.policy is PlacementPolicy.PREDICTED:
         return _decide_predicted(state, now, req, pool)
     wait_s = predicted_wait_s(state, now, req, pool)
     if _is_wait_acceptable(state, now, req, wait_s) and not _is_queue_full(state, req):
@@ -154,7 +154,7 @@
     """
     load = pool_load(state.pool_loads, pool)
     unservable: list[UnservableRequest] = []
-    if state.config.policy is Policy.PREDICTED:
+    if state.config.policy is PlacementPolicy.PREDICTED:
         return unservable
     for queue in queue_state.pool_queues(state.queues, pool):
         rate = (
--- a/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
@@ -16,7 +16,7 @@
 
 from typing import TYPE_CHECKING
 
-from turmericweir_core.base.config import Policy
+from turmericweir_core.base.config import PlacementPolicy
 from turmericweir_core.base.ids import ServerName
 from turmericweir_core.base.request import Attempt, CancelReason, Request
 from turmericweir_core.credits.credit_holder import goes_by_counts
@@ -39,16 +39,16 @@
 
     The server gets no new work until its pace shows that it has recovered.
     """
-    attempt.late_gaps += 1
+    attempt.consecutive_late_gaps += 1
     was_late_before = straggler.is_repeated_gap(state.stragglers, now, attempt.server, gap_s)
     straggler.note_overdue_token(state.stragglers, now, attempt.server)
-    if attempt.late_gaps < state.options.move_late_gaps and not was_late_before:
+    if attempt.consecutive_late_gaps < state.options.move_late_gaps and not was_late_before:
         return []
     if not _can_move(state, req, attempt) or not _would_move_help(state, now, req, attempt, gap_s):
         return []
     if not spend_retry(state, now, req):
         return []
-    req.moved = True
+    req.was_moved = True
     effects: list[Effect] = [Count(f"moved.{req.service_class.name}")]
     if straggler.stop_straggler(
         state.stragglers, state.options, now, attempt.pool, attempt.server, gap_s
@@ -59,11 +59,11 @@
 
 
 def _can_move(state: State, req: Request, attempt: Attempt) -> bool:
-    if attempt.cancelled is not None or req.moved or not req.repeatable:
+    if attempt.cancelled is not None or req.was_moved or not req.repeatable:
         return False
-    if req.sends_max is not None and req.sends >= req.sends_max:
+    if req.sends_max is not None and req.sent_attempts >= req.sends_max:
         return False
-    return req.tries < state.options.attempts_max
+    return req.counted_attempts < state.options.attempts_max
 
 
 def _would_move_help(
@@ -100,7 +100,7 @@
             continue
         peer = state.servers.by_name.get(running_attempt.server)
         if peer is not None and peer.service.name == server.service.name:
-            is_in_time = now - running_attempt.last_token_at <= running_attempt.gap_late_s
+            is_in_time = now - running_attempt.last_token_at <= running_attempt.late_gap_s
             in_time_by_server[running_attempt.server] = is_in_time or in_time_by_server.get(
                 running_attempt.server, False
             )
@@ -114,7 +114,7 @@
 def _has_server_with_room(state: State, now: float, req: Request, attempt: Attempt) -> bool:
     return any(
         server.entry.name != attempt.server
-        and server.entry.name not in req.avoid
+        and server.entry.name not in req.failed_servers
         and not straggler.has_overdue_token(state.stragglers, state.options, now, server.entry.name)
         and (headroom(state, now, server, req.priority) > 0 or _can_get_credit(state, now, server))
         for server in open_servers(state, now, req.target)
@@ -127,7 +127,7 @@
     Without contention an instance holds only the credit it uses, so missing credit does not mean
     that the server is full.
     """
-    if state.config.policy is not Policy.CREDITS:
+    if state.config.policy is not PlacementPolicy.CREDITS:
         return False
     if straggler.server_weight(state.stragglers, server.entry.name) < 1.0:
         return False
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
@@ -10,10 +10,10 @@
 from math import inf
 from typing import TYPE_CHECKING, assert_never
 
-from turmericweir_core.base.config import Kind, Policy
+from turmericweir_core.base.config import PlacementPolicy, ServiceKind
 from turmericweir_core.base.ids import ServerName
 from turmericweir_core.base.request import Attempt, CancelReason, Request
-from turmericweir_core.base.tiers import most_urgent
+from turmericweir_core.base.tiers import most_urgent_configured_tier
 from turmericweir_core.engines import engine_model, engine_pools
 from turmericweir_core.messages.effects import Count, Effect, Log, Timing
 from turmericweir_core.messages.events import (
@@ -46,11 +46,11 @@
     pool_load.note_start(pool_load.pool_load(state.pool_loads, pool), attempt.tier)
     work_by_server = state.predicted_work
     server = state.servers.by_name.get(attempt.server)
-    if server is not None and state.config.policy is Policy.PREDICTED:
+    if server is not None and state.config.policy is PlacementPolicy.PREDICTED:
         engine_model.record_started(state, now, req, attempt, server)
-    if req.kind is Kind.MODEL:
+    if req.kind is ServiceKind.MODEL:
         work_by_server[attempt.server] = work_by_server.get(attempt.server, 0.0) + attempt.work
-        attempt.gap_late_s = req.service_class.token_gap_target_s or inf
+        attempt.late_gap_s = req.service_class.token_gap_target_s or inf
         prefix.note_sent(state.prefixes, state.options, now, attempt.server, req.prefixes)
 
 
@@ -60,7 +60,7 @@
     pool_load.note_end(load, attempt.tier)
     displacement.record_displaced_end(state, attempt.cancelled, attempt.pool)
     engine_model.record_ended(state, attempt)
-    if req.kind is not Kind.MODEL:
+    if req.kind is not ServiceKind.MODEL:
         return
     work_by_server = state.predicted_work
     work_left = work_by_server.get(attempt.server, 0.0) - attempt.work
@@ -69,7 +69,7 @@
     if server is not None:
         straggler.sample_end(state.stragglers, state.options, server.service.name, attempt)
     if attempt.tokens >= _PACE_MIN_TOKENS:
-        pool_load.note_pace(load, state.options, now - attempt.started, float(attempt.tokens))
+        pool_load.note_pace(load, state.options, now - attempt.started_at, float(attempt.tokens))
 
 
 def record_outcome(state: State, now: float, attempt: Attempt, end: AttemptEnd) -> None:
@@ -78,7 +78,7 @@
         case EndComplete(status=status):
             failed = status >= _SERVER_ERROR_STATUS_MIN
         case EndCancelled():
-            if attempt.cancelled not in (CancelReason.SILENT, CancelReason.SERVER_DEAD):
+            if attempt.cancelled not in (CancelReason.UNRESPONSIVE, CancelReason.SERVER_DEAD):
                 return
             failed = True
         case EndRefused() | EndUnsent() | EndBroken() | EndServerError():
@@ -92,7 +92,7 @@
     """Count the end of an attempt by server, and time complete answers."""
     effects: list[Effect] = [Count(f"attempt.{_end_name(attempt, end)}.{attempt.server}")]
     if isinstance(end, EndComplete):
-        effects.append(Timing(f"attempt.completed.{attempt.server}", now - attempt.started))
+        effects.append(Timing(f"attempt.completed.{attempt.server}", now - attempt.started_at))
     return effects
 
 
@@ -118,11 +118,11 @@
 def record_completed(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
     """Learn from an attempt with a complete answer."""
     options = state.options
-    if req.kind is Kind.MODEL:
-        if attempt.first_token_at is not None and state.config.policy is Policy.PREDICTED:
+    if req.kind is ServiceKind.MODEL:
+        if attempt.first_token_at is not None and state.config.policy is PlacementPolicy.PREDICTED:
             engine_pools.record_generated(state, req, now - attempt.first_token_at)
         return predict.note_length(state.predictor, options, req)
-    elapsed_s = now - attempt.started
+    elapsed_s = now - attempt.started_at
     load = pool_load.pool_load(state.pool_loads, attempt.pool)
     pool_load.note_pace(load, options, elapsed_s, 1.0)
     server = state.servers.by_name.get(attempt.server)
@@ -136,10 +136,10 @@
 def record_first_token(state: State, now: float, req: Request, attempt: Attempt) -> None:
     """Learn from the first token of an attempt."""
     engine_model.record_first_token(state, now, req, attempt)
-    if attempt.tier != most_urgent(state.config):
+    if attempt.tier != most_urgent_configured_tier(state.config):
         # Lower tiers wait at the engine behind upper ones, which says nothing about its limit.
         return
-    waited_s = now - attempt.started
+    waited_s = now - attempt.started_at
     target_s = req.service_class.target_s
     concurrency.note_first_token(
         state.server_limits, state.options, attempt.server, waited_s, target_s
@@ -151,13 +151,13 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Sample running attempts, judge servers by them, and adapt their limits."""
-    if state.config.policy is Policy.BASELINE:
+    if state.config.policy is PlacementPolicy.BASELINE:
         return []
     if not straggler.begin_sampling(state.stragglers, state.options, now):
         return []
-    urgent = most_urgent(state.config)
+    urgent = most_urgent_configured_tier(state.config)
     for req in state.requests.values():
-        if req.attempt is not None and req.kind is Kind.MODEL:
+        if req.attempt is not None and req.kind is ServiceKind.MODEL:
             server = state.servers.by_name.get(req.attempt.server)
             if server is not None:
                 straggler.sample_attempt(
--- a/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
@@ -64,7 +64,7 @@
     if attempt.last_token_at is not None:
         return now - attempt.last_token_at >= _UNRESPONSIVE_S
     predicted_ms = engine_model.predicted_ms(state, attempt) or 0.0
-    return now - attempt.started >= max(_UNRESPONSIVE_S, _PREDICTED_FACTOR * predicted_ms / _MS)
+    return now - attempt.started_at >= max(_UNRESPONSIVE_S, _PREDICTED_FACTOR * predicted_ms / _MS)
 
 
 def on_answered(state: State, now: float, name: ServerName) -> None:
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -10,10 +10,10 @@
 
 from typing import Final
 
-from turmericweir_core.base.config import Kind, Policy
-from turmericweir_core.base.ids import InstanceName, ServerName, Target, attempt_id
-from turmericweir_core.base.request import Attempt, CancelReason, Phase, Request
-from turmericweir_core.base.tiers import most_urgent
+from turmericweir_core.base.config import PlacementPolicy, ServiceKind
+from turmericweir_core.base.ids import InstanceName, ServerName, Target, make_attempt_id
+from turmericweir_core.base.request import Attempt, CancelReason, Request, RequestPhase
+from turmericweir_core.base.tiers import most_urgent_configured_tier
 from turmericweir_core.credits import credit
 from turmericweir_core.engines import engine_model
 from turmericweir_core.membership import subset
@@ -37,7 +37,7 @@
 
 def wait_for_server(state: State, req: Request, *, front: bool = False) -> None:
     """Enqueue a request."""
-    req.phase = Phase.WAITING
+    req.phase = RequestPhase.WAITING
     queue_state.enqueue(
         state.queues,
         req,
@@ -55,7 +55,7 @@
     pool = queue_state.pool_of(state.queues, target)
     if pool is None:
         return []
-    if state.config.policy is not Policy.BASELINE:
+    if state.config.policy is not PlacementPolicy.BASELINE:
         queue_state.move_overdue(state.queues, now)
     effects = _bind_waiting(state, now, pool)
     # Local lower work is displaced before other instances are asked to displace theirs.
@@ -88,7 +88,7 @@
 
 
 def _bind_next(state: State, now: float, pool: str) -> list[Effect]:
-    if state.config.policy is Policy.PREDICTED:
+    if state.config.policy is PlacementPolicy.PREDICTED:
         return _bind_first_placeable(state, now, pool)
     for queue in _serving_order(state, pool):
         req = queue.head()
@@ -116,9 +116,9 @@
 
 
 def _serving_order(state: State, pool: str) -> list[queue_state.ClassQueue]:
-    if state.config.policy is Policy.BASELINE:
+    if state.config.policy is PlacementPolicy.BASELINE:
         nonempty = queue_state.pool_queues(state.queues, pool)
-        return sorted(nonempty, key=lambda queue: queue.head().arrived)
+        return sorted(nonempty, key=lambda queue: queue.head().arrived_at)
     return queue_state.queues_in_order(state.queues, pool)
 
 
@@ -128,13 +128,13 @@
     A class served by its assured share runs at the most urgent tier. Prevents its request from
     waiting at the engine behind upper work, or from being displaced at once.
     """
-    if state.config.policy is Policy.BASELINE:
-        return most_urgent(state.config)
+    if state.config.policy is PlacementPolicy.BASELINE:
+        return most_urgent_configured_tier(state.config)
     tier = queue.service_class.priority
     if queue_state.has_earned_next(queue) and queue_state.has_upper_waiting(
         state.queues, pool, tier
     ):
-        return most_urgent(state.config)
+        return most_urgent_configured_tier(state.config)
     return tier
 
 
@@ -142,17 +142,17 @@
     state: State, now: float, req: Request, server: Server, *, tier: int | None = None
 ) -> list[Effect]:
     """Start an attempt of a request on a server."""
-    name = attempt_id(req.request_id, req.attempts)
+    name = make_attempt_id(req.request_id, req.attempts)
     req.attempts += 1
     attempt = Attempt(name, server.entry.name, now, tier=req.priority if tier is None else tier)
     attempt.incarnation = reported_incarnation(server)
     req.attempt = attempt
-    req.phase = Phase.RUNNING
+    req.phase = RequestPhase.RUNNING
     server.in_flight[name] = attempt.tier
     server.sent_count += 1
     effects: list[Effect] = []
     fetch_from = ""
-    if state.config.policy is Policy.PREDICTED:
+    if state.config.policy is PlacementPolicy.PREDICTED:
         fetch = engine_model.best_fetch(state, req, server)
         fetch_from = "" if fetch is None else fetch.address
         details = predicted_placement.explain(state, now, req, server)
@@ -168,10 +168,10 @@
             server=server.entry.name,
             address=server.entry.address,
             priority=_scheduling_rank(req, attempt),
-            resume_from=req.delivered if req.kind is Kind.MODEL else 0,
-            fresh_connection=req.went_silent or _needs_fresh_connection(req),
-            proven_connection=not req.repeatable,
-            fetch_from=fetch_from,
+            resume_from=req.delivered if req.kind is ServiceKind.MODEL else 0,
+            needs_new_connection=req.had_unresponsive_attempt or _needs_fresh_connection(req),
+            needs_verified_connection=not req.repeatable,
+            fetch_from_address=fetch_from,
         ),
     ]
 
@@ -182,7 +182,7 @@
     Prevents the loss of a non-repeatable plain call on a dead connection, after which its caller
     cannot learn whether it ran.
     """
-    return req.kind is Kind.PLAIN and not req.repeatable
+    return req.kind is ServiceKind.PLAIN and not req.repeatable
 
 
 def _scheduling_rank(req: Request, attempt: Attempt) -> int:
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -14,8 +14,8 @@
 from collections.abc import Iterable, Iterator
 from typing import TYPE_CHECKING
 
-from turmericweir_core.base.config import Kind, Policy
-from turmericweir_core.base.ids import Target, request_of
+from turmericweir_core.base.config import PlacementPolicy, ServiceKind
+from turmericweir_core.base.ids import Target, request_id_of
 from turmericweir_core.base.request import CancelReason, Request
 from turmericweir_core.credits.credit_holder import excess, is_assured
 from turmericweir_core.membership.subset import open_servers
@@ -31,7 +31,7 @@
 
 def running_to_displace(state: State, now: float, pool: str) -> Request | None:
     """Return the running request to displace for what waits in a pool, or None."""
-    if state.config.policy in (Policy.BASELINE, Policy.PREDICTED):
+    if state.config.policy in (PlacementPolicy.BASELINE, PlacementPolicy.PREDICTED):
         # Under the predicted policy engines know the tiers and preempt by themselves.
         return None
     load = pool_load(state.pool_loads, pool)
@@ -62,7 +62,7 @@
         for server in preferred_servers(open_servers(state, now, head.target), head)
         if headroom(state, now, server, tier) == 0
         for req in displaceable(state, server, tier)
-        if req.attempt is not None and req.attempt.started <= started_before
+        if req.attempt is not None and req.attempt.started_at <= started_before
     )
 
 
@@ -88,12 +88,12 @@
 
 def displaceable(state: State, server: Server, tier: int) -> Iterator[Request]:
     """Yield the requests on a server that may be displaced for a tier."""
-    if server.service.kind is not Kind.MODEL:
+    if server.service.kind is not ServiceKind.MODEL:
         return
     for name, running_tier in server.in_flight.items():
         if running_tier <= tier or is_assured(state, server, running_tier):
             continue
-        req = state.requests.get(request_of(name))
+        req = state.requests.get(request_id_of(name))
         if req is None or req.attempt is None or req.attempt.attempt_id != name:
             continue
         if req.attempt.cancelled is None and req.repeatable:
@@ -115,7 +115,7 @@
 
 def _ending_requests(state: State, server: Server) -> Iterator[Request]:
     for name in server.in_flight:
-        req = state.requests.get(request_of(name))
+        req = state.requests.get(request_id_of(name))
         if req is not None and req.attempt is not None and req.attempt.cancelled is not None:
             yield req
 
@@ -141,7 +141,7 @@
 
 def record_displaced(state: State, req: Request, pool: str) -> None:
     """Record the displacement of an attempt."""
-    req.displaced += 1
+    req.displaced_attempts += 1
     pool_load(state.pool_loads, pool).displacing += 1
 
 
--- a/packages/turmericweir-core/turmericweir_core/placement/placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/placement.py
@@ -21,10 +21,10 @@
 from math import ceil, floor
 from typing import TYPE_CHECKING, assert_never
 
-from turmericweir_core.base.config import Kind, Policy
+from turmericweir_core.base.config import PlacementPolicy, ServiceKind
 from turmericweir_core.base.ids import Target
 from turmericweir_core.base.request import Request
-from turmericweir_core.base.tiers import most_urgent
+from turmericweir_core.base.tiers import most_urgent_configured_tier
 from turmericweir_core.credits import credit
 from turmericweir_core.credits.credit_holder import covered_room, goes_by_counts
 from turmericweir_core.membership.subset import open_servers, sharing_instances
@@ -44,10 +44,10 @@
 
 def pick_server(state: State, now: float, req: Request, tier: int) -> Server | None:
     """Pick the server for a request that is to run at a tier, or None where it has to wait."""
-    if state.config.policy is Policy.BASELINE:
+    if state.config.policy is PlacementPolicy.BASELINE:
         return _pick_baseline(preferred_servers(servers_for(state.servers, req.target, now), req))
     candidates = preferred_servers(open_servers(state, now, req.target), req)
-    if state.config.policy is Policy.PREDICTED:
+    if state.config.policy is PlacementPolicy.PREDICTED:
         return predicted_placement.pick(state, now, req, tier, candidates)
     probe = _straggler_to_probe(state, now, req, candidates)
     if probe is not None:
@@ -87,7 +87,7 @@
 
     Prevents all instances from sending their queues to a server that has just become idle.
     """
-    if state.config.policy is not Policy.COUNTS:
+    if state.config.policy is not PlacementPolicy.COUNTS:
         return loads
     return [pair for pair in loads if _remaining_share(state, now, pair[1]) > 0]
 
@@ -149,11 +149,11 @@
         # A stopped straggler gets only probes.
         return NO_HEADROOM
     match state.config.policy:
-        case Policy.BASELINE:
+        case PlacementPolicy.BASELINE:
             return 2 * server.slots - len(server.in_flight)
-        case Policy.COUNTS | Policy.PREDICTED:
+        case PlacementPolicy.COUNTS | PlacementPolicy.PREDICTED:
             return _counts_headroom(state, now, server, tier)
-        case Policy.CREDITS:
+        case PlacementPolicy.CREDITS:
             if goes_by_counts(state, now, server):
                 return _cautious_headroom(state, now, server, tier)
             return covered_room(state, now, server, tier)
@@ -201,14 +201,14 @@
 
 
 def _counts_headroom(state: State, now: float, server: Server, tier: int) -> int:
-    most_urgent_tier = most_urgent(state.config)
+    most_urgent_tier = most_urgent_configured_tier(state.config)
     weighted_slots = max(1, floor(usable_slots(state, server) * _pace_weight(state, server)))
     slots = weighted_slots + state.options.slack_slots
-    if server.service.kind is Kind.MODEL and tier == most_urgent_tier:
+    if server.service.kind is ServiceKind.MODEL and tier == most_urgent_tier:
         # The engine preempts lower tiers for it, so only requests of its own tier take up room.
         return slots - sum(1 for running_tier in server.in_flight.values() if running_tier <= tier)
     free_slots = slots - len(server.in_flight) - others_load(state, now, server)
-    if server.service.kind is Kind.PLAIN and tier > most_urgent_tier:
+    if server.service.kind is ServiceKind.PLAIN and tier > most_urgent_tier:
         # A running plain call cannot be preempted, so some slots are reserved for the most urgent
         # tier.
         free_slots -= ceil(state.options.reserve_share * weighted_slots)
@@ -231,7 +231,7 @@
     """Return the headroom by counts, limited to a small share of the server."""
     share = state.options.credit_fallback_share
     limit = max(1, int(usable_slots(state, server) * share))
-    if tier == most_urgent(state.config):
+    if tier == most_urgent_configured_tier(state.config):
         # Lower work of this instance must not block the most urgent tier.
         used = sum(1 for running_tier in server.in_flight.values() if running_tier <= tier)
     else:
@@ -249,7 +249,7 @@
 
     An answer that was moved never probes, since it cannot move again if the server is still slow.
     """
-    if req.moved:
+    if req.was_moved:
         return None
     for server in candidates:
         if _pace_weight(state, server) > 0.0:
@@ -281,7 +281,7 @@
 
 def must_probe(state: State, now: float, server: Server) -> bool:
     """Return whether a server should be asked for its load."""
-    if state.config.policy is Policy.CREDITS:
+    if state.config.policy is PlacementPolicy.CREDITS:
         return credit.must_probe(state, now, server)
     if server.report is None or server.entry.name in state.subsets.used_servers:
         return True
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
@@ -13,9 +13,9 @@
 
 from typing import TYPE_CHECKING, Final
 
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.request import Request
-from turmericweir_core.base.tiers import rank_of
+from turmericweir_core.base.tiers import scheduling_rank
 from turmericweir_core.engines import engine_model, engine_pools
 from turmericweir_core.membership.subset import open_servers
 from turmericweir_core.placement import predicted_placement
@@ -33,7 +33,7 @@
 def wait_s(state: State, now: float, req: Request, pool: str) -> float:
     """Return how long a new request is predicted to wait for its first token, in seconds."""
     servers = open_servers(state, now, req.target)
-    if not servers or servers[0].service.kind is not Kind.MODEL:
+    if not servers or servers[0].service.kind is not ServiceKind.MODEL:
         return 0.0
     service = servers[0].service
     engines = engine_pools.engines_for(state, now, req, servers)
@@ -41,7 +41,7 @@
     work = sum(
         _queued_ms(state, engines, queue)
         for queue in queue_state.pool_queues(state.queues, pool)
-        if rank_of(queue.service_class) <= rank_of(req.service_class)
+        if scheduling_rank(queue.service_class) <= scheduling_rank(req.service_class)
         and engine_pools.tolerates_long_prompts(state, queue.service_class, service) == is_long
     )
     ahead = work * max(1, state.subsets.instances) / len(engines)
@@ -87,7 +87,10 @@
 
 def _is_least_urgent(state: State, req: Request) -> bool:
     queues = queue_state.target_classes(state.queues, req.target)
-    return all(rank_of(queue.service_class) <= rank_of(req.service_class) for queue in queues)
+    return all(
+        scheduling_rank(queue.service_class) <= scheduling_rank(req.service_class)
+        for queue in queues
+    )
 
 
 def retry_after(state: State, now: float, req: Request, predicted_wait_s: float) -> float:
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
@@ -18,9 +18,9 @@
 
 from msgspec import Struct
 
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.request import Request
-from turmericweir_core.base.tiers import rank_of
+from turmericweir_core.base.tiers import scheduling_rank
 from turmericweir_core.engines import engine_model, engine_pools
 from turmericweir_core.membership.subset import open_servers, rendezvous_weight
 from turmericweir_core.queueing import urgent_first
@@ -60,7 +60,7 @@
     """Return the server for a request that is to run at a tier, or None where it has to wait."""
     if not candidates:
         return None
-    if candidates[0].service.kind is Kind.MODEL:
+    if candidates[0].service.kind is ServiceKind.MODEL:
         return _pick_engine(state, now, req, tier, candidates)
     return _pick_plain(state, now, candidates)
 
@@ -108,14 +108,16 @@
     """
     if engine_pools.tolerates_long_prompts(state, req.service_class, engines_of_kind[0].service):
         return False
-    return now - req.arrived >= _SPILL_WAIT_SHARE * req.service_class.target_s
+    return now - req.arrived_at >= _SPILL_WAIT_SHARE * req.service_class.target_s
 
 
 def _best_engine(state: State, now: float, req: Request, candidates: list[Server]) -> _EngineChoice:
     holdings = engine_model.holdings_of(state, req, candidates[0])
     choices = [_evaluate(state, now, req, server, holdings) for server in candidates]
     home = max(candidates, key=lambda server: rendezvous_weight(_hash_key(req), server.entry.name))
-    left_ms = (req.service_class.target_s * state.options.in_time_share - (now - req.arrived)) * _MS
+    left_ms = (
+        req.service_class.target_s * state.options.in_time_share - (now - req.arrived_at)
+    ) * _MS
     least_uncached = min(choice.uncached_tokens for choice in choices)
     spare_ms = state.options.spare_wait_share * req.service_class.target_s * _MS
 
@@ -144,7 +146,7 @@
             saved_tokens = fetched_tokens = fetch.tokens
             fetch_ms = engine_model.fetch_ms(options, server, fetch)
     own_ms = engine_model.own_work_ms(state, record, req, saved_tokens) + fetch_ms
-    wait_ms = engine_model.waiting_ms(record, now, rank_of(req.service_class))
+    wait_ms = engine_model.waiting_ms(record, now, scheduling_rank(req.service_class))
     return _EngineChoice(
         server=server,
         begin_ms=_cost_ms(state, now, server, wait_ms + own_ms),
@@ -195,7 +197,7 @@
         and engine_model.tokens_at(record, now) + engine_model.final_tokens(req) > memory_tokens
     ):
         return False
-    wait_ms = engine_model.waiting_ms(record, now, rank_of(req.service_class))
+    wait_ms = engine_model.waiting_ms(record, now, scheduling_rank(req.service_class))
     return wait_ms <= _wait_limit_s(state, now, req, server) * _MS
 
 
@@ -208,7 +210,7 @@
     limit = state.options.engine_wait_share * req.service_class.target_s
     if engine_pools.tolerates_long_prompts(state, req.service_class, server.service):
         return limit
-    return limit + now - req.arrived
+    return limit + now - req.arrived_at
 
 
 def _cost_ms(state: State, now: float, server: Server, begin_ms: float) -> float:
@@ -235,18 +237,20 @@
         "peers_told": len(update_ages_s),
         "oldest_news_ms": round(max(update_ages_s, default=0.0) * _MS),
         "excess_failures": round(excess_failures(state.reliability, now, name), 3),
-        "waited_ms": round((now - req.arrived) * _MS),
+        "waited_ms": round((now - req.arrived_at) * _MS),
         "left_ms": round((req.deadline - now) * _MS),
         "settings_version": state.settings_offset(),
     }
-    if server.service.kind is Kind.MODEL:
+    if server.service.kind is ServiceKind.MODEL:
         fields["read_tokens"] = engine_model.uncached_tokens(record, req)
         fields["least_read"] = min(
             engine_model.uncached_tokens(engine_model.book_of(state, each.entry.name), req)
             for each in open_servers(state, now, req.target)
         )
         fields["prompt_tokens"] = req.prompt_tokens
-        fields["wait_ms"] = round(engine_model.waiting_ms(record, now, rank_of(req.service_class)))
+        fields["wait_ms"] = round(
+            engine_model.waiting_ms(record, now, scheduling_rank(req.service_class))
+        )
         fields["reading_engines"] = engine_pools.prefill_engine_count(state, req.target)
         fields["reading"] = engine_pools.prompt_kind(state, req, server.service).value
         holdings = engine_model.holdings_of(state, req, server)
--- a/packages/turmericweir-core/turmericweir_core/queueing/displacement_delay.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/displacement_delay.py
@@ -20,7 +20,7 @@
     wait_s = displacement_wait(options, queue.service_class.target_s)
     ready_count = 0
     for req in queue.waiting():
-        if ready_count >= count_max or now - req.arrived < wait_s:
+        if ready_count >= count_max or now - req.arrived_at < wait_s:
             break
         ready_count += 1
     return ready_count
--- a/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
@@ -13,7 +13,7 @@
 from typing import TYPE_CHECKING, Final
 
 from turmericweir_core.base.ids import InstanceName, Target
-from turmericweir_core.base.tiers import rank_of
+from turmericweir_core.base.tiers import scheduling_rank
 from turmericweir_core.state import queue_state
 
 if TYPE_CHECKING:
@@ -30,7 +30,7 @@
 def late_rank(state: State, now: float, target: Target) -> int | None:
     """Return the most urgent rank of which a request has waited here for too long."""
     late_ranks = [
-        rank_of(queue.service_class)
+        scheduling_rank(queue.service_class)
         for queue in queue_state.target_classes(state.queues, target)
         if _is_late(queue, now)
     ]
@@ -41,7 +41,9 @@
     """Return whether a queue has a request that has waited for too long."""
     oldest = next(iter(queue.on_time.values()), None)
     limit_s = _LATE_SHARE * queue.service_class.target_s
-    return bool(queue.overdue_requests) or (oldest is not None and now - oldest.arrived >= limit_s)
+    return bool(queue.overdue_requests) or (
+        oldest is not None and now - oldest.arrived_at >= limit_s
+    )
 
 
 def record_late_rank(
@@ -78,7 +80,7 @@
 
 def must_wait_for_urgent(state: State, now: float, req: Request) -> bool:
     """Return whether a request must wait for more urgent ones, here or at a peer."""
-    own_rank = rank_of(req.service_class)
+    own_rank = scheduling_rank(req.service_class)
     if _is_served_by_share(state, req):
         return False
     local_late_rank = late_rank(state, now, req.target)
--- a/packages/turmericweir-core/turmericweir_core/records/claim_answer.py
+++ b/packages/turmericweir-core/turmericweir_core/records/claim_answer.py
@@ -15,7 +15,7 @@
 from turmericweir_core.records.claim_record import ClaimEnd
 
 
-class KeptAnswer(Struct, frozen=True):
+class StoredAnswer(Struct, frozen=True):
     """A whole answer of a plain service, small enough to store."""
 
     status: int
@@ -23,22 +23,22 @@
     body: bytes
 
 
-class KeptEnd(Struct, frozen=True):
+class StoredEnd(Struct, frozen=True):
     """The end of a call on this instance, with its answer if that was stored."""
 
     end: ClaimEnd
-    answer: KeptAnswer | None
+    answer: StoredAnswer | None
 
 
 class AnswerStore(Struct):
     """The newest ends of calls with a key on this instance, by request id, oldest first."""
 
-    entries: OrderedDict[str, KeptEnd] = field(default_factory=OrderedDict)
+    entries: OrderedDict[str, StoredEnd] = field(default_factory=OrderedDict)
     # Size of all stored answers, bytes.
     size: int = 0
 
 
-def keep_end(store: AnswerStore, options: Options, request_id: str, stored_end: KeptEnd) -> None:
+def store_end(store: AnswerStore, options: Options, request_id: str, stored_end: StoredEnd) -> None:
     """Store the end of a call, and drop the oldest ends above the limits on number and size."""
     store.entries[request_id] = stored_end
     store.size += _size_bytes(stored_end)
@@ -49,7 +49,7 @@
         too_many = len(store.entries) > options.claim_answers_max
 
 
-def _size_bytes(stored_end: KeptEnd) -> int:
+def _size_bytes(stored_end: StoredEnd) -> int:
     answer = stored_end.answer
     if answer is None:
         return 0
--- a/packages/turmericweir-core/turmericweir_core/records/claim_record.py
+++ b/packages/turmericweir-core/turmericweir_core/records/claim_record.py
@@ -2,8 +2,8 @@
 
 One record holds everything that an instance writes in one append: claims of idempotency keys,
 withdrawals of claims whose call never ran, ends of calls that ran, and claims that are carried
-forward before the log drops their records. They apply in the order of the fields of `Batch`. Only
-`encode` and `decode` depend on the stored format.
+forward before the log drops their records. They apply in the order of the fields of `ClaimBatch`.
+Only `encode` and `decode` depend on the stored format.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from turmericweir_core.base.account import Outcome
 from turmericweir_core.base.reasons import Reason
 from turmericweir_core.base.request import Request
-from turmericweir_core.records.record_field import text_field, whole_field
+from turmericweir_core.records.record_field import require_int, require_text
 
 CLAIMS_STREAM: Final = "claims"
 # Hex digits of a key's hash that are used: 128 bits make collisions negligible.
@@ -30,7 +30,7 @@
 UNKNOWN_VIEW: Final = -2
 
 
-class Writer(Struct, frozen=True):
+class RecordWriter(Struct, frozen=True):
     """The process that wrote a record; a restart is a new writer with the same name."""
 
     instance: str
@@ -75,7 +75,7 @@
     """A claim that is written again because its record is about to leave the log."""
 
     claim: NewClaim
-    holder: Writer
+    holder: RecordWriter
     # Offset and time of the original claim; carrying does not renew it.
     claimed_at: int
     at_ms: int
@@ -88,7 +88,7 @@
     """A claim that the writer agreed to, whose request may have run without a record in the log."""
 
     claim: NewClaim
-    holder: Writer
+    holder: RecordWriter
     at_ms: int
 
 
@@ -97,17 +97,17 @@
 
     # Epoch of the view that it replaces; the change is valid only if that view is the newest.
     follows: int
-    members: tuple[Writer, ...]
+    members: tuple[RecordWriter, ...]
     # All claims that the writer agreed to in the replaced view.
     agreed: tuple[AgreedClaim, ...] = ()
     # An operator confirms that no member of that view is alive; the writer need not be one.
     replaces: bool = False
 
 
-class Batch(Struct, frozen=True):
+class ClaimBatch(Struct, frozen=True):
     """One record of the stream."""
 
-    writer: Writer
+    writer: RecordWriter
     # Increases with each append of an incarnation; readers use it to detect a delayed one.
     number: int
     # The writer's wall clock; 0 if it has none.
@@ -124,19 +124,19 @@
     claims: tuple[NewClaim, ...] = ()
     # The view known to the writer, and its members if they are repeated here.
     epoch: int = NO_VIEW
-    members: tuple[Writer, ...] | None = None
+    members: tuple[RecordWriter, ...] | None = None
     # The writer asks to join the view.
     join: bool = False
     change: ViewChange | None = None
 
 
-def key_of(req: Request) -> str:
+def claim_key_of(req: Request) -> str:
     """Return the hash of a request's idempotency key, scoped by its customer and service."""
     scoped = "\0".join((req.customer, req.target, req.idempotency_key or ""))
     return sha256(scoped.encode()).hexdigest()[:KEY_DIGITS]
 
 
-def time_of(request_id: str) -> int:
+def uuid7_time_ms(request_id: str) -> int:
     """Return the time of a UUIDv7 in milliseconds, or 0 for any other id."""
     try:
         return int(request_id.replace("-", "")[:UUID7_TIME_DIGITS], 16)
@@ -144,7 +144,7 @@
         return 0
 
 
-def encode(batch: Batch) -> dict[str, Any]:
+def encode(batch: ClaimBatch) -> dict[str, Any]:
     """Return a batch as the JSON object that is appended."""
     row = {
         "by": _writer_row(batch.writer),
@@ -170,27 +170,29 @@
 
 
 # Any: the value is arbitrary JSON from the log.
-def decode(value: Any) -> Batch | None:
+def decode(value: Any) -> ClaimBatch | None:
     """Return the validated batch; None for a malformed record, which every reader skips."""
     try:
-        return Batch(
+        return ClaimBatch(
             writer=_parse_writer(value["by"]),
-            number=whole_field(value["n"]),
-            at_ms=whole_field(value["at"]),
-            clocks=tuple((text_field(name), whole_field(clock)) for name, clock in value["clocks"]),
-            upto=whole_field(value["upto"]),
-            floor=whole_field(value["floor"]),
+            number=require_int(value["n"]),
+            at_ms=require_int(value["at"]),
+            clocks=tuple(
+                (require_text(name), require_int(clock)) for name, clock in value["clocks"]
+            ),
+            upto=require_int(value["upto"]),
+            floor=require_int(value["floor"]),
             carried=tuple(_parse_carried(row) for row in value["carried"]),
             withdrawn=tuple(
-                Withdrawal(text_field(key), text_field(request_id))
+                Withdrawal(require_text(key), require_text(request_id))
                 for key, request_id in value["withdrawn"]
             ),
             ends=tuple(
-                EndRecord(text_field(key), text_field(request_id), _parse_end(end))
+                EndRecord(require_text(key), require_text(request_id), _parse_end(end))
                 for key, request_id, end in value["ends"]
             ),
             claims=tuple(_parse_claim(row) for row in value["claims"]),
-            epoch=whole_field(value.get("epoch", NO_VIEW)),
+            epoch=require_int(value.get("epoch", NO_VIEW)),
             members=_parse_members(value["members"]) if "members" in value else None,
             join=bool(value.get("join", False)),
             change=_parse_change(value["change"]) if "change" in value else None,
@@ -199,7 +201,7 @@
         return None
 
 
-def _writer_row(writer: Writer) -> list[str]:
+def _writer_row(writer: RecordWriter) -> list[str]:
     return [writer.instance, writer.incarnation, writer.address]
 
 
@@ -231,26 +233,26 @@
     ]
 
 
-def _parse_writer(row: Any) -> Writer:
+def _parse_writer(row: Any) -> RecordWriter:
     instance, incarnation, address = row
-    return Writer(text_field(instance), text_field(incarnation), text_field(address))
+    return RecordWriter(require_text(instance), require_text(incarnation), require_text(address))
 
 
 def _parse_claim(row: Any) -> NewClaim:
     key, fingerprint, request_id = row
-    return NewClaim(text_field(key), text_field(fingerprint), text_field(request_id))
+    return NewClaim(require_text(key), require_text(fingerprint), require_text(request_id))
 
 
 def _parse_end(row: Any) -> ClaimEnd:
     outcome, reason, status = row
     return ClaimEnd(
-        Outcome(outcome), _parse_reason(reason), None if status is None else whole_field(status)
+        Outcome(outcome), _parse_reason(reason), None if status is None else require_int(status)
     )
 
 
 def _parse_reason(value: Any) -> Reason:
     try:
-        return Reason(text_field(value))
+        return Reason(require_text(value))
     except ValueError:
         # A newer release may define more reasons. Skipping its record would also skip the claims in
         # it, and this instance would run a key that is claimed elsewhere.
@@ -262,24 +264,24 @@
     return CarriedClaim(
         claim=_parse_claim(claim),
         holder=_parse_writer(holder),
-        claimed_at=whole_field(claimed_at),
-        at_ms=whole_field(at_ms),
+        claimed_at=require_int(claimed_at),
+        at_ms=require_int(at_ms),
         unsure=bool(unsure),
         end=None if end is None else _parse_end(end),
     )
 
 
-def _parse_members(rows: Any) -> tuple[Writer, ...]:
+def _parse_members(rows: Any) -> tuple[RecordWriter, ...]:
     return tuple(_parse_writer(row) for row in rows)
 
 
 def _parse_change(row: Any) -> ViewChange:
     follows, members, agreed, replaces = row
     return ViewChange(
-        follows=whole_field(follows),
+        follows=require_int(follows),
         members=_parse_members(members),
         agreed=tuple(
-            AgreedClaim(_parse_claim(claim), _parse_writer(holder), whole_field(at_ms))
+            AgreedClaim(_parse_claim(claim), _parse_writer(holder), require_int(at_ms))
             for claim, holder, at_ms in agreed
         ),
         replaces=bool(replaces),
--- a/packages/turmericweir-core/turmericweir_core/records/lease_record.py
+++ b/packages/turmericweir-core/turmericweir_core/records/lease_record.py
@@ -12,14 +12,14 @@
 
 from msgspec import Struct
 
-from turmericweir_core.records.record_field import text_field, whole_field
+from turmericweir_core.records.record_field import require_int, require_text
 
 LEASES_STREAM: Final = "leases"
 # The `fence` of a grant whose writer has read no earlier lease.
 NO_OFFSET: Final = -1
 
 
-class Scope(Struct, frozen=True, order=True):
+class LeaseScope(Struct, frozen=True, order=True):
     """The subject of a lease: the servers of a service in a data centre."""
 
     service: str
@@ -29,7 +29,7 @@
         return f"{self.service}/{self.data_centre}"
 
 
-class Act(StrEnum):
+class LeaseAction(StrEnum):
     """The action of a record."""
 
     # Begins a lease; the offset of the record is the fencing number of the lease.
@@ -43,8 +43,8 @@
 class LeaseRecord(Struct, frozen=True):
     """One record of the stream."""
 
-    act: Act
-    scope: Scope
+    act: LeaseAction
+    scope: LeaseScope
     instance: str
     incarnation: str
     # Increases with each record of an incarnation; identifies a record whose acknowledgement was
@@ -82,13 +82,13 @@
     try:
         instance, incarnation = value["by"]
         return LeaseRecord(
-            act=Act(value["act"]),
-            scope=Scope(text_field(value["service"]), text_field(value["data_centre"])),
-            instance=text_field(instance),
-            incarnation=text_field(incarnation),
-            number=whole_field(value["n"]),
-            upto=whole_field(value["upto"]),
-            fence=whole_field(value["fence"]),
+            act=LeaseAction(value["act"]),
+            scope=LeaseScope(require_text(value["service"]), require_text(value["data_centre"])),
+            instance=require_text(instance),
+            incarnation=require_text(incarnation),
+            number=require_int(value["n"]),
+            upto=require_int(value["upto"]),
+            fence=require_int(value["fence"]),
             lease_s=_duration_field(value["lease_s"]),
             note=value.get("note"),
         )
--- a/packages/turmericweir-core/turmericweir_core/records/record_field.py
+++ b/packages/turmericweir-core/turmericweir_core/records/record_field.py
@@ -9,14 +9,14 @@
 from typing import Any
 
 
-def text_field(value: Any) -> str:
+def require_text(value: Any) -> str:
     """Return the value if it is a string, else raise `TypeError`."""
     if not isinstance(value, str):
         raise TypeError(f"not a string: {value!r}")
     return value
 
 
-def whole_field(value: Any) -> int:
+def require_int(value: Any) -> int:
     """Return the value if it is a whole number, else raise `TypeError`."""
     if not isinstance(value, int) or isinstance(value, bool):
         raise TypeError(f"not a whole number: {value!r}")
--- a/packages/turmericweir-core/turmericweir_core/records/settings_model.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_model.py
@@ -29,17 +29,17 @@
 from returns.result import Failure, Result, Success
 
 from turmericweir_core.base import config
-from turmericweir_core.base.config import NO_LIMIT, Config, Kind, Limit, Policy
+from turmericweir_core.base.config import NO_LIMIT, Config, Limit, PlacementPolicy, ServiceKind
 from turmericweir_core.base.ids import ServerName, Target
 from turmericweir_core.records.settings_path import (
     ClassPath,
     CustomerPath,
     LimitPath,
+    LimitScope,
     ModelPath,
     OperatorPath,
     PolicyPath,
     Problem,
-    Scope,
     ServerPath,
     ServicePath,
     SettingsError,
@@ -188,7 +188,7 @@
     policy: Literal["baseline", "counts", "credits"]
 
 
-Value: TypeAlias = (
+SettingsValue: TypeAlias = (
     WrittenClass
     | WrittenLimit
     | WrittenCustomer
@@ -201,12 +201,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Entry:
+class SettingsEntry:
     """The value of a path, and the accepted change that set it."""
 
     # The offset of that change's record, plus one.
     version: int
-    value: Value
+    value: SettingsValue
     operator: str
     # Seconds since the epoch by the clock of the instance that took the change; for display only.
     at: float
@@ -217,7 +217,7 @@
         object.__setattr__(self, "written", written_form(self.value))
 
 
-def model_of(path: SettingsPath) -> type[Value]:
+def value_model(path: SettingsPath) -> type[SettingsValue]:
     """Return the model of the values under a path."""
     match path:
         case ClassPath():
@@ -239,19 +239,21 @@
     assert_never(path)
 
 
-def read_value(path: str, raw: object) -> Result[Value, SettingsError]:
+def read_value(path: str, raw: object) -> Result[SettingsValue, SettingsError]:
     """Return the validated value for a path, or the errors in it."""
-    return parse_path(path).bind(lambda parsed: _validate_value(path, model_of(parsed), raw))
+    return parse_path(path).bind(lambda parsed: _validate_value(path, value_model(parsed), raw))
 
 
-def _validate_value(path: str, model: type[Value], raw: object) -> Result[Value, SettingsError]:
+def _validate_value(
+    path: str, model: type[SettingsValue], raw: object
+) -> Result[SettingsValue, SettingsError]:
     try:
         return Success(model.model_validate(raw))
     except ValidationError as exc:
         return Failure(SettingsError(path, tuple(_problems(model, exc))))
 
 
-def _problems(model: type[Value], exc: ValidationError) -> list[Problem]:
+def _problems(model: type[SettingsValue], exc: ValidationError) -> list[Problem]:
     problems = []
     for error in exc.errors(include_url=False, include_context=False, include_input=False):
         field = ".".join(str(part) for part in error["loc"])
@@ -259,15 +261,15 @@
     return problems
 
 
-def _expected_text(model: type[Value], kind: str, message: str) -> str:
+def _expected_text(model: type[SettingsValue], kind: str, message: str) -> str:
     if kind == "extra_forbidden":
         return "no such field; expected " + ", ".join(model.model_fields)
     if kind == "model_type":
         return "expected an object with " + ", ".join(model.model_fields)
-    return explain(kind, message)
+    return validation_text(kind, message)
 
 
-def explain(kind: str, message: str) -> str:
+def validation_text(kind: str, message: str) -> str:
     """Return what was expected, in turmericweir's wording, for a validation error of pydantic."""
     if kind == "missing":
         return "expected this field, which is missing"
@@ -276,7 +278,7 @@
     return message.removeprefix("Value error, ").replace("Input should be", "expected")
 
 
-def written_form(value: Value) -> dict[str, Any]:
+def written_form(value: SettingsValue) -> dict[str, Any]:
     """Return a value as JSON, with only the fields that the operator wrote.
 
     Numbers have the form of their field's type, which gives `1` and `1.0` the same hash whichever
@@ -290,7 +292,7 @@
 
 def read_config(raw: Mapping[str, object], offset: int = 0) -> Result[Config, list[SettingsError]]:
     """Return the `Config` of the raw values by path, each validated on its own, or all errors."""
-    values: dict[str, Value] = {}
+    values: dict[str, SettingsValue] = {}
     errors: list[SettingsError] = []
     for path, value in raw.items():
         result = read_value(path, value)
@@ -301,7 +303,7 @@
     return Failure(errors) if errors else Success(build_config(values, offset))
 
 
-def build_config(values: Mapping[str, Value], offset: int = 0) -> Config:
+def build_config(values: Mapping[str, SettingsValue], offset: int = 0) -> Config:
     """Return the `Config` of validated values by path, at an offset of the settings log."""
     new_config = Config(offset=offset, policy=_policy(values))
     caps: dict[LimitPath, Limit] = {}
@@ -317,12 +319,16 @@
     return new_config
 
 
-def _policy(values: Mapping[str, Value]) -> Policy:
+def _policy(values: Mapping[str, SettingsValue]) -> PlacementPolicy:
     value = values.get(POLICY_PATH)
-    return Policy(value.policy) if isinstance(value, WrittenPolicy) else Policy.COUNTS
+    return (
+        PlacementPolicy(value.policy)
+        if isinstance(value, WrittenPolicy)
+        else PlacementPolicy.COUNTS
+    )
 
 
-def _add_value(new_config: Config, path: SettingsPath, value: Value) -> None:
+def _add_value(new_config: Config, path: SettingsPath, value: SettingsValue) -> None:
     match path, value:
         case ClassPath(name), WrittenClass():
             new_config.classes[name] = _class(name, value)
@@ -335,8 +341,8 @@
         case ServerPath(name), WrittenServer():
             new_config.servers[ServerName(name)] = _server(name, value)
         case ModelPath(name), WrittenModel():
-            want = config.ModelWant(name, value.version, value.min_servers, value.max_servers)
-            new_config.wants[name] = want
+            want = config.ModelReplicas(name, value.version, value.min_servers, value.max_servers)
+            new_config.model_replicas[name] = want
         case OperatorPath(name), WrittenOperator():
             operator = config.Operator(name, value.token_sha256, tuple(value.paths))
             new_config.operators[name] = operator
@@ -344,7 +350,7 @@
             # Applied by `build_config`, as a `Config` is frozen.
             pass
         case _:
-            # `model_of` determines the model of each path, which mypy cannot infer.
+            # `value_model` determines the model of each path, which mypy cannot infer.
             raise AssertionError(f"unexpected value of type {type(value).__name__} for {path}")
 
 
@@ -383,7 +389,7 @@
     )
     return config.Service(
         name=name,
-        kind=Kind(value.kind),
+        kind=ServiceKind(value.kind),
         models=tuple(value.models),
         rules=rules,
         slots=value.slots,
@@ -405,13 +411,13 @@
     """Apply the limits of `/limits`, which can only tighten the limits of teams and customers."""
     if not caps:
         return
-    default = caps.get(LimitPath(Scope.DEFAULT), NO_LIMIT)
+    default = caps.get(LimitPath(LimitScope.DEFAULT), NO_LIMIT)
     for name, customer in new_config.customers.items():
         own = default if customer.limit == NO_LIMIT else customer.limit
-        cap = caps.get(LimitPath(Scope.CUSTOMER, name), NO_LIMIT)
+        cap = caps.get(LimitPath(LimitScope.CUSTOMER, name), NO_LIMIT)
         new_config.customers[name] = replace(customer, limit=_tighter_limit(own, cap))
     for path, cap in caps.items():
-        if path.scope is Scope.TEAM:
+        if path.scope is LimitScope.TEAM:
             new_config.teams[path.name] = _tighter_limit(
                 new_config.teams.get(path.name, NO_LIMIT), cap
             )
@@ -435,6 +441,6 @@
         for digest in customer.token_digests:
             new_config.customers_by_token[digest] = customer
     for service in new_config.services.values():
-        targets = service.models if service.kind is Kind.MODEL else (service.name,)
+        targets = service.models if service.kind is ServiceKind.MODEL else (service.name,)
         for target in targets:
             new_config.service_by_target[Target(target)] = service
--- a/packages/turmericweir-core/turmericweir_core/records/settings_path.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_path.py
@@ -35,7 +35,7 @@
 )
 
 
-class Scope(StrEnum):
+class LimitScope(StrEnum):
     """The subject of a limit below `/limits`."""
 
     # Every customer without its own limit.
@@ -98,7 +98,7 @@
 class LimitPath:
     """A limit set above the teams, which a team cannot raise."""
 
-    scope: Scope
+    scope: LimitScope
     # Empty for the default.
     name: str = ""
 
@@ -160,7 +160,7 @@
     return Success(path)
 
 
-def covers(subtree: str, path: str) -> bool:
+def is_in_subtree(subtree: str, path: str) -> bool:
     """Return whether a path is the root of a subtree or lies below it."""
     root = subtree.rstrip("/")
     return path == root or path.startswith(root + "/")
@@ -211,9 +211,9 @@
 
 
 def _parse_limit_path(text: str) -> LimitPath | None:
-    if text == Scope.DEFAULT:
-        return LimitPath(Scope.DEFAULT)
+    if text == LimitScope.DEFAULT:
+        return LimitPath(LimitScope.DEFAULT)
     scope, _, name = text.partition(":")
-    if scope in (Scope.TEAM, Scope.CUSTOMER) and _NAME.fullmatch(name):
-        return LimitPath(Scope(scope), name)
+    if scope in (LimitScope.TEAM, LimitScope.CUSTOMER) and _NAME.fullmatch(name):
+        return LimitPath(LimitScope(scope), name)
     return None
--- a/packages/turmericweir-core/turmericweir_core/records/settings_record.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_record.py
@@ -12,10 +12,10 @@
 from pydantic import BaseModel, ConfigDict, Field, StringConstraints, TypeAdapter, ValidationError
 from returns.result import Failure, Result, Success
 
-from turmericweir_core.records.settings_model import explain
+from turmericweir_core.records.settings_model import validation_text
 from turmericweir_core.records.settings_verdict import VerdictKind
 
-STREAM: Final = "settings"
+SETTINGS_STREAM: Final = "settings"
 
 Offset = Annotated[int, Field(ge=0)]
 ChangeId = Annotated[str, StringConstraints(min_length=1, max_length=256)]
@@ -88,10 +88,10 @@
     except ValidationError as exc:
         first = exc.errors(include_url=False, include_context=False, include_input=False)[0]
         field = ".".join(str(part) for part in first["loc"])
-        expected = explain(first["type"], first["msg"])
+        expected = validation_text(first["type"], first["msg"])
         return Failure(f"{field}: {expected}" if field else expected)
 
 
-def log_form(record: SettingsRecord) -> dict[str, Any]:
+def record_json(record: SettingsRecord) -> dict[str, Any]:
     """Return a record as the JSON that is appended to the log."""
     return record.model_dump(mode="json")
--- a/packages/turmericweir-core/turmericweir_core/records/settings_refs.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_refs.py
@@ -17,8 +17,8 @@
 from typing import Final, TypeAlias
 
 from turmericweir_core.records.settings_model import (
-    Entry,
-    Value,
+    SettingsEntry,
+    SettingsValue,
     WrittenClass,
     WrittenCustomer,
     WrittenModel,
@@ -68,7 +68,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Need:
+class RequiredRef:
     """A field of a value that refers to another setting."""
 
     field: str
@@ -79,7 +79,7 @@
 Providers: TypeAlias = dict[Ref, str]
 
 
-def provided(path: SettingsPath, value: Value) -> frozenset[Ref]:
+def provided_refs(path: SettingsPath, value: SettingsValue) -> frozenset[Ref]:
     """Return the references that a value provides."""
     match path, value:
         case ClassPath(name), WrittenClass():
@@ -96,41 +96,44 @@
             return frozenset()
 
 
-def needed(path: SettingsPath, value: Value) -> list[Need]:
+def required_refs(path: SettingsPath, value: SettingsValue) -> list[RequiredRef]:
     """Return the references that a value needs."""
     match path, value:
         case CustomerPath(), WrittenCustomer():
             return [
-                Need(f"classes.{target}", Ref(RefKind.CLASS, name))
+                RequiredRef(f"classes.{target}", Ref(RefKind.CLASS, name))
                 for target, name in value.classes.items()
             ]
         case ServicePath(), WrittenService():
             return _refs_of_rules(value)
         case _, WrittenServer():
-            return [Need("service", Ref(RefKind.SERVICE, value.service))]
+            return [RequiredRef("service", Ref(RefKind.SERVICE, value.service))]
         case ModelPath(name), WrittenModel():
-            return [Need("", Ref(RefKind.MODEL, name))]
+            return [RequiredRef("", Ref(RefKind.MODEL, name))]
         case _:
             return []
 
 
-def _refs_of_rules(value: WrittenService) -> list[Need]:
+def _refs_of_rules(value: WrittenService) -> list[RequiredRef]:
     return [
-        Need(f"rules.{number}.service_class", Ref(RefKind.CLASS, rule.service_class))
+        RequiredRef(f"rules.{number}.service_class", Ref(RefKind.CLASS, rule.service_class))
         for number, rule in enumerate(value.rules)
         if rule.service_class is not None
     ]
 
 
 def check_refs(
-    entries: Mapping[str, Entry], providers: Providers, path: str, value: Value | None
+    entries: Mapping[str, SettingsEntry],
+    providers: Providers,
+    path: str,
+    value: SettingsValue | None,
 ) -> tuple[Problem, ...]:
     """Return the problems that setting a path to a value, or removing it, would cause."""
     parsed = parse_path(path).unwrap()
     old = entries.get(path)
-    before = provided(parsed, old.value) if old is not None else frozenset()
-    after = provided(parsed, value) if value is not None else frozenset()
-    needs = needed(parsed, value) if value is not None else []
+    before = provided_refs(parsed, old.value) if old is not None else frozenset()
+    after = provided_refs(parsed, value) if value is not None else frozenset()
+    needs = required_refs(parsed, value) if value is not None else []
     return (
         *_missing_refs(providers, needs),
         *_refs_set_elsewhere(providers, path, after),
@@ -138,7 +141,7 @@
     )
 
 
-def _missing_refs(providers: Providers, needs: Iterable[Need]) -> Iterable[Problem]:
+def _missing_refs(providers: Providers, needs: Iterable[RequiredRef]) -> Iterable[Problem]:
     for need in needs:
         if need.ref not in providers:
             expected = f"expected an existing {need.ref.kind}; there is no {need.ref}"
@@ -153,7 +156,7 @@
 
 
 def _refs_still_needed(
-    entries: Mapping[str, Entry], path: str, removed_refs: frozenset[Ref]
+    entries: Mapping[str, SettingsEntry], path: str, removed_refs: frozenset[Ref]
 ) -> Iterable[Problem]:
     lost_refs = {ref for ref in removed_refs if ref.kind in _NEEDABLE_KINDS}
     if not lost_refs:
@@ -161,15 +164,15 @@
     for other in sorted(entries):
         if other == path:
             continue
-        for need in needed(parse_path(other).unwrap(), entries[other].value):
+        for need in required_refs(parse_path(other).unwrap(), entries[other].value):
             if need.ref in lost_refs:
                 yield Problem("", f"{need.ref} is still used at {other}")
 
 
-def index_providers(entries: Mapping[str, Entry]) -> Providers:
+def index_providers(entries: Mapping[str, SettingsEntry]) -> Providers:
     """Return the path that provides each reference."""
     return {
         ref: path
         for path, entry in entries.items()
-        for ref in provided(parse_path(path).unwrap(), entry.value)
+        for ref in provided_refs(parse_path(path).unwrap(), entry.value)
     }
--- a/packages/turmericweir-core/turmericweir_core/records/settings_verdict.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_verdict.py
@@ -1,6 +1,6 @@
 """Verdicts on the records of the settings stream, as typed values.
 
-`describe` returns any of them as plain JSON for operators, logs and the history.
+`verdict_json` returns any of them as plain JSON for operators, logs and the history.
 """
 
 from __future__ import annotations
@@ -137,7 +137,7 @@
 Settlement: TypeAlias = ChangeVerdict | Repeated | NotAppended
 
 
-def kind_of(verdict: Verdict | NotAppended) -> VerdictKind:
+def verdict_kind(verdict: Verdict | NotAppended) -> VerdictKind:
     """Return the kind of a verdict."""
     return _KIND_BY_TYPE[type(verdict)]
 
@@ -156,8 +156,8 @@
 }
 
 
-def describe(verdict: Verdict | NotAppended) -> dict[str, Any]:
+def verdict_json(verdict: Verdict | NotAppended) -> dict[str, Any]:
     """Return a verdict as plain JSON."""
     fields = asdict(verdict)
     subject = fields.pop("subject", {})
-    return {"verdict": kind_of(verdict).value, **subject, **fields}
+    return {"verdict": verdict_kind(verdict).value, **subject, **fields}
--- a/packages/turmericweir-core/turmericweir_core/records/usage_note.py
+++ b/packages/turmericweir-core/turmericweir_core/records/usage_note.py
@@ -16,7 +16,7 @@
     counts: dict[int, dict[str, int]] = field(default_factory=dict)
 
 
-def write_note(note: UsageNote) -> dict[str, Any]:
+def encode_usage_note(note: UsageNote) -> dict[str, Any]:
     """Return a note as the JSON object that is stored."""
     return {
         "newest": note.newest,
@@ -25,7 +25,7 @@
 
 
 # Any: the value is arbitrary JSON from the store.
-def read_note(value: Any) -> UsageNote:
+def decode_usage_note(value: Any) -> UsageNote:
     """Return the validated note; an empty one if it is malformed or missing."""
     try:
         newest = value["newest"]
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
@@ -72,7 +72,7 @@
 from turmericweir_core.placement import dispatch
 from turmericweir_core.records.claim_record import CLAIMS_STREAM
 from turmericweir_core.records.lease_record import LEASES_STREAM
-from turmericweir_core.records.settings_record import STREAM as SETTINGS_STREAM
+from turmericweir_core.records.settings_record import SETTINGS_STREAM as SETTINGS_STREAM
 from turmericweir_core.reducers.reducer_common import (
     exit_when_done,
     reduce_common,
--- a/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
@@ -10,9 +10,9 @@
 from typing import assert_never
 
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Kind, Policy
+from turmericweir_core.base.config import PlacementPolicy, ServiceKind
 from turmericweir_core.base.reasons import Reason
-from turmericweir_core.base.request import Attempt, CancelReason, Phase, Request
+from turmericweir_core.base.request import Attempt, CancelReason, Request, RequestPhase
 from turmericweir_core.engines import engine_model
 from turmericweir_core.messages.effects import Count, Effect, Log, Timing
 from turmericweir_core.messages.events import (
@@ -43,8 +43,8 @@
     if req is None or req.attempt is None or req.attempt.attempt_id != event.attempt_id:
         return []
     req.attempt.sent = True
-    req.sends += 1
-    req.attempt.kept_connection = event.kept_connection
+    req.sent_attempts += 1
+    req.attempt.reused_connection = event.reused_connection
     return []
 
 
@@ -59,7 +59,7 @@
     if event.tokens == 0:
         # The caller does not read, so the missing tokens say nothing about the server.
         attempt.last_token_at = now if attempt.first_token_at is not None else None
-        attempt.late_gaps = 0
+        attempt.consecutive_late_gaps = 0
         return []
     quarantine.note_progress(state, attempt)
     previous_token_at = attempt.last_token_at
@@ -68,10 +68,10 @@
     req.delivered += event.tokens
     if previous_token_at is None:
         return _on_first_token(state, now, req, attempt)
-    attempt.longest_gap = max(attempt.longest_gap, now - previous_token_at)
-    attempt.worst_gap = max(attempt.worst_gap, now - previous_token_at)
-    if now - previous_token_at <= attempt.gap_late_s * event.tokens:
-        attempt.late_gaps = 0
+    attempt.tick_max_gap_s = max(attempt.tick_max_gap_s, now - previous_token_at)
+    attempt.max_gap_s = max(attempt.max_gap_s, now - previous_token_at)
+    if now - previous_token_at <= attempt.late_gap_s * event.tokens:
+        attempt.consecutive_late_gaps = 0
         return []
     return answer_moves.on_late_gap(
         state, now, req, attempt, (now - previous_token_at) / event.tokens
@@ -83,20 +83,22 @@
     predicted_ms = engine_model.predicted_ms(state, attempt)
     attempt_accounting.record_first_token(state, now, req, attempt)
     lost_connections.note_begun(state, now, attempt)
-    effects: list[Effect] = [Timing(f"attempt.first_token.{attempt.server}", now - attempt.started)]
+    effects: list[Effect] = [
+        Timing(f"attempt.first_token.{attempt.server}", now - attempt.started_at)
+    ]
     if predicted_ms is not None:
         ids = {"request_id": req.request_id, "peer": attempt.server}
         times = {
             "predicted_ms": round(predicted_ms),
-            "took_ms": round(1000 * (now - attempt.started)),
+            "took_ms": round(1000 * (now - attempt.started_at)),
         }
         effects.append(Log("begun", {**ids, **times}))
     if state.meter is not None:
         usage_meter.note_begun(state.meter, now, req, attempt)
     if req.first_token_at is None:
         req.first_token_at = now
-        effects.append(Timing(f"first_token.{req.service_class.name}", now - req.arrived))
-    if state.config.policy is Policy.PREDICTED and queue_state.has_waiting(
+        effects.append(Timing(f"first_token.{req.service_class.name}", now - req.arrived_at))
+    if state.config.policy is PlacementPolicy.PREDICTED and queue_state.has_waiting(
         state.queues, attempt.pool
     ):
         # Its parts are cached now; other requests may wait for that.
@@ -114,7 +116,7 @@
     effects = release(state, now, req, attempt)
     attempt_accounting.record_outcome(state, now, attempt, event.end)
     effects += attempt_accounting.count_end(now, attempt, event.end)
-    if state.config.policy is Policy.PREDICTED:
+    if state.config.policy is PlacementPolicy.PREDICTED:
         effects.append(_ended_log(now, req, attempt, event.end))
     req.attempt = None
     is_broken = isinstance(event.end, EndBroken)
@@ -127,7 +129,7 @@
 
 def _may_have_begun(req: Request, attempt: Attempt, end: AttemptEnd) -> bool:
     """Return whether the end of a plain call shows that its server may have begun it."""
-    if req.kind is Kind.MODEL or not attempt.sent:
+    if req.kind is ServiceKind.MODEL or not attempt.sent:
         return False
     return not isinstance(end, EndRefused | EndUnsent)
 
@@ -140,10 +142,10 @@
         "end": type(end).__name__,
         "cancelled": attempt.cancelled,
         "sent": attempt.sent,
-        "kept_connection": attempt.kept_connection,
+        "kept_connection": attempt.reused_connection,
         "events": attempt.tokens,
-        "worst_gap_ms": round(1000 * attempt.worst_gap),
-        "took_ms": round(1000 * (now - attempt.started)),
+        "worst_gap_ms": round(1000 * attempt.max_gap_s),
+        "took_ms": round(1000 * (now - attempt.started_at)),
     }
     return Log("attempt_ended", fields)
 
@@ -174,7 +176,7 @@
             if attempt.sent:
                 # A refusal does not count as a send. Prevents a call with a single send from ending
                 # at the first full server.
-                req.sends -= 1
+                req.sent_attempts -= 1
             uses_budget = not leaving or state.options.retry_pay_all
             return _retry_or_finish(
                 state, now, req, attempt, Reason.OVERLOAD, uses_budget=uses_budget
@@ -239,7 +241,7 @@
     if not req.repeatable:
         # A second run is not allowed.
         return finish(state, now, req, Outcome.UNKNOWN, Reason.EVIDENCE_LOST, server=attempt.server)
-    if req.kind is Kind.PLAIN and req.delivered:
+    if req.kind is ServiceKind.PLAIN and req.delivered:
         # The caller has part of the answer, and a second run could not be joined to it.
         return finish(state, now, req, Outcome.FAILED, reason, server=attempt.server)
     return _retry_or_finish(state, now, req, attempt, reason, uses_budget=uses_budget)
@@ -261,7 +263,7 @@
             return [count, *_requeue_stopped(state, now, req)]
         case CancelReason.MOVED:
             # The move paid from the retry budget, and only repeatable requests are moved.
-            req.avoid.add(attempt.server)
+            req.failed_servers.add(attempt.server)
             return _requeue_stopped(state, now, req)
         case CancelReason.SERVER_DEAD:
             quarantine.note_broken(state, now, req, attempt, alive=False)
@@ -269,9 +271,9 @@
             return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST)
         case CancelReason.QUARANTINED:
             return finish(state, now, req, Outcome.FAILED, Reason.QUARANTINED)
-        case CancelReason.SILENT | None if not attempt.sent:
+        case CancelReason.UNRESPONSIVE | None if not attempt.sent:
             return _retry_or_finish(state, now, req, attempt, Reason.NO_SERVER, uses_budget=False)
-        case CancelReason.SILENT:
+        case CancelReason.UNRESPONSIVE:
             quarantine.note_silent(state, now, req, attempt)
             # The retry was paid for when the attempt was suspected.
             return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST, uses_budget=False)
@@ -294,14 +296,14 @@
     state: State, now: float, req: Request, attempt: Attempt, reason: Reason, *, uses_budget: bool
 ) -> list[Effect]:
     """Requeue a request at the front of its queue if the rules for retries allow it."""
-    req.avoid.add(attempt.server)
+    req.failed_servers.add(attempt.server)
     if req.caller_left:
         return finish(state, now, req, unanswered_outcome(req), Reason.CALLER_LEFT)
     if now >= req.deadline and req.first_token_at is None:
         return finish(state, now, req, unanswered_outcome(req), Reason.DEADLINE)
-    if req.tries >= state.options.attempts_max:
+    if req.counted_attempts >= state.options.attempts_max:
         return finish(state, now, req, unanswered_outcome(req), reason, server=attempt.server)
-    if req.sends_max is not None and req.sends >= req.sends_max:
+    if req.sends_max is not None and req.sent_attempts >= req.sends_max:
         return finish(state, now, req, unanswered_outcome(req), reason, server=attempt.server)
     if uses_budget and not spend_retry(state, now, req):
         return finish(state, now, req, unanswered_outcome(req), reason, server=attempt.server)
@@ -311,7 +313,7 @@
 
 def _requeue(state: State, now: float, req: Request) -> None:
     """Put a request back into its queue, or hold it if it is a suspect."""
-    req.phase = Phase.WAITING
+    req.phase = RequestPhase.WAITING
     if isolated_runs.must_wait(state, now, req):
         isolated_runs.hold_after_crash(state, now, req)
     else:
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_agreement.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_agreement.py
@@ -15,7 +15,7 @@
 from turmericweir_core.membership.membership import live_instances
 from turmericweir_core.messages.effects import Count, Effect, SendPeer, Timing
 from turmericweir_core.messages.peer_messages import ClaimVote, ClaimVoteAsk
-from turmericweir_core.records.claim_record import NewClaim, Writer
+from turmericweir_core.records.claim_record import NewClaim, RecordWriter
 from turmericweir_core.requests import lifecycle
 from turmericweir_core.state.claim_state import Vote, Wait, drop_wait
 from turmericweir_core.state.state import State
@@ -95,7 +95,7 @@
     if own_vote is None or own_vote.claim.request_id != wait.request_id:
         return []
     req = state.requests[wait.request_id]
-    if not vote.agreed:
+    if not vote.is_agreed:
         return _handle_denial(state, now, wait, vote)
     wait.voters.add(vote.voter)
     if any(each.incarnation not in wait.voters for each in view.members):
@@ -115,7 +115,7 @@
     )
     if now >= req.deadline:
         return lifecycle.finish(state, now, req, Outcome.NOT_RUN, Reason.DEADLINE)
-    metrics: list[Effect] = [Count("claim.agreed"), Timing("claim", now - req.arrived)]
+    metrics: list[Effect] = [Count("claim.agreed"), Timing("claim", now - req.arrived_at)]
     return [*metrics, *lifecycle.admit(state, now, req)]
 
 
@@ -127,13 +127,13 @@
         # This claim may be in the log already, so it cannot yield to another.
         wait.is_denied = True
         return []
-    if vote.holder > wait.request_id and not vote.in_log:
+    if vote.holder > wait.request_id and not vote.is_in_log:
         # Of two concurrent requests the one with the lower id wins; the other yields.
         return []
     # It does not ask again. Prevents an agreement that is still in transit from counting.
     wait.has_yielded = True
     effects = release(state, wait.request_id, wait.key)
-    holder = Writer(vote.holder_instance, vote.holder_incarnation, vote.holder_address)
+    holder = RecordWriter(vote.holder_instance, vote.holder_incarnation, vote.holder_address)
     preferred_claim = NewClaim(wait.key, vote.holder_fingerprint, vote.holder)
     claims.votes[wait.key] = Vote(preferred_claim, holder)
     return effects
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
@@ -18,7 +18,7 @@
 from turmericweir_core.base.account import Outcome
 from turmericweir_core.base.ids import InstanceName, RequestId
 from turmericweir_core.base.reasons import Reason
-from turmericweir_core.base.request import Phase, Request
+from turmericweir_core.base.request import Request, RequestPhase
 from turmericweir_core.claims.claim_outbox import (
     flush,
     give_up_late,
@@ -54,8 +54,8 @@
     ClaimVote,
     ClaimVoteAsk,
 )
-from turmericweir_core.records.claim_answer import KeptEnd
-from turmericweir_core.records.claim_record import CLAIMS_STREAM, NewClaim, encode, key_of
+from turmericweir_core.records.claim_answer import StoredEnd
+from turmericweir_core.records.claim_record import CLAIMS_STREAM, NewClaim, claim_key_of, encode
 from turmericweir_core.requests import lifecycle
 from turmericweir_core.requests.claim_agreement import (
     ask_members,
@@ -80,11 +80,11 @@
 
 def on_arrived(state: State, now: float, req: Request) -> list[Effect]:
     """Start claiming the key of a request that lifecycle has admitted for it."""
-    if req.phase is not Phase.CLAIMING:
+    if req.phase is not RequestPhase.CLAIMING:
         return []
     # Prevents a call that waits until its claim expired from running beside another one.
     req.deadline = min(req.deadline, now + state.options.claim_retention_s / 2)
-    wait = Wait(req.request_id, key_of(req))
+    wait = Wait(req.request_id, claim_key_of(req))
     add_wait(state.claims, wait)
     return [*_settle_wait(state, now, wait), *flush(state, now)]
 
@@ -159,7 +159,7 @@
     state.claims.held_keys[wait.request_id] = wait.key
     if now >= req.deadline:
         return lifecycle.finish(state, now, req, Outcome.NOT_RUN, Reason.DEADLINE)
-    return [Timing("claim", now - req.arrived), *lifecycle.admit(state, now, req)]
+    return [Timing("claim", now - req.arrived_at), *lifecycle.admit(state, now, req)]
 
 
 # --- another holder --------------------------------------------------------------------------
@@ -188,10 +188,10 @@
     """End a request with what the log has about the holder."""
     if holder.end is None:
         return lifecycle.finish(state, now, req, Outcome.UNKNOWN, Reason.ALREADY_CLAIMED)
-    return _finish_with_end(state, now, req, KeptEnd(holder.end, None))
+    return _finish_with_end(state, now, req, StoredEnd(holder.end, None))
 
 
-def _finish_with_end(state: State, now: float, req: Request, kept_end: KeptEnd) -> list[Effect]:
+def _finish_with_end(state: State, now: float, req: Request, kept_end: StoredEnd) -> list[Effect]:
     """Send a caller the end of the request that ran for its key."""
     end = kept_end.end
     if end.outcome is not Outcome.COMPLETED:
@@ -294,8 +294,8 @@
     """Apply an acknowledged append if everything before it was read; else read up to it."""
     batch = on_done(state, event)
     effects: list[Effect] = []
-    if batch is not None and event.first == state.claims.ledger.offset:
-        effects += _apply_record(state, now, LogRecord(event.first, encode(batch)))
+    if batch is not None and event.first_offset == state.claims.ledger.offset:
+        effects += _apply_record(state, now, LogRecord(event.first_offset, encode(batch)))
     elif batch is not None:
         # Its meaning depends on earlier records of other instances.
         effects += read_on(state, now)
@@ -328,7 +328,7 @@
     for record in event.records:
         if record.offset == claims.ledger.offset:
             effects += _apply_record(state, now, record)
-    if claims.ledger.offset < event.end:
+    if claims.ledger.offset < event.end_offset:
         effects += read_on(state, now)
     if claims.read_failed:
         # The log responds again, so an append need not wait for its retry time.
@@ -376,12 +376,12 @@
     """Continue from the oldest record that is left."""
     claims = state.claims
     claims.reading_since = None
-    restart(claims.ledger, event.oldest)
+    restart(claims.ledger, event.oldest_offset)
     note_own_writer(claims.ledger, writer_of(state))
     # Acknowledged records in the gap are never read back.
     claims.outbox.acknowledged_appends.clear()
     claims.keys_to_evaluate |= set(claims.waiting)
-    fields = {"stream": CLAIMS_STREAM, "oldest": event.oldest}
+    fields = {"stream": CLAIMS_STREAM, "oldest": event.oldest_offset}
     return [Log("claims_gap", fields), *read_on(state, now)]
 
 
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -11,10 +11,10 @@
 from typing import assert_never
 
 from turmericweir_core.base.account import Account, Outcome
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.ids import RequestId, ServerName
 from turmericweir_core.base.reasons import MESSAGES, Reason
-from turmericweir_core.base.request import Attempt, CancelReason, Phase, Request
+from turmericweir_core.base.request import Attempt, CancelReason, Request, RequestPhase
 from turmericweir_core.claims.claim_end import follows_holder, note_finished
 from turmericweir_core.limits import limit
 from turmericweir_core.messages.effects import (
@@ -35,7 +35,7 @@
     pool_name,
     wait_for_server,
 )
-from turmericweir_core.records.claim_answer import KeptAnswer
+from turmericweir_core.records.claim_answer import StoredAnswer
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.account_store import store_account
 from turmericweir_core.state.predict import predict_tokens
@@ -55,18 +55,18 @@
     if refusal is not None:
         retry_after_s = instance_refusal.come_back_s(state, now, refusal)
         return finish(state, now, req, Outcome.NOT_RUN, refusal, retry_after_s=retry_after_s)
-    if req.kind is Kind.MODEL:
+    if req.kind is ServiceKind.MODEL:
         req.predicted_tokens = predict_tokens(state.predictor, state.options, req)
     refusal_effects = _refuse_barred(state, now, req)
     if refusal_effects:
         return refusal_effects
     effects = _decide_admission(state, now, req)
-    if req.phase is Phase.DONE:
+    if req.phase is RequestPhase.DONE:
         return effects
     earn_retry(state, now, req)
     if req.idempotency_key is not None and not req.repeatable:
         # `claim_flow` admits it once its key is claimed.
-        req.phase = Phase.CLAIMING
+        req.phase = RequestPhase.CLAIMING
         return effects
     return effects + admit(state, now, req)
 
@@ -118,7 +118,7 @@
 
 def admit(state: State, now: float, req: Request) -> list[Effect]:
     """Queue a request that passed every check, and dispatch."""
-    req.phase = Phase.WAITING
+    req.phase = RequestPhase.WAITING
     if isolated_runs.must_wait(state, now, req):
         isolated_runs.hold(state, req)
         return []
@@ -140,7 +140,7 @@
         queue_state.remove(state.queues, req)
         outcome = Outcome.UNKNOWN if follows_holder(state, req) else unanswered_outcome(req)
         return finish(state, now, req, outcome, Reason.CALLER_LEFT)
-    if not req.repeatable and req.kind is Kind.PLAIN:
+    if not req.repeatable and req.kind is ServiceKind.PLAIN:
         # It cannot be undone, and its account is useful to callers that ask for it later.
         return []
     return cancel(req, CancelReason.CALLER_LEFT)
@@ -223,14 +223,14 @@
         return cancel(req, CancelReason.DEADLINE)
     if attempt.cancelled is not None or not lost_connections.is_doubtful(state, now, req, attempt):
         return []
-    req.went_silent = True
+    req.had_unresponsive_attempt = True
     effects: list[Effect] = [Count(f"silence.doubted.{attempt.server}")]
     server = state.servers.by_name.get(attempt.server)
     if server is not None:
         # Only the connection is suspected. A probe over a new connection checks the server, and the
         # request goes on elsewhere meanwhile.
         effects.append(ProbeServer(attempt.server, server.entry.address))
-    return effects + cancel(req, CancelReason.SILENT)
+    return effects + cancel(req, CancelReason.UNRESPONSIVE)
 
 
 def unanswered_outcome(req: Request) -> Outcome:
@@ -253,10 +253,10 @@
     status: int | None = None,
     server: ServerName | None = None,
     retry_after_s: float | None = None,
-    answer: KeptAnswer | None = None,
+    answer: StoredAnswer | None = None,
 ) -> list[Effect]:
     """Create a request's account and remove the request."""
-    req.phase = Phase.DONE
+    req.phase = RequestPhase.DONE
     state.requests.pop(RequestId(req.request_id), None)
     isolated_runs.let_go(state, req.request_id)
     limit.settle(state, now, req, outcome)
@@ -274,12 +274,12 @@
         server=server or "",
         service_class=req.service_class.name,
         customer=req.customer,
-        elapsed_s=now - req.arrived,
+        elapsed_s=now - req.arrived_at,
     )
     store_account(state.accounts, state.options, now, account)
     return [
         *note_finished(state, now, account, answer),
         FinishRequest(account),
         Count(f"request.{outcome}.{req.service_class.name}"),
-        Timing(f"request.{req.service_class.name}", now - req.arrived),
+        Timing(f"request.{req.service_class.name}", now - req.arrived_at),
     ]
--- a/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
@@ -11,7 +11,7 @@
 from turmericweir_core.base.account import Outcome
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.reasons import Reason
-from turmericweir_core.base.request import CancelReason, Phase, Request
+from turmericweir_core.base.request import CancelReason, Request, RequestPhase
 from turmericweir_core.messages.effects import Count, Effect
 from turmericweir_core.messages.peer_messages import (
     CrashesAsk,
@@ -71,7 +71,7 @@
             if quarantine.refused_for(state, now, req.fingerprint) is not None:
                 # Prevents a crash of this server and everything else that runs there.
                 effects += dispatch.cancel(req, CancelReason.QUARANTINED)
-        elif req.phase is Phase.WAITING and _is_new_suspect(state, req):
+        elif req.phase is RequestPhase.WAITING and _is_new_suspect(state, req):
             queue_state.remove(state.queues, req)
             isolated_runs.hold(state, req)
     return effects
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
@@ -21,15 +21,15 @@
     Effect,
     Log,
     ReadLog,
-    SettleChange,
+    ReportVerdict,
 )
 from turmericweir_core.messages.events import AppendDone, AppendFailed, ChangeSubmitted
 from turmericweir_core.records.settings_record import (
-    STREAM,
+    SETTINGS_STREAM,
     ChangeRecord,
     SettingsRecord,
-    log_form,
     read_record,
+    record_json,
 )
 from turmericweir_core.records.settings_verdict import (
     Malformed,
@@ -66,7 +66,7 @@
     change = result.unwrap()
     seen = sync.settings.seen.get(event.change_id)
     if seen is not None:
-        return [SettleChange(event.change_id, _repeated_verdict(change, seen))]
+        return [ReportVerdict(event.change_id, _repeated_verdict(change, seen))]
     if len(sync.pending) >= options.change_pending_max:
         return [_rejection(event, "too many changes wait for the log; send it again later")]
     sync.pending[event.change_id] = PendingChange(change, submitted_at=now, tried_at=now)
@@ -74,7 +74,7 @@
 
 
 def _rejection(event: ChangeSubmitted, reason: str) -> Effect:
-    return SettleChange(event.change_id, NotAppended(event.change_id, event.path, reason))
+    return ReportVerdict(event.change_id, NotAppended(event.change_id, event.path, reason))
 
 
 def _build_record(sync: SettingsSync, event: ChangeSubmitted) -> Result[ChangeRecord, str]:
@@ -118,7 +118,7 @@
 
 
 def _append(change: ChangeRecord) -> Effect:
-    return AppendRecords(STREAM, change.change_id, (log_form(change),))
+    return AppendRecords(SETTINGS_STREAM, change.change_id, (record_json(change),))
 
 
 def on_append_done(sync: SettingsSync, event: AppendDone) -> list[Effect]:
@@ -128,9 +128,9 @@
         return []
     pending.in_flight = False
     pending.may_be_in_log = True
-    pending.offset = event.first
+    pending.offset = event.first_offset
     offset = settings_read_offset(sync)
-    return [ReadLog(STREAM, offset)] if offset <= event.first else []
+    return [ReadLog(SETTINGS_STREAM, offset)] if offset <= event.first_offset else []
 
 
 def on_append_failed(sync: SettingsSync, now: float, event: AppendFailed) -> list[Effect]:
@@ -139,14 +139,14 @@
     if pending is None:
         return []
     pending.in_flight = False
-    pending.may_be_in_log = pending.may_be_in_log or event.maybe
+    pending.may_be_in_log = pending.may_be_in_log or event.may_have_applied
     pending.tried_at = now
     fields = {
         "step": "append",
         "peer": "platform",
         "change_id": event.token,
         "error": event.error,
-        "maybe": event.maybe,
+        "maybe": event.may_have_applied,
     }
     return [Log("settings_append_failed", fields), Count("settings.append_failed")]
 
@@ -195,7 +195,7 @@
 def _settle_pending(sync: SettingsSync, change_id: str, verdict: Settlement) -> list[Effect]:
     if sync.pending.pop(change_id, None) is None:
         return []
-    return [SettleChange(change_id, verdict)]
+    return [ReportVerdict(change_id, verdict)]
 
 
 def settle_from_snapshot(sync: SettingsSync) -> list[Effect]:
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_dry_run.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_dry_run.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from turmericweir_core.messages.events import LogRecord
-from turmericweir_core.records.settings_record import ChangeRecord, log_form
+from turmericweir_core.records.settings_record import ChangeRecord, record_json
 from turmericweir_core.records.settings_verdict import Verdict
 from turmericweir_core.state.settings_state import (
     SettingsState,
@@ -38,4 +38,4 @@
         at=0.0,
         authority="bootstrap",
     )
-    return apply(state_copy, LogRecord(state_copy.offset, log_form(change)))
+    return apply(state_copy, LogRecord(state_copy.offset, record_json(change)))
