--- a/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
@@ -19,7 +19,7 @@
 from turmericweir_core.messages.effects import Count, Effect, Log, SendPeer
 from turmericweir_core.messages.events import LogExpired, LogFailed, LogRead, LogRecord
 from turmericweir_core.messages.peer_messages import Heartbeat, SettingsAsk, SettingsSend
-from turmericweir_core.records.settings_record import SnapshotRecord, log_form, read_record
+from turmericweir_core.records.settings_record import SnapshotRecord, read_record, record_json
 from turmericweir_core.records.settings_verdict import (
     Accepted,
     Conflict,
@@ -31,8 +31,8 @@
     SnapshotMismatched,
     SnapshotUnchecked,
     Verdict,
-    describe,
-    kind_of,
+    verdict_json,
+    verdict_kind,
 )
 from turmericweir_core.settings.settings_changes import retry_changes, settle, settle_from_snapshot
 from turmericweir_core.settings.settings_snapshots import write_snapshot
@@ -57,8 +57,8 @@
     """Apply the records of a read of the platform's log."""
     effects = _record_log_reachable(sync, now)
     sync.has_read_log = True
-    sync.known_end = max(sync.known_end, event.end)
-    effects += _check_log_end(sync, options, now, event.end)
+    sync.known_end = max(sync.known_end, event.end_offset)
+    effects += _check_log_end(sync, options, now, event.end_offset)
     effects += _apply_records(sync, options, now, event.records)
     return effects + _put_in_force(sync, options, now)
 
@@ -66,13 +66,17 @@
 def on_log_expired(sync: SettingsSync, now: float, event: LogExpired) -> list[Effect]:
     """Continue reading at the oldest record of the log, to find a snapshot there."""
     effects = _record_log_reachable(sync, now)
-    sync.known_end = max(sync.known_end, event.end)
-    if settings_read_offset(sync) >= event.oldest:
+    sync.known_end = max(sync.known_end, event.end_offset)
+    if settings_read_offset(sync) >= event.oldest_offset:
         # The read is older than newer records that a peer sent.
         return effects
-    sync.resume_at = event.oldest
+    sync.resume_at = event.oldest_offset
     sync.later_records.clear()
-    fields = {"offset": sync.settings.offset, "oldest": event.oldest, "end": event.end}
+    fields = {
+        "offset": sync.settings.offset,
+        "oldest": event.oldest_offset,
+        "end": event.end_offset,
+    }
     return [*effects, Log("settings_expired", fields), Count("settings.expired")]
 
 
@@ -179,7 +183,7 @@
 
 def _report_verdict(sync: SettingsSync, now: float, verdict: Verdict) -> list[Effect]:
     """Count and log the verdict on a record, and record the offset of snapshots."""
-    kind = kind_of(verdict)
+    kind = verdict_kind(verdict)
     match verdict:
         case SnapshotMatched() | SnapshotUnchecked():
             sync.snapshot_offset = verdict.snapshot_offset
@@ -188,7 +192,7 @@
             sync.snapshot_due_since = None
             return []
         case Malformed() | SnapshotMismatched():
-            return [Log(f"settings_{kind}", describe(verdict)), Count(f"settings.{kind}")]
+            return [Log(f"settings_{kind}", verdict_json(verdict)), Count(f"settings.{kind}")]
         case Accepted() | Conflict() | Invalid() | Forbidden() | Repeated():
             # Prevents a starting instance from reporting the whole log again.
             if not sync.has_been_complete:
@@ -295,7 +299,7 @@
         start = offset - sync.recent_records[0].offset
         stop = min(len(sync.recent_records), start + options.settings_send_max)
         return SettingsSend(offset, [sync.recent_records[at].value for at in range(start, stop)])
-    return SettingsSend(sync.settings.offset, [], log_form(take_snapshot(sync.settings)))
+    return SettingsSend(sync.settings.offset, [], record_json(take_snapshot(sync.settings)))
 
 
 def on_settings_send(
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_snapshots.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_snapshots.py
@@ -12,7 +12,7 @@
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.options import Options
 from turmericweir_core.messages.effects import AppendRecords, Count, Effect
-from turmericweir_core.records.settings_record import STREAM, log_form
+from turmericweir_core.records.settings_record import SETTINGS_STREAM, record_json
 from turmericweir_core.state.settings_state import take_snapshot
 from turmericweir_core.state.settings_sync import PeerSettings, SettingsSync
 
@@ -48,8 +48,11 @@
     if sync.log_failed_since is not None:
         return []
     sync.snapshot_tried_at = now
-    record = log_form(take_snapshot(sync.settings))
-    return [AppendRecords(STREAM, _SNAPSHOT_TOKEN, (record,)), Count("settings.snapshot_written")]
+    record = record_json(take_snapshot(sync.settings))
+    return [
+        AppendRecords(SETTINGS_STREAM, _SNAPSHOT_TOKEN, (record,)),
+        Count("settings.snapshot_written"),
+    ]
 
 
 def _is_snapshot_due(sync: SettingsSync, options: Options, now: float) -> bool:
--- a/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
@@ -39,13 +39,13 @@
     NO_FLOOR,
     NO_VIEW,
     AgreedClaim,
-    Batch,
     CarriedClaim,
+    ClaimBatch,
     ClaimEnd,
     EndRecord,
     NewClaim,
+    RecordWriter,
     Withdrawal,
-    Writer,
     decode,
 )
 from turmericweir_core.state.claim_clock import StreamClock, note_clock
@@ -66,7 +66,7 @@
     """The claim that holds a key."""
 
     claim: NewClaim
-    holder: Writer
+    holder: RecordWriter
     # Offset of the record that made the claim.
     claim_offset: int
     # Offset of the newest record that contains it: the original one or one that carried it. For an
@@ -110,7 +110,7 @@
     """The result of folding one record."""
 
     # None if the record was malformed.
-    batch: Batch | None = None
+    batch: ClaimBatch | None = None
     # False for a void record, which changed nothing.
     is_valid: bool = False
     # Keys whose holder, or whose call's end, may have changed.
@@ -153,7 +153,7 @@
         ledger.unsure_keys.add(key)
 
 
-def note_own_writer(ledger: ClaimLedger, writer: Writer) -> None:
+def note_own_writer(ledger: ClaimLedger, writer: RecordWriter) -> None:
     """Record that a writer has no records below this reader's start: the reader itself."""
     writer_id = (writer.instance, writer.incarnation)
     ledger.append_numbers.setdefault(writer_id, (0, ledger.clock.now_ms))
@@ -204,7 +204,7 @@
     return ledger.clock.now_ms - claim.retention_from_ms > options.claim_retention_s * 1000
 
 
-def _is_void(ledger: ClaimLedger, options: Options, offset: int, batch: Batch) -> bool:
+def _is_void(ledger: ClaimLedger, options: Options, offset: int, batch: ClaimBatch) -> bool:
     if offset - batch.upto > options.claim_carry_records // 2:
         return True
     writer_id = (batch.writer.instance, batch.writer.incarnation)
@@ -212,7 +212,7 @@
     return batch.number <= last_number
 
 
-def _note_number(ledger: ClaimLedger, options: Options, offset: int, batch: Batch) -> bool:
+def _note_number(ledger: ClaimLedger, options: Options, offset: int, batch: ClaimBatch) -> bool:
     """Record a writer's number; return False if a higher one may be below this reader's start."""
     writer_id = (batch.writer.instance, batch.writer.incarnation)
     is_known_writer = writer_id in ledger.append_numbers or ledger.start_offset == 0
@@ -221,7 +221,9 @@
     return is_known_writer or offset >= ledger.start_offset + options.claim_carry_records // 2
 
 
-def _note_floor(ledger: ClaimLedger, offset: int, batch: Batch, result: ClaimFoldResult) -> None:
+def _note_floor(
+    ledger: ClaimLedger, offset: int, batch: ClaimBatch, result: ClaimFoldResult
+) -> None:
     if batch.floor == NO_FLOOR:
         ledger.floor_request_offset = offset
         return
@@ -240,7 +242,11 @@
 
 
 def _fold_carried(
-    ledger: ClaimLedger, offset: int, batch: Batch, carried: CarriedClaim, result: ClaimFoldResult
+    ledger: ClaimLedger,
+    offset: int,
+    batch: ClaimBatch,
+    carried: CarriedClaim,
+    result: ClaimFoldResult,
 ) -> None:
     key = carried.claim.key
     entry = ledger.claims.get(key)
@@ -265,7 +271,7 @@
 
 
 def _is_settled_by(
-    ledger: ClaimLedger, batch: Batch, entry: Claim | None, carried: CarriedClaim
+    ledger: ClaimLedger, batch: ClaimBatch, entry: Claim | None, carried: CarriedClaim
 ) -> bool:
     """Return whether a carried claim determines the holder of a key that is unsure here.
 
@@ -293,7 +299,11 @@
 
 
 def _fold_withdrawal(
-    ledger: ClaimLedger, offset: int, writer: Writer, withdrawn: Withdrawal, result: ClaimFoldResult
+    ledger: ClaimLedger,
+    offset: int,
+    writer: RecordWriter,
+    withdrawn: Withdrawal,
+    result: ClaimFoldResult,
 ) -> None:
     entry = ledger.claims.get(withdrawn.key)
     if entry is None:
@@ -308,7 +318,7 @@
 
 
 def _fold_end(
-    ledger: ClaimLedger, writer: Writer, record: EndRecord, result: ClaimFoldResult
+    ledger: ClaimLedger, writer: RecordWriter, record: EndRecord, result: ClaimFoldResult
 ) -> None:
     entry = ledger.claims.get(record.key)
     if entry is not None and _is_claimed_by(entry, writer, record.request_id):
@@ -316,7 +326,7 @@
         result.touched_keys.add(record.key)
 
 
-def _is_claimed_by(entry: Claim, writer: Writer, request_id: str) -> bool:
+def _is_claimed_by(entry: Claim, writer: RecordWriter, request_id: str) -> bool:
     is_same_process = entry.holder.incarnation == writer.incarnation
     return is_same_process and entry.claim.request_id == request_id
 
@@ -340,7 +350,7 @@
     offset: int,
     at_ms: int,
     claim: NewClaim,
-    holder: Writer,
+    holder: RecordWriter,
     sure: bool,
     result: ClaimFoldResult,
 ) -> None:
--- a/packages/turmericweir-core/turmericweir_core/state/claim_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_state.py
@@ -12,11 +12,11 @@
 from turmericweir_core.records.claim_answer import AnswerStore
 from turmericweir_core.records.claim_record import (
     NO_VIEW,
-    Batch,
+    ClaimBatch,
     EndRecord,
     NewClaim,
+    RecordWriter,
     Withdrawal,
-    Writer,
 )
 from turmericweir_core.state.claim_ledger import ClaimLedger
 
@@ -36,18 +36,18 @@
     # This instance has to request to join the view.
     needs_join: bool = False
     # Members of the view that shall replace the current one.
-    next_members: tuple[Writer, ...] | None = None
+    next_members: tuple[RecordWriter, ...] | None = None
     # An operator confirmed that the current view has ended.
     is_replacement: bool = False
     # Number of the newest append.
     number: int = 0
     # The unacknowledged append. Only one at a time, so that a later one invalidates an earlier one.
-    in_flight: Batch | None = None
+    in_flight: ClaimBatch | None = None
     in_flight_at: float = 0.0
     # Time for which it has been in flight, counted by ticks.
     in_flight_s: float = 0.0
     # Appends that were acknowledged but not read back yet, by number.
-    acknowledged_appends: dict[int, Batch] = field(default_factory=dict)
+    acknowledged_appends: dict[int, ClaimBatch] = field(default_factory=dict)
     # Rate limit: appends allowed now, and when that was computed; None before the first append.
     tokens: float | None = None
     tokens_at: float = 0.0
@@ -89,7 +89,7 @@
     """A claim that this instance has agreed to, made by itself or by another instance."""
 
     claim: NewClaim
-    holder: Writer
+    holder: RecordWriter
 
 
 class RemoteWaiter(Struct, frozen=True):
--- a/packages/turmericweir-core/turmericweir_core/state/claim_view.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_view.py
@@ -18,14 +18,14 @@
 
 from msgspec import Struct, field
 
-from turmericweir_core.records.claim_record import NO_VIEW, UNKNOWN_VIEW, Batch, Writer
+from turmericweir_core.records.claim_record import NO_VIEW, UNKNOWN_VIEW, ClaimBatch, RecordWriter
 
 
 class View(Struct, frozen=True):
     """The instances that may claim, starting at one offset."""
 
     epoch: int
-    members: tuple[Writer, ...]
+    members: tuple[RecordWriter, ...]
 
 
 FIRST_VIEW: Final = View(NO_VIEW, ())
@@ -39,11 +39,11 @@
     # Newest record that names the members of the current view.
     members_offset: int = NO_VIEW
     # Members by offset, for changes read while the view was unknown; any of them may be void.
-    proposed: dict[int, tuple[Writer, ...]] = field(default_factory=dict)
+    proposed: dict[int, tuple[RecordWriter, ...]] = field(default_factory=dict)
     # Members by epoch, as reported by other writers while the view was unknown here.
-    reported_views: dict[int, tuple[Writer, ...]] = field(default_factory=dict)
+    reported_views: dict[int, tuple[RecordWriter, ...]] = field(default_factory=dict)
     # Writers outside the view that have requested to join, by name and incarnation.
-    join_requests: dict[tuple[str, str], Writer] = field(default_factory=dict)
+    join_requests: dict[tuple[str, str], RecordWriter] = field(default_factory=dict)
 
 
 def epoch_of(views: ViewLedger) -> int:
@@ -51,7 +51,7 @@
     return UNKNOWN_VIEW if views.current is None else views.current.epoch
 
 
-def can_claim(views: ViewLedger, writer: Writer) -> bool:
+def can_claim(views: ViewLedger, writer: RecordWriter) -> bool:
     """Return whether a claim by this writer is valid.
 
     A reader that does not know the view accepts all claims. Their entries are unsure, so they may
@@ -61,7 +61,7 @@
     return current is None or not current.members or is_member(current, writer)
 
 
-def is_member(view: View, writer: Writer) -> bool:
+def is_member(view: View, writer: RecordWriter) -> bool:
     """Return whether a process is a member of a view; a restarted one has a new incarnation."""
     return any(member.incarnation == writer.incarnation for member in view.members)
 
@@ -74,7 +74,7 @@
     views.join_requests.clear()
 
 
-def note_reported_view(views: ViewLedger, offset: int, batch: Batch) -> None:
+def note_reported_view(views: ViewLedger, offset: int, batch: ClaimBatch) -> None:
     """Record the view that the writer of a record knew when it composed the record."""
     current = views.current
     if batch.members is not None and current is not None and batch.epoch == current.epoch:
@@ -83,7 +83,7 @@
         views.reported_views[batch.epoch] = batch.members
 
 
-def adopt_view(views: ViewLedger, batch: Batch) -> None:
+def adopt_view(views: ViewLedger, batch: ClaimBatch) -> None:
     """Adopt the view from a writer that knows every live claim."""
     if views.current is not None or batch.epoch == UNKNOWN_VIEW:
         return
@@ -102,7 +102,7 @@
     views.reported_views.clear()
 
 
-def fold_view(views: ViewLedger, offset: int, batch: Batch) -> bool:
+def fold_view(views: ViewLedger, offset: int, batch: ClaimBatch) -> bool:
     """Fold the view changes of a record; return whether it may have changed the view."""
     writer = batch.writer
     current = views.current
--- a/packages/turmericweir-core/turmericweir_core/state/lease_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_ledger.py
@@ -22,7 +22,13 @@
 from msgspec import Struct, field
 
 from turmericweir_core.messages.events import LogRecord
-from turmericweir_core.records.lease_record import NO_OFFSET, Act, LeaseRecord, Scope, decode
+from turmericweir_core.records.lease_record import (
+    NO_OFFSET,
+    LeaseAction,
+    LeaseRecord,
+    LeaseScope,
+    decode,
+)
 
 
 class Lease(Struct):
@@ -53,9 +59,9 @@
     offset: int = 0
     # When `offset` was last known to be the end of the stream.
     caught_up_at: float = float("-inf")
-    leases: dict[Scope, Lease] = field(default_factory=dict)
+    leases: dict[LeaseScope, Lease] = field(default_factory=dict)
     # Offset of the newest record of each scope, valid or not.
-    last_offsets: dict[Scope, int] = field(default_factory=dict)
+    last_offsets: dict[LeaseScope, int] = field(default_factory=dict)
 
 
 class LeaseFoldResult(Struct, frozen=True):
@@ -113,19 +119,19 @@
 
 def _lease_from_record(now: float, offset: int, record: LeaseRecord, *, sure: bool) -> Lease:
     return Lease(
-        fence=offset if record.act is Act.GRANT else record.fence,
+        fence=offset if record.act is LeaseAction.GRANT else record.fence,
         instance=record.instance,
         incarnation=record.incarnation,
         lease_s=record.lease_s,
         read_at=now,
         # An unsure release may be void, so the lease may still be held.
-        released=record.act is Act.RELEASE and sure,
+        released=record.act is LeaseAction.RELEASE and sure,
         is_sure=sure,
         note=record.note,
     )
 
 
-def free_at(ledger: LeaseLedger, scope: Scope, lease_s: float, margin_s: float) -> float:
+def free_at(ledger: LeaseLedger, scope: LeaseScope, lease_s: float, margin_s: float) -> float:
     """Return the time from which on no other instance can assume that it holds the lease.
 
     Prevents two instances from sending orders at once to a server that ignores fencing numbers. The
--- a/packages/turmericweir-core/turmericweir_core/state/lease_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_state.py
@@ -4,7 +4,7 @@
 
 from msgspec import Struct, field
 
-from turmericweir_core.records.lease_record import LeaseRecord, Scope
+from turmericweir_core.records.lease_record import LeaseRecord, LeaseScope
 from turmericweir_core.state.lease_ledger import LeaseLedger
 
 
@@ -33,15 +33,15 @@
 
     ledger: LeaseLedger = field(default_factory=LeaseLedger)
     # Scopes that this instance wants to hold, and since when. Without any, the stream is not read.
-    wanted: dict[Scope, float] = field(default_factory=dict)
-    held: dict[Scope, HeldLease] = field(default_factory=dict)
+    wanted: dict[LeaseScope, float] = field(default_factory=dict)
+    held: dict[LeaseScope, HeldLease] = field(default_factory=dict)
     # Scopes whose lease was dropped because a server had received a higher fencing number. It is
     # not renewed because a renewal keeps the same number.
-    dropped: set[Scope] = field(default_factory=set)
+    dropped: set[LeaseScope] = field(default_factory=set)
     # The holder's notes for its successors, by scope; written with the next record.
-    notes: dict[Scope, object] = field(default_factory=dict)
+    notes: dict[LeaseScope, object] = field(default_factory=dict)
     # Held scopes with no work at present: their leases may expire, and the stream is not read.
-    idle_scopes: set[Scope] = field(default_factory=set)
+    idle_scopes: set[LeaseScope] = field(default_factory=set)
     in_flight: SentBatch | None = None
     # When each record of this instance was sent, by number. Its arrival in the log may be observed
     # much later.
--- a/packages/turmericweir-core/turmericweir_core/state/membership_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/membership_state.py
@@ -42,7 +42,7 @@
     # Offset of the settings in force there.
     settings_offset: int = 0
     # Capacity of its machine for relaying.
-    strength: int = 0
+    machine_capacity: int = 0
     # Incarnations that were replaced, oldest first, and incarnations that were leaving.
     retired_incarnations: tuple[str, ...] = ()
     left_incarnations: tuple[str, ...] = ()
--- a/packages/turmericweir-core/turmericweir_core/state/model_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/model_state.py
@@ -9,7 +9,7 @@
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.model_label import ModelLabel
 from turmericweir_core.messages.events import ServerReport
-from turmericweir_core.records.lease_record import Scope
+from turmericweir_core.records.lease_record import LeaseScope
 
 
 class OrderKind(StrEnum):
@@ -22,7 +22,7 @@
 class Order(Struct, frozen=True):
     """An order to load or unload one model label on a server."""
 
-    scope: Scope
+    scope: LeaseScope
     server: ServerName
     kind: OrderKind
     label: ModelLabel
@@ -111,11 +111,11 @@
 class ModelState(Struct):
     """State of the placement of models."""
 
-    plans: dict[Scope, ScopePlan] = field(default_factory=dict)
+    plans: dict[LeaseScope, ScopePlan] = field(default_factory=dict)
     # The newest report of each server in the scopes of `plans`.
     seen: dict[ServerName, DirectReport] = field(default_factory=dict)
     # Reports of the instances about their use of models, by scope.
-    reported: dict[Scope, dict[InstanceName, ReportedModelUsage]] = field(default_factory=dict)
+    reported: dict[LeaseScope, dict[InstanceName, ReportedModelUsage]] = field(default_factory=dict)
     # Sums of the samples of this instance's use since its last report, by model.
     sampled: dict[str, ModelUsage] = field(default_factory=dict)
     samples: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/prefix.py
+++ b/packages/turmericweir-core/turmericweir_core/state/prefix.py
@@ -43,7 +43,7 @@
     prefixes: PrefixMap, options: Options, now: float, events: CacheEvents
 ) -> None:
     """Update the map from the cache events of a server."""
-    if events.gap:
+    if events.has_gap:
         # The lost events may contain evictions. Full weight would attract requests to a cold cache,
         # and dropping the entries would scatter requests from a warm one.
         prefixes.gap_at[events.server] = now
--- a/packages/turmericweir-core/turmericweir_core/state/queue_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/queue_state.py
@@ -71,7 +71,7 @@
 
     def oldest_at(self) -> float:
         """Return the arrival time of the oldest request; the queue must not be empty."""
-        return next(self.waiting()).arrived
+        return next(self.waiting()).arrived_at
 
     def overdue_ends(self) -> list[tuple[Request, float]]:
         """Return the first and the last overdue request, each with the overdue work before it."""
@@ -137,7 +137,7 @@
     heappush(queues.deadlines, (req.deadline, req.request_id))
     if req.first_token_at is None:
         # A request whose answer has begun is never overdue: its first token is already sent.
-        overdue_at = req.arrived + on_time_share * req.service_class.target_s
+        overdue_at = req.arrived_at + on_time_share * req.service_class.target_s
         heappush(queues.overdue_at, (overdue_at, req.request_id))
     if front:
         queue.on_time.move_to_end(req.request_id, last=False)
@@ -232,7 +232,7 @@
 def _queue_order_key(queue: ClassQueue) -> tuple[int, int, bool, float]:
     # Queues of the same tier are ordered by age, after a preference for requests on time.
     earned_order = 0 if has_earned_next(queue) else 1
-    return (earned_order, queue.service_class.priority, not queue.on_time, queue.head().arrived)
+    return (earned_order, queue.service_class.priority, not queue.on_time, queue.head().arrived_at)
 
 
 def has_upper_waiting(queues: QueueState, pool: str, tier: int) -> bool:
--- a/packages/turmericweir-core/turmericweir_core/state/server_table.py
+++ b/packages/turmericweir-core/turmericweir_core/state/server_table.py
@@ -13,7 +13,7 @@
 
 from turmericweir_core.base.config import Config, ServerEntry, Service
 from turmericweir_core.base.ids import AttemptId, ServerName, Target
-from turmericweir_core.base.model_label import bare_name
+from turmericweir_core.base.model_label import label_model_name
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
 from turmericweir_core.messages.events import ServerReport
@@ -62,7 +62,9 @@
         if self.service.models:
             if self.report is not None and self.report.models:
                 # A label contains a version; a request names a model with or without one.
-                return any(target in (label, bare_name(label)) for label in self.report.models)
+                return any(
+                    target in (label, label_model_name(label)) for label in self.report.models
+                )
             return target in self.service.models
         return target == self.service.name
 
@@ -283,6 +285,6 @@
 def preferred_servers(candidates: Iterable[Server], req: Request) -> list[Server]:
     """Return the candidates without the servers to avoid, or all of them if none would be left."""
     servers = list(candidates)
-    if not req.avoid:
+    if not req.failed_servers:
         return servers
-    return [server for server in servers if server.entry.name not in req.avoid] or servers
+    return [server for server in servers if server.entry.name not in req.failed_servers] or servers
--- a/packages/turmericweir-core/turmericweir_core/state/settings_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/settings_state.py
@@ -33,13 +33,13 @@
 from turmericweir_core.base.config import Config
 from turmericweir_core.messages.events import LogRecord
 from turmericweir_core.records.settings_model import (
-    Entry,
-    Value,
+    SettingsEntry,
+    SettingsValue,
     WrittenOperator,
     build_config,
     read_value,
 )
-from turmericweir_core.records.settings_path import Problem, covers, parse_path
+from turmericweir_core.records.settings_path import Problem, is_in_subtree, parse_path
 from turmericweir_core.records.settings_record import (
     ChangeRecord,
     SeenEntry,
@@ -47,7 +47,12 @@
     SnapshotRecord,
     read_record,
 )
-from turmericweir_core.records.settings_refs import Providers, check_refs, index_providers, provided
+from turmericweir_core.records.settings_refs import (
+    Providers,
+    check_refs,
+    index_providers,
+    provided_refs,
+)
 from turmericweir_core.records.settings_verdict import (
     Accepted,
     ChangeVerdict,
@@ -63,7 +68,7 @@
     Subject,
     Verdict,
     VerdictKind,
-    kind_of,
+    verdict_kind,
 )
 
 # Number of seen change ids to store. Not an option, because readers with different values would
@@ -92,7 +97,7 @@
 
     # Offset of the next record to apply; never decreases.
     offset: int = 0
-    entries: dict[str, Entry] = field(default_factory=dict)
+    entries: dict[str, SettingsEntry] = field(default_factory=dict)
     # Changes with a verdict, by id, oldest first; at most `SEEN_KEEP`.
     seen: OrderedDict[str, SeenChange] = field(default_factory=OrderedDict)
     # Sums of the hashes of all entries and of all seen ids.
@@ -128,7 +133,7 @@
     entry = state.entries.get(f"/operators/{operator}")
     if entry is None or not isinstance(entry.value, WrittenOperator):
         return False
-    return any(covers(subtree, path) for subtree in entry.value.paths)
+    return any(is_in_subtree(subtree, path) for subtree in entry.value.paths)
 
 
 # --- applying records ------------------------------------------------------------------------
@@ -166,7 +171,7 @@
     if first is not None:
         return Repeated(subject, first.offset, first.kind)
     verdict = _verdict_on_unseen(state, subject, change)
-    _add_seen(state, change.change_id, SeenChange(offset, kind_of(verdict)))
+    _add_seen(state, change.change_id, SeenChange(offset, verdict_kind(verdict)))
     return verdict
 
 
@@ -178,7 +183,7 @@
         return Invalid(subject, problems)
     if change.authority == "operator" and not may_write(state, change.operator, change.path):
         return Forbidden(subject)
-    value: Value | None = None
+    value: SettingsValue | None = None
     if change.value is not None:
         result = read_value(change.path, change.value)
         if not is_successful(result):
@@ -208,12 +213,12 @@
     )
 
 
-def _accept(state: SettingsState, subject: Subject, value: Value | None) -> Accepted:
+def _accept(state: SettingsState, subject: Subject, value: SettingsValue | None) -> Accepted:
     _remove_setting(state, subject.path)
     if value is None:
         return Accepted(subject, ABSENT)
     version = subject.offset + 1
-    _add_setting(state, subject.path, Entry(version, value, subject.operator, subject.at))
+    _add_setting(state, subject.path, SettingsEntry(version, value, subject.operator, subject.at))
     return Accepted(subject, version)
 
 
@@ -222,14 +227,14 @@
     if entry is None:
         return
     state.entries_hash = (state.entries_hash - _hash_entry(path, entry)) % _HASH_SPACE
-    for ref in provided(parse_path(path).unwrap(), entry.value):
+    for ref in provided_refs(parse_path(path).unwrap(), entry.value):
         del state.providers[ref]
 
 
-def _add_setting(state: SettingsState, path: str, entry: Entry) -> None:
+def _add_setting(state: SettingsState, path: str, entry: SettingsEntry) -> None:
     state.entries[path] = entry
     state.entries_hash = (state.entries_hash + _hash_entry(path, entry)) % _HASH_SPACE
-    for ref in provided(parse_path(path).unwrap(), entry.value):
+    for ref in provided_refs(parse_path(path).unwrap(), entry.value):
         state.providers[ref] = path
 
 
@@ -266,12 +271,12 @@
 
 def read_snapshot(snapshot: SnapshotRecord) -> Result[SettingsState, str]:
     """Return the state of a snapshot, or a failure if its hash or a value is invalid."""
-    entries: dict[str, Entry] = {}
+    entries: dict[str, SettingsEntry] = {}
     for path, item in snapshot.entries.items():
         result = read_value(path, item.value)
         if not is_successful(result):
             return Failure(str(result.failure()))
-        entries[path] = Entry(item.version, result.unwrap(), item.operator, item.at)
+        entries[path] = SettingsEntry(item.version, result.unwrap(), item.operator, item.at)
     seen = OrderedDict(
         (item.change_id, SeenChange(item.offset, item.kind)) for item in snapshot.seen_ids
     )
@@ -357,7 +362,7 @@
     return xxhash.xxh3_128_hexdigest(f"{offset} {entries_hash:x} {seen_hash:x}".encode())
 
 
-def _hash_entry(path: str, entry: Entry) -> int:
+def _hash_entry(path: str, entry: SettingsEntry) -> int:
     return _hash([path, entry.version, entry.written, entry.operator, entry.at])
 
 
--- a/packages/turmericweir-core/turmericweir_core/state/state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/state.py
@@ -71,7 +71,7 @@
     cluster: str = "turmericweir"
     other_regions: tuple[str, ...] = ()
     # Capacity of its machine for relaying, as a base-2 logarithm; 0 is the lowest.
-    strength: int = 0
+    machine_capacity: int = 0
 
 
 class State(Struct):
--- a/packages/turmericweir-core/turmericweir_core/state/usage_meter.py
+++ b/packages/turmericweir-core/turmericweir_core/state/usage_meter.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct, field
 
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.request import Attempt, Request
 
 # Minimum change of the time of day, against the runtime's clock, that is a step rather than drift.
@@ -71,7 +71,7 @@
     """Count a request that a server has begun, unless it was already counted."""
     if req.is_metered or not req.customer:
         return
-    window = window_at(meter, now if req.kind is Kind.MODEL else attempt.started)
+    window = window_at(meter, now if req.kind is ServiceKind.MODEL else attempt.started_at)
     if window is None:
         return
     req.is_metered = True
--- a/packages/turmericweir-core/turmericweir_core/store/document.py
+++ b/packages/turmericweir-core/turmericweir_core/store/document.py
@@ -65,7 +65,7 @@
     Prevents a partitioned instance from rejecting requests for a new route or key, which callers
     would not retry.
     """
-    return proof_age(state, now) <= state.options.store.deny_proof_s
+    return proof_age(state, now) <= state.options.store.deny_proof_max_age_s
 
 
 def can_serve_key(state: State, now: float, req: Request) -> bool:
@@ -88,8 +88,8 @@
         effects.append(_apply_document(state, document, event))
     elif event.version < document.version:
         return [Log("settings_older", {"version": event.version, "in_force": document.version})]
-    if event.asked_at is not None:
-        effects += _record_proof(state, now, event.asked_at)
+    if event.requested_at is not None:
+        effects += _record_proof(state, now, event.requested_at)
     elif effects:
         effects += _announce_proof(state, store_duty.relay_receivers(state, now))
     return effects
@@ -102,7 +102,7 @@
             "version": event.version,
             "before": document.version,
             "from": event.peer or "store",
-            "routes": len(event.config.routes.by_place),
+            "routes": len(event.config.routes.by_host_and_prefix),
             "customers": len(event.config.customers),
         },
     )
@@ -116,7 +116,7 @@
 
 def on_confirmed(state: State, now: float, event: DocumentConfirmed) -> list[Effect]:
     """Record a read that was answered without a newer version."""
-    return _record_proof(state, now, event.asked_at)
+    return _record_proof(state, now, event.requested_at)
 
 
 def _record_proof(state: State, now: float, asked_at: float) -> list[Effect]:
@@ -233,7 +233,7 @@
         effects.append(SendPeer(sender, peer.peer_address, send))
     age_s = now - document.proof_at
     if age_s <= state.options.key_proof_s:
-        proof = DocumentProof(document.version, request.number, age_s)
+        proof = DocumentProof(document.version, request.request_number, age_s)
         effects.append(SendDatagram(sender, peer.peer_address, proof))
     return effects
 
@@ -248,10 +248,10 @@
 ) -> list[Effect]:
     """Record a peer's proof of the version in force here."""
     document = _document(state)
-    if message.number == _NO_REQUEST:
+    if message.request_number == _NO_REQUEST:
         peer = membership.member(state, sender)
         return _request_proof(state, now, peer) if peer is not None else []
-    asked_at = document.queries_sent_at.pop(message.number, None)
+    asked_at = document.queries_sent_at.pop(message.request_number, None)
     if asked_at is None or message.version > document.version:
         # The document is on its way; a later request returns a proof for it.
         return []
--- a/packages/turmericweir-core/turmericweir_core/store/registry.py
+++ b/packages/turmericweir-core/turmericweir_core/store/registry.py
@@ -60,7 +60,7 @@
         if _is_newer(registry, name, offset) and listed.pop(name, None) is not None:
             rows.append(RegistryRow(offset, name))
             effects.append(_log("server_removed", name, offset=offset))
-    if event.whole:
+    if event.is_complete:
         present = {entry.name for entry, _ in event.entries}
         for name in [listed_name for listed_name in listed if listed_name not in present]:
             effects += _check_missing(state, now, name, listed, was_away)
--- a/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
@@ -111,7 +111,7 @@
         return []
     decisions: list[Decision] = []
     for suspect in sorted(
-        suspects.values(), key=lambda suspect: (suspect.req.priority, suspect.req.arrived)
+        suspects.values(), key=lambda suspect: (suspect.req.priority, suspect.req.arrived_at)
     ):
         decisions += _advance_one(state, now, suspect)
     return decisions
@@ -173,7 +173,7 @@
         name = server.entry.name
         if name in busy_servers or now < suspect.excluded_until.get(name, now):
             continue
-        rank = (int(name in suspect.req.avoid), _requests_on(server))
+        rank = (int(name in suspect.req.failed_servers), _requests_on(server))
         if rank < best_rank:
             best = server
             best_rank = rank
@@ -354,7 +354,7 @@
 def on_end(state: State, now: float, sender: InstanceName, end: TrialEnd) -> None:
     """Release the server of an isolated run that has ended."""
     server = ServerName(end.server)
-    if end.broken:
+    if end.connection_broke:
         # Waits until a crash would have been detected and reported here.
         wait_s = state.options.crash_doubt_s + state.options.trial_delay_s
         state.quarantine.runs_barred_until[end.fingerprint] = now + wait_s
--- a/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
@@ -17,11 +17,11 @@
 
 from typing import TYPE_CHECKING, Final
 
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.ids import ServerName
 from turmericweir_core.base.request import Attempt, Request
-from turmericweir_core.base.tiers import most_urgent
-from turmericweir_core.messages.effects import Count, DistrustConnections, Effect, ProbeServer
+from turmericweir_core.base.tiers import most_urgent_configured_tier
+from turmericweir_core.messages.effects import Count, Effect, ProbeServer, RetireConnections
 from turmericweir_core.messages.events import ServerReport
 from turmericweir_core.state.liveness_state import ServerLiveness
 from turmericweir_core.state.server_table import Server
@@ -75,8 +75,8 @@
         if attempt is None or attempt.last_token_at is None:
             continue
         evidence = evidence_of(state, attempt.server)
-        evidence.longest_gap_s = max(evidence.longest_gap_s, attempt.longest_gap)
-        attempt.longest_gap = 0.0
+        evidence.longest_gap_s = max(evidence.longest_gap_s, attempt.tick_max_gap_s)
+        attempt.tick_max_gap_s = 0.0
         newest_token_at = evidence.newest_token_at.get(attempt.tier, _NEVER)
         evidence.newest_token_at[attempt.tier] = max(newest_token_at, attempt.last_token_at)
     for name in list(state.server_liveness.by_server):
@@ -94,7 +94,7 @@
     address = server.entry.address
     return [
         ProbeServer(name, address),
-        DistrustConnections(address),
+        RetireConnections(address),
         Count(f"silence.suspected.{name}"),
     ]
 
@@ -108,7 +108,7 @@
     if len(signs.overdue) < 2 or now - signs.idle_discarded_at < state.options.sign_probe_s:
         return []
     signs.idle_discarded_at = now
-    return [DistrustConnections(each.entry.address) for each in state.servers.by_name.values()]
+    return [RetireConnections(each.entry.address) for each in state.servers.by_name.values()]
 
 
 def note_report(state: State, now: float, report: ServerReport) -> bool:
@@ -118,11 +118,11 @@
     from a server that was frozen and answers waiting probes just before its overdue tokens.
     """
     evidence = state.server_liveness.by_server.get(report.server)
-    if evidence is None or now - report.asked_at > state.options.sign_answer_s:
+    if evidence is None or now - report.probe_sent_at > state.options.sign_answer_s:
         return False
-    evidence.answered_probe_at = report.asked_at
+    evidence.answered_probe_at = report.probe_sent_at
     evidence.answered_count = report.running + report.waiting
-    if now - report.asked_at > state.options.sign_at_once_s:
+    if now - report.probe_sent_at > state.options.sign_at_once_s:
         return False
     return report.server in state.server_liveness.overdue
 
@@ -165,7 +165,7 @@
 
 
 def _last_data_at(attempt: Attempt) -> float:
-    return attempt.started if attempt.last_token_at is None else attempt.last_token_at
+    return attempt.started_at if attempt.last_token_at is None else attempt.last_token_at
 
 
 def _is_overdue(state: State, now: float, req: Request, attempt: Attempt) -> bool:
@@ -176,7 +176,7 @@
         return False
     if not req.repeatable or attempt.cancelled is not None or not attempt.sent:
         return False
-    if req.kind is Kind.PLAIN and req.delivered:
+    if req.kind is ServiceKind.PLAIN and req.delivered:
         # It cannot be retried.
         return False
     limit_s = _overdue_after_s(state, req, attempt)
@@ -184,14 +184,14 @@
         return False
     if attempt.last_token_at is None:
         # A new connection has just worked, so only a reused one can be lost.
-        return attempt.kept_connection
+        return attempt.reused_connection
     return not _may_be_preempted(state, attempt, limit_s)
 
 
 def _overdue_after_s(state: State, req: Request, attempt: Attempt) -> float:
     options = state.options
     # Doubled with each attempt. Prevents repeated retries of a request that is slow everywhere.
-    doublings: float = 2.0 ** max(0, req.tries - 1)
+    doublings: float = 2.0 ** max(0, req.counted_attempts - 1)
     if attempt.last_token_at is None:
         usual_gap_s = state.silence.longest_first_wait_s.get(attempt.server)
         min_s, max_s = options.first_overdue_min_s, options.first_silence_s
@@ -206,7 +206,7 @@
 
 def _may_be_preempted(state: State, attempt: Attempt, limit_s: float) -> bool:
     """Return whether the engine may have preempted a stream for an upper tier."""
-    if attempt.tier == most_urgent(state.config):
+    if attempt.tier == most_urgent_configured_tier(state.config):
         return False
     last_data_at = _last_data_at(attempt)
     newest = evidence_of(state, attempt.server).newest_token_at
@@ -241,7 +241,7 @@
     """
     server = state.servers.by_name.get(attempt.server)
     evidence = evidence_of(state, attempt.server)
-    lag = state.options.report_lag_s if req.kind is Kind.MODEL else 0.0
-    if server is None or evidence.answered_probe_at - lag <= attempt.started:
+    lag = state.options.report_lag_s if req.kind is ServiceKind.MODEL else 0.0
+    if server is None or evidence.answered_probe_at - lag <= attempt.started_at:
         return False
     return evidence.answered_count < len(server.in_flight)
--- a/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
@@ -30,7 +30,7 @@
     """Record the wait for the first token or for a whole plain answer."""
     waits = state.silence.longest_first_wait_s
     decayed = waits.get(attempt.server, 0.0) * state.options.first_wait_decay
-    waits[attempt.server] = max(decayed, now - attempt.started)
+    waits[attempt.server] = max(decayed, now - attempt.started_at)
 
 
 def is_doubtful(state: State, now: float, req: Request, attempt: Attempt) -> bool:
@@ -58,9 +58,9 @@
     Prevents several suspicions of one tick from relying on the same retry of the budget, as all but
     one of these requests would fail.
     """
-    if not req.repeatable or req.tries >= state.options.attempts_max:
+    if not req.repeatable or req.counted_attempts >= state.options.attempts_max:
         return False
-    if req.sends_max is not None and req.sends >= req.sends_max:
+    if req.sends_max is not None and req.sent_attempts >= req.sends_max:
         return False
     if not attempt.sent:
         # No server can have started it, so its next attempt is not a retry.
@@ -78,7 +78,7 @@
 
 def _is_first_token_overdue(state: State, now: float, req: Request, attempt: Attempt) -> bool:
     options = state.options
-    waited_s = now - attempt.started
+    waited_s = now - attempt.started_at
     if waited_s < options.first_silence_s:
         return False
     predicted_ms = engine_model.predicted_ms(state, attempt)
@@ -87,12 +87,12 @@
         limit_s = (
             options.predicted_silence_s + options.predicted_silence_x * predicted_ms / _MS_PER_S
         )
-        return waited_s >= limit_s * 2.0 ** max(0, req.tries - 1)
-    if waited_s >= options.first_silence_share * (req.deadline - attempt.started):
+        return waited_s >= limit_s * 2.0 ** max(0, req.counted_attempts - 1)
+    if waited_s >= options.first_silence_share * (req.deadline - attempt.started_at):
         return True
     longest_wait_s = state.silence.longest_first_wait_s.get(attempt.server, 0.0)
     # Doubled with each attempt. Prevents repeated retries of a request that is slow everywhere.
-    doublings: float = 2.0 ** max(0, req.tries - 1)
+    doublings: float = 2.0 ** max(0, req.counted_attempts - 1)
     limit_s = (
         max(options.first_silence_s, options.first_silence_factor * longest_wait_s) * doublings
     )
@@ -113,7 +113,7 @@
             or other_attempt.first_token_at is None
         ):
             continue
-        if other_attempt.started > attempt.started and other.priority >= req.priority:
+        if other_attempt.started_at > attempt.started_at and other.priority >= req.priority:
             return True
     return False
 
@@ -125,7 +125,7 @@
     which the longer limit then detects.
     """
     server = state.servers.by_name.get(attempt.server)
-    if server is None or server.report is None or server.report_at <= attempt.started:
+    if server is None or server.report is None or server.report_at <= attempt.started_at:
         return False
     return server.report.running + server.report.waiting >= len(server.in_flight)
 
--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -22,7 +22,7 @@
 
 import xxhash
 
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.request import Attempt, Request
 from turmericweir_core.membership import membership
@@ -98,7 +98,7 @@
         _record_break(state, now, req, attempt, silent=False)
         return
     key = crash_key(attempt.server, attempt.incarnation, attempt.attempt_id)
-    _record_sighting(state, now, key, now, req.fingerprint, attempt.started)
+    _record_sighting(state, now, key, now, req.fingerprint, attempt.started_at)
 
 
 def _has_streamed_long(state: State, attempt: Attempt) -> bool:
@@ -124,7 +124,7 @@
     state: State, now: float, req: Request, attempt: Attempt, *, silent: bool
 ) -> None:
     connection_break = BrokenConnection(
-        now, attempt.incarnation, req.fingerprint, attempt.started, silent
+        now, attempt.incarnation, req.fingerprint, attempt.started_at, silent
     )
     state.quarantine.breaks.setdefault(attempt.server, []).append(connection_break)
 
@@ -135,7 +135,7 @@
     Prevents all requests of a server that restarted quickly from moving together to the next server
     before a report shows the crash. Plain calls do not wait, as their target is shorter.
     """
-    if req.kind is not Kind.MODEL:
+    if req.kind is not ServiceKind.MODEL:
         return False
     wait_s = state.options.crash_doubt_s
     return any(
@@ -156,7 +156,7 @@
     breaks = state.quarantine.breaks.get(attempt.server)
     if breaks:
         proven_s = state.options.crash_doubt_s
-        remaining = [each for each in breaks if each.broke_at - attempt.started <= proven_s]
+        remaining = [each for each in breaks if each.broke_at - attempt.started_at <= proven_s]
         state.quarantine.breaks[attempt.server] = remaining
 
 
@@ -310,7 +310,7 @@
         incarnation=key.incarnation,
         age_s=max(0.0, now - crash.first_seen_at),
         suspects=sorted(crash.suspects),
-        late=sorted(crash.sent_after),
+        sent_after_crash=sorted(crash.sent_after),
         cleared=sorted(crash.cleared),
         retracted=crash.is_retracted,
     )
@@ -368,7 +368,7 @@
         crashed_at = now - max(0.0, record.age_s)
         evidence = CrashEvidence(
             frozenset(record.suspects),
-            frozenset(record.late),
+            frozenset(record.sent_after_crash),
             frozenset(record.cleared),
             record.retracted,
         )
--- a/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
@@ -19,7 +19,7 @@
 import msgspec
 
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Config, Customer, Kind, Limit, ServiceClass
+from turmericweir_core.base.config import Config, Customer, Limit, ServiceClass, ServiceKind
 from turmericweir_core.base.ids import InstanceName, RequestId, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
@@ -130,7 +130,7 @@
         remote.roster = roster
         remote.last_seen_at = self.now if is_partitioned else float("inf")
         remote.status_message = Word(
-            centre, relay=0, seq=1, members_hash=0, live=len(roster), settings_offset=0
+            centre, relay_key=0, seq=1, members_hash=0, live_members=len(roster), settings_offset=0
         )
 
     def kill(self, name: InstanceName) -> None:
@@ -203,12 +203,12 @@
         """Submit a request to an instance and return whether it was admitted."""
         req = Request(
             request_id=RequestId(str(next(self._ids))),
-            kind=Kind.MODEL if tokens else Kind.PLAIN,
+            kind=ServiceKind.MODEL if tokens else ServiceKind.PLAIN,
             target=Target("any"),
             customer=customer,
             team="",
             service_class=_CLASS,
-            arrived=self.now,
+            arrived_at=self.now,
             deadline=self.now + 60.0,
         )
         tally = self.tallies[customer]
--- a/packages/turmericweir/turmericweir/answers/caller_answer.py
+++ b/packages/turmericweir/turmericweir/answers/caller_answer.py
@@ -18,7 +18,7 @@
 from turmericweir.answers.caller_problem import Problem, account_headers, make_account_problem
 from turmericweir_core.base.account import Account, Outcome
 from turmericweir_core.messages.effects import ReplayAnswer
-from turmericweir_core.records.claim_answer import KeptAnswer
+from turmericweir_core.records.claim_answer import StoredAnswer
 
 if TYPE_CHECKING:
     from uvicorn._types import ASGISendCallable
@@ -288,11 +288,11 @@
         if self._received_bytes <= self._stored_max_bytes:
             self._stored_body += data
 
-    def kept(self) -> KeptAnswer | None:
+    def kept(self) -> StoredAnswer | None:
         """Return the complete answer if it should be stored and is small enough."""
         if not self._stored_max_bytes or self._received_bytes > self._stored_max_bytes:
             return None
-        return KeptAnswer(self._status, tuple(self._headers), self._stored_body)
+        return StoredAnswer(self._status, tuple(self._headers), self._stored_body)
 
     def replay(self, effect: ReplayAnswer) -> None:
         """Use the stored answer of an earlier call."""
--- a/packages/turmericweir/turmericweir/callers/caller_app.py
+++ b/packages/turmericweir/turmericweir/callers/caller_app.py
@@ -36,7 +36,7 @@
 from turmericweir.process.process_settings import Limits
 from turmericweir.servers.backend_pool import BackendPool
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Config, Customer, Kind
+from turmericweir_core.base.config import Config, Customer, ServiceKind
 from turmericweir_core.base.ids import RequestId
 from turmericweir_core.base.reasons import MESSAGES, Reason
 from turmericweir_core.base.request import Request
@@ -253,7 +253,7 @@
     data = [
         {"id": model, "object": "model", "owned_by": service.name}
         for service in config.services.values()
-        if service.kind is Kind.MODEL
+        if service.kind is ServiceKind.MODEL
         for model in service.models
     ]
     return {"object": "list", "data": data}
--- a/packages/turmericweir/turmericweir/callers/caller_request.py
+++ b/packages/turmericweir/turmericweir/callers/caller_request.py
@@ -17,7 +17,14 @@
 
 from turmericweir.answers.caller_refusal import RefusedError
 from turmericweir.servers.backend_service import PlainCall, forwarded_headers
-from turmericweir_core.base.config import CallRule, Config, Customer, Kind, Service, ServiceClass
+from turmericweir_core.base.config import (
+    CallRule,
+    Config,
+    Customer,
+    Service,
+    ServiceClass,
+    ServiceKind,
+)
 from turmericweir_core.base.ids import RequestId, Target
 from turmericweir_core.base.reasons import Reason
 from turmericweir_core.base.request import Request
@@ -87,7 +94,7 @@
     value = _decode(body)
     chat = _validate(value)
     target = Target(chat.model)
-    _find_service(config, target, Kind.MODEL)
+    _find_service(config, target, ServiceKind.MODEL)
     service_class = _find_service_class(config, customer, target, None)
     # Engines always stream to the router, also where the caller wants a single JSON answer.
     engine_value = {**value, "stream": True}
@@ -95,7 +102,7 @@
     engine_value.pop("resume", None)
     engine_body = orjson.dumps(engine_value)
     prompt = _summarize_prompt(chat)
-    request = _make_request(request_id, Kind.MODEL, target, customer, service_class, headers)
+    request = _make_request(request_id, ServiceKind.MODEL, target, customer, service_class, headers)
     request.fingerprint = _fingerprint(target, engine_body)
     request.prefixes = prompt.prefixes
     request.prompt_tokens = prompt.words
@@ -142,13 +149,13 @@
 ) -> tuple[Request, PlainCall]:
     """Return the request for a plain call and the call that is sent to the service."""
     target = Target(received.service)
-    service = _find_service(config, target, Kind.PLAIN)
+    service = _find_service(config, target, ServiceKind.PLAIN)
     rule = _find_rule(service, received.method, received.path)
     service_class = _find_service_class(
         config, customer, target, rule.service_class if rule else None
     )
     headers = dict(received.headers)
-    request = _make_request(request_id, Kind.PLAIN, target, customer, service_class, headers)
+    request = _make_request(request_id, ServiceKind.PLAIN, target, customer, service_class, headers)
     request.repeatable = rule.repeatable if rule else received.method in _SAFE_METHODS
     request.idempotency_key = _parse_idempotency_key(headers)
     method = received.method.encode("ascii")
@@ -157,7 +164,7 @@
     return request, call
 
 
-def _find_service(config: Config, target: Target, kind: Kind) -> Service:
+def _find_service(config: Config, target: Target, kind: ServiceKind) -> Service:
     service = config.service_by_target.get(target)
     if service is None or service.kind is not kind:
         raise RefusedError(Reason.UNKNOWN_TARGET)
@@ -183,7 +190,7 @@
 
 def _make_request(
     request_id: RequestId,
-    kind: Kind,
+    kind: ServiceKind,
     target: Target,
     customer: Customer,
     service_class: ServiceClass,
@@ -198,7 +205,7 @@
         customer=customer.name,
         team=customer.team,
         service_class=service_class,
-        arrived=now,
+        arrived_at=now,
         deadline=now + time_left_s,
     )
 
--- a/packages/turmericweir/turmericweir/entry_daemon.py
+++ b/packages/turmericweir/turmericweir/entry_daemon.py
@@ -46,7 +46,7 @@
 from turmericweir.servers.connection_probes import EntryCalls
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.options import Options
-from turmericweir_core.base.store_times import store_times
+from turmericweir_core.base.store_times import derive_store_times
 from turmericweir_core.messages.events import SeedsGiven, WallClockRead
 from turmericweir_core.reducers import reducer_store
 from turmericweir_core.reducers.reducer_common import Reducer
@@ -163,7 +163,7 @@
     proof_s = bounds.revoke_ms / 1000.0 - _REVOKE_MARGIN_S
     return Options(
         tick_s=0.05,
-        store=store_times(bounds.settings_ms / 1000.0, bounds.drain_ms / 1000.0),
+        store=derive_store_times(bounds.settings_ms / 1000.0, bounds.drain_ms / 1000.0),
         stop_grace_s=min(_STOP_GRACE_S, bounds.grace_s / 3),
         stop_limit_s=bounds.grace_s - _STOP_MARGIN_S,
         deadline_grace_s=0.0,
@@ -213,7 +213,7 @@
         peer_address=cfg.peer_address,
         incarnation=secrets.token_hex(8),
         other_regions=tuple(sorted(regions)),
-        strength=cfg.machine.strength,
+        machine_capacity=cfg.machine.machine_capacity,
     )
     # This daemon does not read the settings log and does not load the module of its state.
     no_settings_sync: SettingsSync = None  # type: ignore[assignment]
--- a/packages/turmericweir/turmericweir/operations/operator_auth.py
+++ b/packages/turmericweir/turmericweir/operations/operator_auth.py
@@ -14,7 +14,7 @@
 
 from turmericweir.operations.operator_http import ProblemError
 from turmericweir_core.base.config import Config
-from turmericweir_core.records.settings_path import covers
+from turmericweir_core.records.settings_path import is_in_subtree
 from turmericweir_core.settings.settings_changes import BOOTSTRAP_PREFIX
 
 if TYPE_CHECKING:
@@ -34,7 +34,7 @@
 
     def can_write(self, path: str) -> bool:
         """Return whether a path is in one of the operator's subtrees."""
-        return any(covers(subtree, path) for subtree in self.paths)
+        return any(is_in_subtree(subtree, path) for subtree in self.paths)
 
 
 class OperatorAuth:
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -31,8 +31,8 @@
 from turmericweir.process.node import Node
 from turmericweir.process.verdict_waiters import Operators
 from turmericweir_core.messages.events import ChangeSubmitted
-from turmericweir_core.records.settings_model import Entry, explain, read_value
-from turmericweir_core.records.settings_path import SettingsError, covers, parse_path
+from turmericweir_core.records.settings_model import SettingsEntry, read_value, validation_text
+from turmericweir_core.records.settings_path import SettingsError, is_in_subtree, parse_path
 from turmericweir_core.records.settings_verdict import (
     Accepted,
     Conflict,
@@ -46,7 +46,7 @@
     SnapshotUnchecked,
     Verdict,
     VerdictKind,
-    describe,
+    verdict_json,
 )
 from turmericweir_core.settings.settings_dry_run import try_changes
 from turmericweir_core.settings.settings_flow import where_in_force
@@ -157,7 +157,7 @@
         entries = [
             _entry_value(principal, path, entry)
             for path, entry in sorted(state.entries.items())
-            if covers(prefix, path)
+            if is_in_subtree(prefix, path)
         ]
         value = {
             "offset": state.offset,
@@ -178,9 +178,9 @@
     async def _history(self, request: OperatorRequest) -> None:
         prefix = request.argument("prefix", "/")
         history = [
-            describe(verdict)
+            verdict_json(verdict)
             for verdict in self._sync.settings.history
-            if prefix == "/" or covers(prefix, _path_of(verdict))
+            if prefix == "/" or is_in_subtree(prefix, _path_of(verdict))
         ]
         value = {"offset": self._sync.settings.offset, "history": history}
         await request.answer(HTTPStatus.OK, value)
@@ -197,7 +197,7 @@
             return
         for verdict in self._sync.settings.history:
             if not isinstance(verdict, Repeated) and _change_id_of(verdict) == change_id:
-                await request.answer(HTTPStatus.OK, describe(verdict))
+                await request.answer(HTTPStatus.OK, verdict_json(verdict))
                 return
         outcome = self._sync.settings.seen.get(change_id)
         if outcome is None:
@@ -208,7 +208,7 @@
     async def _validate(self, request: OperatorRequest) -> None:
         body = _read_body(DryRunBody, await request.json())
         verdicts = [
-            describe(verdict) for verdict in try_changes(self._sync.settings, body.settings)
+            verdict_json(verdict) for verdict in try_changes(self._sync.settings, body.settings)
         ]
         is_valid = all(verdict["verdict"] == VerdictKind.ACCEPTED.value for verdict in verdicts)
         result_keys = ("verdict", "path", "problems")
@@ -306,11 +306,11 @@
     except ValidationError as exc:
         error = exc.errors(include_url=False, include_context=False, include_input=False)[0]
         field = ".".join(str(part) for part in error["loc"])
-        detail = f"the body: {field}: {explain(error['type'], error['msg'])}"
+        detail = f"the body: {field}: {validation_text(error['type'], error['msg'])}"
         raise ProblemError(HTTPStatus.BAD_REQUEST, detail) from None
 
 
-def _entry_value(principal: Principal, path: str, entry: Entry) -> dict[str, Any]:
+def _entry_value(principal: Principal, path: str, entry: SettingsEntry) -> dict[str, Any]:
     value = dict(entry.written)
     # Only operators who may replace a token see its digest, from which a short one could be found.
     if _SECRET_FIELD in value and not principal.can_write(path):
@@ -345,7 +345,7 @@
 
 
 async def _answer_verdict(request: OperatorRequest, verdict: Settlement) -> None:
-    value = describe(verdict)
+    value = verdict_json(verdict)
     if isinstance(verdict, Repeated):
         # A repeated change is answered with the first verdict.
         value |= {"verdict": verdict.first.value, "offset": verdict.first_offset}
--- a/packages/turmericweir/turmericweir/platform_client.py
+++ b/packages/turmericweir/turmericweir/platform_client.py
@@ -21,7 +21,7 @@
 from turmericweir_core.base.config import ServerEntry
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.membership.membership import list_period
-from turmericweir_core.messages.effects import AppendRecords, AskWeights, ReadLog
+from turmericweir_core.messages.effects import AppendRecords, ReadLog, RequestLoadPermit
 from turmericweir_core.messages.events import (
     AppendDone,
     AppendFailed,
@@ -300,11 +300,11 @@
 
     # The weight store.
 
-    def ask_weights(self, effect: AskWeights) -> None:
+    def ask_weights(self, effect: RequestLoadPermit) -> None:
         """Request a permit to load a model, in the background."""
         self._node.in_background(self._request_load_permit, effect)
 
-    async def _request_load_permit(self, effect: AskWeights) -> None:
+    async def _request_load_permit(self, effect: RequestLoadPermit) -> None:
         value = {"model": effect.model, "version": effect.version}
         retry_after_s = _DEFAULT_RETRY_AFTER_S
         granted = False
--- a/packages/turmericweir/turmericweir/process/entry_settings.py
+++ b/packages/turmericweir/turmericweir/process/entry_settings.py
@@ -33,7 +33,7 @@
     processor_speed: float = 1
 
     @property
-    def strength(self) -> int:
+    def machine_capacity(self) -> int:
         """Return the capacity class: 0, plus one for each doubling of the scarcest resource."""
         scarcest_ratio = min(
             self.link_mbps / _LINK_MBPS, self.processors * self.processor_speed / _PROCESSORS
--- a/packages/turmericweir/turmericweir/process/node.py
+++ b/packages/turmericweir/turmericweir/process/node.py
@@ -21,11 +21,9 @@
 from turmericweir_core.base.ids import RequestId
 from turmericweir_core.messages.effects import (
     AppendRecords,
-    AskWeights,
     CancelAttempt,
     Count,
     DecodeDocument,
-    DistrustConnections,
     Effect,
     Exit,
     FinishRequest,
@@ -35,10 +33,12 @@
     ReadLog,
     ReplayAnswer,
     ReportUsage,
+    ReportVerdict,
+    RequestLoadPermit,
+    RetireConnections,
     SendDatagram,
     SendOrder,
     SendPeer,
-    SettleChange,
     StartAttempt,
     Timing,
 )
@@ -91,7 +91,7 @@
     def read(self, effect: ReadLog) -> None:
         """Read a stream immediately."""
 
-    def ask_weights(self, effect: AskWeights) -> None:
+    def ask_weights(self, effect: RequestLoadPermit) -> None:
         """Request the loading of model weights."""
 
 
@@ -115,7 +115,7 @@
     def probe(self, effect: ProbeServer) -> None:
         """Probe a server in the background."""
 
-    def distrust(self, effect: DistrustConnections) -> None:
+    def distrust(self, effect: RetireConnections) -> None:
         """Stop reusing the connections that are open to a server now."""
 
     def order(self, effect: SendOrder) -> None:
@@ -142,7 +142,7 @@
 class VerdictPort(Protocol):
     """The interface for answers to operators."""
 
-    def settle(self, effect: SettleChange) -> None:
+    def settle(self, effect: ReportVerdict) -> None:
         """Pass the verdict on a change to the operator."""
 
 
@@ -267,7 +267,7 @@
                 self._adapters.peers.send(effect)
             case ProbeServer():
                 self._adapters.servers.probe(effect)
-            case DistrustConnections():
+            case RetireConnections():
                 self._adapters.servers.distrust(effect)
             case SendOrder():
                 self._adapters.servers.order(effect)
@@ -275,9 +275,9 @@
                 _require_adapter(self._adapters.platform).append(effect)
             case ReadLog():
                 _require_adapter(self._adapters.platform).read(effect)
-            case AskWeights():
+            case RequestLoadPermit():
                 _require_adapter(self._adapters.platform).ask_weights(effect)
-            case SettleChange():
+            case ReportVerdict():
                 _require_adapter(self._adapters.operators).settle(effect)
             case DecodeDocument():
                 _require_adapter(self._adapters.documents).decode(effect)
--- a/packages/turmericweir/turmericweir/process/verdict_waiters.py
+++ b/packages/turmericweir/turmericweir/process/verdict_waiters.py
@@ -1,7 +1,7 @@
 """Waiting for the verdicts on changes of settings.
 
 The settings interface submits a change to the reducer and waits here for the verdict, which arrives
-with the reducer's `SettleChange` effect.
+with the reducer's `ReportVerdict` effect.
 """
 
 from __future__ import annotations
@@ -10,7 +10,7 @@
 
 import anyio
 
-from turmericweir_core.messages.effects import SettleChange
+from turmericweir_core.messages.effects import ReportVerdict
 
 
 class Operators:
@@ -37,7 +37,7 @@
                 del self._waiters[change_id]
         return waiter.verdict
 
-    def settle(self, effect: SettleChange) -> None:
+    def settle(self, effect: ReportVerdict) -> None:
         """Pass a verdict to the requests that wait for it."""
         for waiter in self._waiters.get(effect.change_id, ()):
             waiter.verdict = effect.verdict
--- a/packages/turmericweir/turmericweir/servers/backend_attempt.py
+++ b/packages/turmericweir/turmericweir/servers/backend_attempt.py
@@ -142,9 +142,9 @@
 
 def _idle_max_s(start: StartAttempt) -> float:
     """Return how long the connection of an attempt may have been idle, in seconds."""
-    if start.fresh_connection:
+    if start.needs_new_connection:
         return 0.0
-    return VERIFIED_IDLE_MAX_S if start.proven_connection else IDLE_MAX_S
+    return VERIFIED_IDLE_MAX_S if start.needs_verified_connection else IDLE_MAX_S
 
 
 def attempt_headers(start: StartAttempt) -> list[tuple[bytes, bytes]]:
--- a/packages/turmericweir/turmericweir/servers/connection_probes.py
+++ b/packages/turmericweir/turmericweir/servers/connection_probes.py
@@ -12,7 +12,7 @@
 from turmericweir.servers.backend_attempt import can_connect
 from turmericweir.servers.backend_pool import BackendPool
 from turmericweir_core.base.ids import ServerName
-from turmericweir_core.messages.effects import DistrustConnections, ProbeServer, SendOrder
+from turmericweir_core.messages.effects import ProbeServer, RetireConnections, SendOrder
 from turmericweir_core.messages.events import ServerAnswered, ServerUnreachable
 
 # Allows a second probe while the first waits for a lost packet.
@@ -53,7 +53,7 @@
         else:
             self._node.handle(ServerUnreachable(effect.server, "no connection"))
 
-    def distrust(self, effect: DistrustConnections) -> None:
+    def distrust(self, effect: RetireConnections) -> None:
         """Stop reusing the connections that are open to a server now."""
         self._pool.distrust(effect.address)
 
--- a/packages/turmericweir/turmericweir/servers/server_calls.py
+++ b/packages/turmericweir/turmericweir/servers/server_calls.py
@@ -18,7 +18,7 @@
 from turmericweir.servers.backend_call import Answer, call
 from turmericweir.servers.backend_pool import BackendPool
 from turmericweir_core.base.ids import ServerName
-from turmericweir_core.messages.effects import DistrustConnections, ProbeServer, SendOrder
+from turmericweir_core.messages.effects import ProbeServer, RetireConnections, SendOrder
 from turmericweir_core.messages.events import OrderDone, ServerReport, ServerUnreachable
 
 _LOAD_TIMEOUT_S: Final = 1.0
@@ -86,7 +86,7 @@
         finally:
             self._probing.discard(effect.server)
 
-    def distrust(self, effect: DistrustConnections) -> None:
+    def distrust(self, effect: RetireConnections) -> None:
         """Stop reusing the connections that are open to a server now."""
         self._pool.distrust(effect.address)
 
@@ -113,7 +113,7 @@
         done = OrderDone(
             effect.server,
             effect.token,
-            ok=answer.status == 200,
+            is_accepted=answer.status == 200,
             stale_fence=answer.status == _STALE_FENCE_STATUS,
             error="" if answer.status == 200 else f"status {answer.status}",
         )
@@ -158,5 +158,5 @@
         leaving=body.leaving,
         fence=-1 if body.fence is None else body.fence,
         loading=body.loading,
-        asked_at=asked_at,
+        probe_sent_at=asked_at,
     )
--- a/tests/core/claims/test_claim_ledger.py
+++ b/tests/core/claims/test_claim_ledger.py
@@ -20,13 +20,13 @@
 from turmericweir_core.base.reasons import Reason
 from turmericweir_core.records.claim_record import (
     NO_FLOOR,
-    Batch,
     CarriedClaim,
+    ClaimBatch,
     ClaimEnd,
     EndRecord,
     NewClaim,
+    RecordWriter,
     Withdrawal,
-    Writer,
     decode,
     encode,
 )
@@ -35,7 +35,7 @@
 
 OPTIONS: Final = Options(claim_retention_s=60.0, claim_carry_records=8)
 KEYS: Final = ("a", "b")
-WRITERS: Final = tuple(Writer(f"i{n}", f"i{n}-x", f"10.0.0.{n}:1") for n in range(3))
+WRITERS: Final = tuple(RecordWriter(f"i{n}", f"i{n}-x", f"10.0.0.{n}:1") for n in range(3))
 OK: Final = ClaimEnd(Outcome.COMPLETED, Reason.OK, 200)
 
 
@@ -45,8 +45,8 @@
 
     number: int = 0
     # The append in flight, and earlier ones that the writer counts as failed.
-    out: Batch | None = None
-    late: list[Batch] = field(default_factory=list)
+    out: ClaimBatch | None = None
+    late: list[ClaimBatch] = field(default_factory=list)
     # Its claims, as pairs of key and request id.
     claimed: list[tuple[str, str]] = field(default_factory=list)
 
@@ -70,7 +70,7 @@
             sending.late.append(sending.out)
         ledger = self.history[max(0, len(self.records) - behind)]
         sending.number += 1
-        batch = Batch(
+        batch = ClaimBatch(
             writer=WRITERS[index],
             number=sending.number,
             at_ms=self.now_ms,
@@ -113,7 +113,7 @@
             self._append(sending.out)
             sending.out = None
 
-    def _append(self, batch: Batch) -> None:
+    def _append(self, batch: ClaimBatch) -> None:
         value = encode(batch)
         fold(self.truth, OPTIONS, len(self.records), value)
         self.records.append(value)
@@ -263,7 +263,7 @@
         claims = (NewClaim("a", "f", claim),) if claim else ()
         withdrawn = (Withdrawal("a", withdraw),) if withdraw else ()
         carried = CarriedClaim(NewClaim("a", "f", carry), WRITERS[0], 0, 0, False, None)
-        batch = Batch(
+        batch = ClaimBatch(
             writer=WRITERS[writer],
             number=number,
             at_ms=0,
--- a/tests/core/claims_world.py
+++ b/tests/core/claims_world.py
@@ -12,7 +12,7 @@
 from typing import Any, Final
 
 from turmericweir_core.base.account import Account
-from turmericweir_core.base.config import Config, Kind, ServerEntry, Service, ServiceClass
+from turmericweir_core.base.config import Config, ServerEntry, Service, ServiceClass, ServiceKind
 from turmericweir_core.base.ids import InstanceName, RequestId, ServerName, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
@@ -47,7 +47,7 @@
     ServerReport,
     Tick,
 )
-from turmericweir_core.records.claim_answer import KeptAnswer
+from turmericweir_core.records.claim_answer import StoredAnswer
 from turmericweir_core.records.claim_record import CLAIMS_STREAM
 from turmericweir_core.reducers.reducer import new_state, reduce
 from turmericweir_core.state.claim_ledger import ClaimLedger, fold, holder_of
@@ -136,7 +136,7 @@
         )
         instance = Instance(new_state(identity, self.options, seed=self.started))
         state = instance.state
-        service = Service("shop", Kind.PLAIN, slots=SLOTS)
+        service = Service("shop", ServiceKind.PLAIN, slots=SLOTS)
         state.config = Config(
             classes={"counter": COUNTER},
             services={"shop": service},
@@ -221,12 +221,12 @@
         request_id = RequestId(f"{clock:012x}-{self.arrived}")
         req = Request(
             request_id=request_id,
-            kind=Kind.PLAIN,
+            kind=ServiceKind.PLAIN,
             target=TARGET,
             customer="c",
             team="",
             service_class=COUNTER,
-            arrived=self.now,
+            arrived_at=self.now,
             deadline=self.now + deadline_s,
             repeatable=False,
             idempotency_key=key,
@@ -265,7 +265,7 @@
         for record in effect.records:
             self.land(record)
         if delivery is Delivery.UNACKNOWLEDGED:
-            self.handle(instance, AppendFailed(stream, token, "no answer", maybe=True))
+            self.handle(instance, AppendFailed(stream, token, "no answer", may_have_applied=True))
         else:
             self.handle(instance, AppendDone(stream, token, first, len(self.records)))
 
@@ -333,7 +333,7 @@
             broken = EndBroken("reset", server_alive=True)
             self.handle(instance, AttemptEnded(request_id, attempt_id, broken))
             return
-        answer = KeptAnswer(200, (), request_id.encode())
+        answer = StoredAnswer(200, (), request_id.encode())
         complete = EndComplete(200, answer)
         self.handle(instance, AttemptEnded(request_id, attempt_id, complete))
 
--- a/tests/core/credits/test_credit.py
+++ b/tests/core/credits/test_credit.py
@@ -11,7 +11,7 @@
 
 from tests.core.load_world import DATA_CENTRE, MODEL, LoadWorld, report_of
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Kind, Policy
+from turmericweir_core.base.config import PlacementPolicy, ServiceKind
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import CancelReason
@@ -31,7 +31,11 @@
 ) -> LoadWorld:
     """Return a world with the credit policy whose instances have discovered each other."""
     world = LoadWorld(
-        instances=instances, servers=servers, slots=slots, policy=Policy.CREDITS, options=options
+        instances=instances,
+        servers=servers,
+        slots=slots,
+        policy=PlacementPolicy.CREDITS,
+        options=options,
     )
     world.advance(0.3)
     return world
@@ -182,12 +186,12 @@
     assert {"c1", "c2", "c3", "c4"} <= set(world.running_ids())
 
 
-@pytest.mark.parametrize("kind", [Kind.MODEL, Kind.PLAIN])
+@pytest.mark.parametrize("kind", [ServiceKind.MODEL, ServiceKind.PLAIN])
 @pytest.mark.parametrize("lost", [False, True])
-def test_idle_credit_of_others_is_no_shortage(kind: Kind, lost: bool) -> None:
+def test_idle_credit_of_others_is_no_shortage(kind: ServiceKind, lost: bool) -> None:
     # More instances than slots hold idle credit. The next request gets a slot from the holder with
     # the oldest demand, without contention for the others unless the recall is lost.
-    world = LoadWorld(instances=9, servers=1, slots=4, policy=Policy.CREDITS, kind=kind)
+    world = LoadWorld(instances=9, servers=1, slots=4, policy=PlacementPolicy.CREDITS, kind=kind)
     world.advance(0.3)
     dispatcher = agreed_dispatcher(world)
     # The dispatcher is last. Prevents a recall from itself, which could not be lost.
@@ -449,7 +453,9 @@
 
 def test_plain_service_reserves_slots_for_the_most_urgent() -> None:
     """Reserve slots of a plain service for the most urgent tier; its calls are not displaced."""
-    world = LoadWorld(instances=3, servers=1, slots=4, policy=Policy.CREDITS, kind=Kind.PLAIN)
+    world = LoadWorld(
+        instances=3, servers=1, slots=4, policy=PlacementPolicy.CREDITS, kind=ServiceKind.PLAIN
+    )
     world.advance(0.3)
     for number in range(15):
         world.arrive("quote", instance=number % 3)
@@ -635,7 +641,7 @@
     one, two = (name for name in world.states if name != dispatcher)
     world.arrive("quote", instance=index_of(world, one))
     slots = dict(world.states[one].credits.held_by_server[S0].slots)
-    stale = CreditGrant(S0, 1, 99, 9.0, contended=False, keep=None, displace_above=0)
+    stale = CreditGrant(S0, 1, 99, 9.0, is_contended=False, attempts_to_keep=None, displace_above=0)
     world.event(one, PeerReceived(two, stale))
     assert world.states[one].credits.held_by_server[S0].slots == slots
 
--- a/tests/core/duties/duty_network.py
+++ b/tests/core/duties/duty_network.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass, field
 
 from tests.core.store_network import StoreNetwork
-from turmericweir_core.base.store_times import store_times
+from turmericweir_core.base.store_times import derive_store_times
 from turmericweir_core.messages.effects import (
     AppendRecords,
     Effect,
@@ -94,7 +94,7 @@
     def __init__(
         self, seed: int = 1, *, checks_fence: bool = True, orders_servers: bool = False
     ) -> None:
-        super().__init__(store_times(3.0, 3.0), seed)
+        super().__init__(derive_store_times(3.0, 3.0), seed)
         self.options = type(self.options)(
             tick_s=0.05,
             probe_servers=False,
@@ -229,7 +229,7 @@
             self._answer(name, self._execute_append(effect))
 
     def _execute_append(self, effect: AppendRecords) -> Event:
-        if effect.at is not None and effect.at != len(self.records):
+        if effect.expected_end is not None and effect.expected_end != len(self.records):
             return AppendFailed(effect.stream, effect.token, "status 412", False)
         first = len(self.records)
         self.records += zip(effect.keys, effect.records, strict=True)
@@ -241,7 +241,7 @@
             return
         records = [LogRecord(offset, value) for offset, (_, value) in enumerate(self.records)]
         end = len(records)
-        if effect.newest:
+        if effect.newest_by_key:
             newest = {self.records[record.offset][0]: record for record in records}
             self._answer(name, LogNewest(effect.stream, tuple(newest.values()), end))
         else:
--- a/tests/core/duties/test_capacity_plan.py
+++ b/tests/core/duties/test_capacity_plan.py
@@ -4,12 +4,12 @@
 
 import pytest
 
-from turmericweir_core.base.config import Capacity
+from turmericweir_core.base.config import CapacityBounds
 from turmericweir_core.duties.capacity_plan import PresentServers, WantedServers, plan_servers
 
 PRICES = {"a": 1.0, "b": 1.2, "c": 0.9, "d": 1.1}
-CAPACITY = Capacity(1, 35, 4.0, PRICES, 0.22)
-LASTING_ONLY = Capacity(1, 35, 4.0, PRICES)
+CAPACITY = CapacityBounds(1, 35, 4.0, PRICES, 0.22)
+LASTING_ONLY = CapacityBounds(1, 35, 4.0, PRICES)
 
 
 def present(lasting: int, spot: int) -> dict[str, PresentServers]:
@@ -72,7 +72,7 @@
 
 
 def test_bounds_hold() -> None:
-    capacity = Capacity(3, 5, 4.0, PRICES, 0.2)
+    capacity = CapacityBounds(3, 5, 4.0, PRICES, 0.2)
     for needed in (0, 1, 12, 19, 100):
         wanted = plan_servers(capacity, present(4, 1), needed, initial_counts={})
         assert all(3 <= servers.lasting + servers.spot <= 5 for servers in wanted.values())
--- a/tests/core/engines/test_cache_handover.py
+++ b/tests/core/engines/test_cache_handover.py
@@ -41,7 +41,7 @@
         # A decode engine takes no long prompt; its successor fetches the part.
         start = start_of(effects)
         fetched = peer.state.servers.by_name[holder].entry.address
-        assert start.server == holder or start.fetch_from == fetched
+        assert start.server == holder or start.fetch_from_address == fetched
         peer.state.engines.by_server = {first.server: record}
 
 
--- a/tests/core/engines/test_engine_pools.py
+++ b/tests/core/engines/test_engine_pools.py
@@ -139,6 +139,6 @@
     engine_pools.note_demand(world.state, world.now, req, servers(world))
     (learnt,) = engine_pools.demand_rows(world.state, world.now)
     slots = servers(world)[0].slots
-    assert learnt.quick_ms_s - estimated.quick_ms_s == pytest.approx(
+    assert learnt.short_prompt_ms_s - estimated.short_prompt_ms_s == pytest.approx(
         (6_400 - 50 * world.state.options.decode_step_ms) / slots / 3.0, abs=1.0
     )
--- a/tests/core/engines/test_load_relay.py
+++ b/tests/core/engines/test_load_relay.py
@@ -7,7 +7,7 @@
 
 from tests.core.store_network import StoreNetwork
 from turmericweir_core.base.ids import InstanceName, ServerName
-from turmericweir_core.base.store_times import store_times
+from turmericweir_core.base.store_times import derive_store_times
 from turmericweir_core.engines import engine_model
 from turmericweir_core.membership import relays
 from turmericweir_core.messages.events import PeerReceived
@@ -23,7 +23,7 @@
 @pytest.fixture(name="network")
 def fixture_network() -> StoreNetwork:
     """Return a fleet whose instances know each other."""
-    network = StoreNetwork(store_times(4.0, 4.0))
+    network = StoreNetwork(derive_store_times(4.0, 4.0))
     network.start_all(COUNT, DATA_CENTRES)
     network.run(8.0)
     return network
@@ -56,11 +56,11 @@
 
 def test_strong_machines_are_relays() -> None:
     """Guards against relays on weak machines."""
-    network = StoreNetwork(store_times(4.0, 4.0))
+    network = StoreNetwork(derive_store_times(4.0, 4.0))
     names = [f"i{number:03d}" for number in range(COUNT)]
     for number, name in enumerate(names):
         node = network.add(name, f"dc{number % DATA_CENTRES}")
-        node.state.me = replace(node.state.me, strength=3 if number < 6 else 0)
+        node.state.me = replace(node.state.me, machine_capacity=3 if number < 6 else 0)
     network.begin(names)
     network.run(12.0)
     for name in names[::7]:
--- a/tests/core/engines/test_predict.py
+++ b/tests/core/engines/test_predict.py
@@ -7,7 +7,7 @@
 from msgspec.structs import replace
 
 from tests.core.load_world import COUNTER, MODEL, QUOTE
-from turmericweir_core.base.config import Kind, ServiceClass
+from turmericweir_core.base.config import ServiceClass, ServiceKind
 from turmericweir_core.base.ids import RequestId
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
@@ -23,12 +23,12 @@
     """Return a request of a class and a customer."""
     return Request(
         RequestId("r"),
-        Kind.MODEL,
+        ServiceKind.MODEL,
         MODEL,
         customer,
         "",
         service_class,
-        arrived=0.0,
+        arrived_at=0.0,
         deadline=60.0,
         max_tokens=max_tokens,
     )
--- a/tests/core/fault_world.py
+++ b/tests/core/fault_world.py
@@ -13,16 +13,16 @@
 from typing import Final
 
 from turmericweir_core.base.account import Account, Outcome
-from turmericweir_core.base.config import Config, Kind, ServerEntry, Service, ServiceClass
+from turmericweir_core.base.config import Config, ServerEntry, Service, ServiceClass, ServiceKind
 from turmericweir_core.base.ids import AttemptId, InstanceName, RequestId, ServerName, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
 from turmericweir_core.messages.effects import (
     CancelAttempt,
-    DistrustConnections,
     Effect,
     FinishRequest,
     ProbeServer,
+    RetireConnections,
     SendDatagram,
     SendPeer,
     StartAttempt,
@@ -95,7 +95,7 @@
         instances: int = 1,
         servers: int = 2,
         slots: int = 8,
-        kind: Kind = Kind.MODEL,
+        kind: ServiceKind = ServiceKind.MODEL,
         length: int = 30,
         options: Options | None = None,
     ) -> None:
@@ -108,7 +108,7 @@
         self.servers = {ServerName(f"s{number}"): FakeServer() for number in range(servers)}
         self.config = _config(list(self.servers), slots, kind)
         # Loaded models in the servers' reports.
-        self.models = (str(TARGET),) if kind is Kind.MODEL else ()
+        self.models = (str(TARGET),) if kind is ServiceKind.MODEL else ()
         self.states: dict[InstanceName, State] = {}
         self.accounts: dict[RequestId, Account] = {}
         self.account_counts: Counter[RequestId] = Counter()
@@ -196,7 +196,7 @@
                 case ProbeServer(server, _):
                     self.probes.append(server)
                     self._probe(server)
-                case DistrustConnections(address):
+                case RetireConnections(address):
                     self.distrusted.append(address)
                 case _:
                     pass
@@ -208,7 +208,7 @@
         if self.now < server.down_until and not self.accepts_when_down:
             self._end(instance, start, EndUnsent("refused"))
             return
-        is_reused = self.kept_connections and not start.fresh_connection
+        is_reused = self.kept_connections and not start.needs_new_connection
         self.event(instance, AttemptSent(start.request_id, start.attempt_id, is_reused))
         if self.now < server.down_until:
             self._end(instance, start, EndBroken("reset", server_alive=False))
@@ -262,7 +262,7 @@
         if start.attempt_id not in server.running or run.fingerprint in self.lost:
             return
         run.tokens += 1
-        if self.kind is Kind.MODEL:
+        if self.kind is ServiceKind.MODEL:
             self.event(run.instance, AttemptProgress(start.request_id, start.attempt_id, 1))
         if run.tokens >= self.length:
             server.running.pop(start.attempt_id, None)
@@ -300,7 +300,7 @@
             self.waiting,
             8,
             models=self.models,
-            asked_at=asked_at,
+            probe_sent_at=asked_at,
         )
         for instance in self.states:
             if instance not in self.instances_without_reports:
@@ -355,7 +355,7 @@
             customer="dunes",
             team="",
             service_class=service_class,
-            arrived=self.now,
+            arrived_at=self.now,
             deadline=self.now + deadline_s,
             fingerprint=name if fingerprint is None else fingerprint,
             repeatable=repeatable,
@@ -386,8 +386,8 @@
         return sum(1 for by, _ in self.crashes if by == fingerprint)
 
 
-def _config(servers: list[ServerName], slots: int, kind: Kind) -> Config:
-    models = (str(TARGET),) if kind is Kind.MODEL else ()
+def _config(servers: list[ServerName], slots: int, kind: ServiceKind) -> Config:
+    models = (str(TARGET),) if kind is ServiceKind.MODEL else ()
     service = Service(str(TARGET), kind, models, slots=slots)
     entries = [
         ServerEntry(name, service.name, DATA_CENTRE, f"127.0.0.1:{9000 + number}", "listed")
--- a/tests/core/lease_world.py
+++ b/tests/core/lease_world.py
@@ -22,11 +22,11 @@
     LogRead,
     LogRecord,
 )
-from turmericweir_core.records.lease_record import LEASES_STREAM, Scope
+from turmericweir_core.records.lease_record import LEASES_STREAM, LeaseScope
 from turmericweir_core.reducers.reducer import new_state
 from turmericweir_core.state.state import Identity, State
 
-SCOPE: Final = Scope("lm", "dc-1")
+SCOPE: Final = LeaseScope("lm", "dc-1")
 OPTIONS: Final = Options(
     lease_s=3.0,
     lease_margin_s=0.5,
@@ -110,7 +110,7 @@
 
     # --- holders ---
 
-    def holders(self, scope: Scope = SCOPE) -> list[Instance]:
+    def holders(self, scope: LeaseScope = SCOPE) -> list[Instance]:
         """Return the instances that would send an order now, including paused ones."""
         return [
             instance
@@ -192,7 +192,7 @@
         first = len(self.records)
         self.records += effect.records
         if fate is EffectOutcome.UNACKNOWLEDGED:
-            self.handle(instance, AppendFailed(stream, token, "no answer", maybe=True))
+            self.handle(instance, AppendFailed(stream, token, "no answer", may_have_applied=True))
             return
         self._answer(instance, AppendDone(stream, token, first, len(self.records)), fate)
 
--- a/tests/core/leases/test_lease.py
+++ b/tests/core/leases/test_lease.py
@@ -11,7 +11,13 @@
 from tests.core.lease_world import OPTIONS, SCOPE, EffectOutcome, Instance, World
 from turmericweir_core.leases import lease_flow
 from turmericweir_core.messages.effects import AppendRecords
-from turmericweir_core.records.lease_record import Act, LeaseRecord, Scope, decode, encode
+from turmericweir_core.records.lease_record import (
+    LeaseAction,
+    LeaseRecord,
+    LeaseScope,
+    decode,
+    encode,
+)
 from turmericweir_core.state.lease_ledger import LeaseLedger, fold, start_at_end
 
 WAIT_S: Final = OPTIONS.lease_s + OPTIONS.lease_margin_s
@@ -198,7 +204,9 @@
     holder = start_wanting(world, 1)[0]
     world.run(5.0)
     # Records of another scope, which separate the next append from the read offset.
-    other_grant = LeaseRecord(Act.GRANT, Scope("other", "dc-1"), "b", "b", 1, 0, -1, 3.0)
+    other_grant = LeaseRecord(
+        LeaseAction.GRANT, LeaseScope("other", "dc-1"), "b", "b", 1, 0, -1, 3.0
+    )
     world.records += [encode(other_grant), encode(other_grant)]
     world.oldest = len(world.records)
     world.run(2 * WAIT_S)
@@ -256,15 +264,17 @@
 # --- the fold --------------------------------------------------------------------------------
 
 
-def record(act: Act, number: int, upto: int, by: str = "a", fence: int = -1) -> dict[str, Any]:
+def record(
+    act: LeaseAction, number: int, upto: int, by: str = "a", fence: int = -1
+) -> dict[str, Any]:
     return encode(LeaseRecord(act, SCOPE, by, by, number, upto, fence, 3.0))
 
 
 def test_first_of_two_rival_grants_wins_by_its_offset() -> None:
     ledger = LeaseLedger()
     start_at_end(ledger, 0, 0.0)
-    assert fold(ledger, 1.0, 0, record(Act.GRANT, 1, 0, "a")).is_valid
-    assert not fold(ledger, 1.0, 1, record(Act.GRANT, 1, 0, "b")).is_valid
+    assert fold(ledger, 1.0, 0, record(LeaseAction.GRANT, 1, 0, "a")).is_valid
+    assert not fold(ledger, 1.0, 1, record(LeaseAction.GRANT, 1, 0, "b")).is_valid
     assert ledger.leases[SCOPE].instance == "a"
     assert ledger.leases[SCOPE].fence == 0
 
@@ -272,16 +282,16 @@
 def test_renewal_that_lands_after_the_successors_grant_is_void() -> None:
     ledger = LeaseLedger()
     start_at_end(ledger, 0, 0.0)
-    fold(ledger, 1.0, 0, record(Act.GRANT, 1, 0, "a"))
-    assert fold(ledger, 1.0, 1, record(Act.GRANT, 1, 1, "b")).is_valid
-    assert not fold(ledger, 1.0, 2, record(Act.RENEW, 2, 1, "a", fence=0)).is_valid
+    fold(ledger, 1.0, 0, record(LeaseAction.GRANT, 1, 0, "a"))
+    assert fold(ledger, 1.0, 1, record(LeaseAction.GRANT, 1, 1, "b")).is_valid
+    assert not fold(ledger, 1.0, 2, record(LeaseAction.RENEW, 2, 1, "a", fence=0)).is_valid
     assert ledger.leases[SCOPE].instance == "b"
 
 
 def test_uncertain_release_does_not_free_the_lease() -> None:
     ledger = LeaseLedger()
     start_at_end(ledger, 5, 0.0)
-    folded = fold(ledger, 1.0, 5, record(Act.RELEASE, 9, 3, "a", fence=0))
+    folded = fold(ledger, 1.0, 5, record(LeaseAction.RELEASE, 9, 3, "a", fence=0))
     assert folded.is_valid
     assert not folded.is_sure
     assert not ledger.leases[SCOPE].released
@@ -295,11 +305,11 @@
         [],
         {},
         {"act": "steal"},
-        {**record(Act.GRANT, 1, 0), "upto": "0"},
-        {**record(Act.GRANT, 1, 0), "by": ["a"]},
-        {**record(Act.GRANT, 1, 0), "lease_s": -1},
-        {**record(Act.GRANT, 1, 0), "lease_s": True},
-        {**record(Act.GRANT, 1, 0), "service": 4},
+        {**record(LeaseAction.GRANT, 1, 0), "upto": "0"},
+        {**record(LeaseAction.GRANT, 1, 0), "by": ["a"]},
+        {**record(LeaseAction.GRANT, 1, 0), "lease_s": -1},
+        {**record(LeaseAction.GRANT, 1, 0), "lease_s": True},
+        {**record(LeaseAction.GRANT, 1, 0), "service": 4},
     ],
 )
 def test_malformed_record_is_skipped(value: Any) -> None:
@@ -311,7 +321,7 @@
 
 
 def test_record_round_trips() -> None:
-    value = LeaseRecord(Act.RENEW, SCOPE, "a", "a-1", 3, 17, 12, 30.0)
+    value = LeaseRecord(LeaseAction.RENEW, SCOPE, "a", "a-1", 3, 17, 12, 30.0)
     assert decode(encode(value)) == value
 
 
--- a/tests/core/leases/test_model_placement.py
+++ b/tests/core/leases/test_model_placement.py
@@ -13,9 +13,9 @@
 
 from tests.core.case_driver import Case, check_lines, load_cases
 from tests.core.model_world import SLOTS, World
-from turmericweir_core.base.config import ModelWant
+from turmericweir_core.base.config import ModelReplicas
 from turmericweir_core.base.ids import ServerName
-from turmericweir_core.base.model_label import ModelLabel, bare_name, parse_label
+from turmericweir_core.base.model_label import ModelLabel, label_model_name, parse_model_label
 from turmericweir_core.base.options import Options
 from turmericweir_core.leases import lease_flow
 from turmericweir_core.leases.model_placement import (
@@ -28,10 +28,10 @@
     note_demand,
 )
 from turmericweir_core.leases.order_steps import WantedModel, orders_for_model
-from turmericweir_core.records.lease_record import Scope
+from turmericweir_core.records.lease_record import LeaseScope
 from turmericweir_core.state.model_state import ModelTarget, ModelUsage
 
-SCOPE: Final = Scope("lm", "dc-1")
+SCOPE: Final = LeaseScope("lm", "dc-1")
 OPTIONS: Final = Options()
 # Long enough for all pending orders.
 SETTLE_S: Final = 300.0
@@ -43,8 +43,8 @@
 def read_holding(line: str) -> Holding:
     match = re.fullmatch(r"server (\S+) has ?(.*?)(?: ?loading (.*))?", line)
     assert match is not None, line
-    loaded = tuple(parse_label(text) for text in match[2].split())
-    loading = tuple(parse_label(text) for text in (match[3] or "").split())
+    loaded = tuple(parse_model_label(text) for text in match[2].split())
+    loading = tuple(parse_model_label(text) for text in (match[3] or "").split())
     return Holding(ServerName(match[1]), SLOTS, loaded, loading)
 
 
@@ -69,9 +69,9 @@
 
 
 def test_labels() -> None:
-    assert parse_label("lm@2+fr") == ModelLabel("lm", "2", "fr")
-    assert str(parse_label("lm@2+fr")) == "lm@2+fr"
-    assert bare_name("lm+fr") == bare_name("lm@3") == bare_name("lm") == "lm"
+    assert parse_model_label("lm@2+fr") == ModelLabel("lm", "2", "fr")
+    assert str(parse_model_label("lm@2+fr")) == "lm@2+fr"
+    assert label_model_name("lm+fr") == label_model_name("lm@3") == label_model_name("lm") == "lm"
 
 
 # --- counts ----------------------------------------------------------------------------------
@@ -160,7 +160,7 @@
 def test_wanted_state_is_reached_and_then_no_orders_are_sent() -> None:
     world = World()
     world.add_engines("big", "", "")
-    world.start(ModelWant("big", min_servers=2), ModelWant("small", min_servers=1))
+    world.start(ModelReplicas("big", min_servers=2), ModelReplicas("small", min_servers=1))
     world.run(SETTLE_S)
     assert world.having("big") == 2
     assert world.having("small") == 1
@@ -177,10 +177,10 @@
 def test_version_changes_one_server_at_a_time_above_the_least() -> None:
     world = World()
     world.add_engines("big@1", "big@1", "big@1")
-    world.start(ModelWant("big", "1", min_servers=3))
+    world.start(ModelReplicas("big", "1", min_servers=3))
     world.run(30.0)
     world.watch()
-    world.want(ModelWant("big", "2", min_servers=3))
+    world.want(ModelReplicas("big", "2", min_servers=3))
     changing_counts: set[int] = set()
     for _ in range(600):
         world.run(0.5)
@@ -201,7 +201,7 @@
 def test_demand_adds_servers_and_removes_them_slowly() -> None:
     world = World()
     world.add_engines("big", "", "", "")
-    world.start(ModelWant("big"))
+    world.start(ModelReplicas("big"))
     world.run(1200.0, big=20.0)
     assert world.having("big") == 4
     world.watch()
@@ -215,7 +215,7 @@
 def test_model_in_use_keeps_its_last_server_without_a_want() -> None:
     world = World()
     world.add_engines("big", "")
-    world.start(ModelWant("big", min_servers=0, max_servers=0))
+    world.start(ModelReplicas("big", min_servers=0, max_servers=0))
     world.run(120.0, big=0.5)
     assert world.having("big") == 1
     world.run(120.0)
@@ -225,7 +225,7 @@
 def test_waiting_requests_load_a_missing_model() -> None:
     world = World()
     world.add_engines("small", "small")
-    state = world.start(ModelWant("big", min_servers=0), ModelWant("small", min_servers=2))
+    state = world.start(ModelReplicas("big", min_servers=0), ModelReplicas("small", min_servers=2))
     world.run(60.0)
     assert world.having("big") == 0
     for _ in range(60):
@@ -238,7 +238,7 @@
 def test_weight_store_is_asked_on_time_and_for_missing_models_first() -> None:
     world = World(weights_s=15.0)
     world.add_engines("big", "", "")
-    world.start(ModelWant("big", min_servers=3), ModelWant("small", min_servers=1))
+    world.start(ModelReplicas("big", min_servers=3), ModelReplicas("small", min_servers=1))
     world.run(SETTLE_S)
     assert world.having("big") == 3
     assert world.grants[0][1] == "small@1"
@@ -250,9 +250,9 @@
 def test_orders_stop_in_a_log_outage_and_resume_after_it() -> None:
     world = World()
     world.add_engines("big@1", "big@1")
-    state = world.start(ModelWant("big", "1", min_servers=2))
+    state = world.start(ModelReplicas("big", "1", min_servers=2))
     world.run(30.0)
-    world.want(ModelWant("big", "2", min_servers=2))
+    world.want(ModelReplicas("big", "2", min_servers=2))
     world.run(7.0)
     world.log_up = False
     world.run(OPTIONS.lease_s + 1)
@@ -268,9 +268,9 @@
 def test_server_that_fails_to_load_is_replaced() -> None:
     world = World()
     world.add_engines("", "")
-    state = world.start(ModelWant("big", min_servers=0), ModelWant("small", min_servers=0))
+    state = world.start(ModelReplicas("big", min_servers=0), ModelReplicas("small", min_servers=0))
     world.run(30.0)
-    world.want(ModelWant("big", min_servers=1))
+    world.want(ModelReplicas("big", min_servers=1))
     world.run(1.0)
     plan = next(iter(state.models.plans.values()))
     world.run(10.0)
@@ -288,10 +288,10 @@
     # to unload it is refused, or repaired shortly after.
     world = World(checks=checks)
     world.add_engines("big@1", "big@1")
-    world.start(ModelWant("big", "1", min_servers=2))
+    world.start(ModelReplicas("big", "1", min_servers=2))
     world.start()
     world.run(30.0)
-    world.want(ModelWant("big", "2", min_servers=2))
+    world.want(ModelReplicas("big", "2", min_servers=2))
     world.run(6.0)
     holders = [state for state in world.states if lease_flow.held(state, world.now, SCOPE)]
     assert len(holders) == 1
@@ -314,10 +314,10 @@
 def test_successor_waits_for_the_longest_order_without_fence_checks() -> None:
     world = World(checks=False)
     world.add_engines("big@1", "big@1")
-    world.start(ModelWant("big", "1", min_servers=2))
+    world.start(ModelReplicas("big", "1", min_servers=2))
     world.start()
     world.run(30.0)
-    world.want(ModelWant("big", "2", min_servers=2))
+    world.want(ModelReplicas("big", "2", min_servers=2))
     world.run(6.0)
     holder = next(state for state in world.states if lease_flow.held(state, world.now, SCOPE))
     successor = next(state for state in world.states if state is not holder)
@@ -336,7 +336,7 @@
     world.add_engines("", "")
     for engine in world.engines.values():
         engine.fence = 3
-    world.start(ModelWant("big", min_servers=2))
+    world.start(ModelReplicas("big", min_servers=2))
     world.run(SETTLE_S)
     assert world.having("big") == 2
     refused = [fence for engine in world.engines.values() for fence in engine.refused]
@@ -374,7 +374,7 @@
         case ("repeat", index):
             world.repeat(index)
         case (_, version):
-            world.want(ModelWant("big", str(version), min_servers=2))
+            world.want(ModelReplicas("big", str(version), min_servers=2))
 
 
 @settings(max_examples=15, deadline=None)
@@ -385,14 +385,14 @@
     # No orders are sent once the wanted state is reached.
     world = World(checks=checks, load_s=5.0)
     world.add_engines("big@1", "big@1", "")
-    world.start(ModelWant("big", "1", min_servers=2))
+    world.start(ModelReplicas("big", "1", min_servers=2))
     world.start()
     world.run(30.0, step_s=1.0)
     for step in steps_:
         apply(world, step)
     world.paused.clear()
     world.log_up, world.lose_orders = True, False
-    world.want(ModelWant("big", "9", min_servers=2))
+    world.want(ModelReplicas("big", "9", min_servers=2))
     world.run(900.0, step_s=1.0)
     assert sorted(world.loaded()) == ["", "big@9", "big@9"]
     order_count = len(world.orders())
--- a/tests/core/lifecycle_script.py
+++ b/tests/core/lifecycle_script.py
@@ -16,8 +16,8 @@
 from collections.abc import Callable
 from typing import Final
 
-from turmericweir_core.base.config import Config, Kind, ServerEntry, Service, ServiceClass
-from turmericweir_core.base.ids import InstanceName, RequestId, ServerName, Target, attempt_id
+from turmericweir_core.base.config import Config, ServerEntry, Service, ServiceClass, ServiceKind
+from turmericweir_core.base.ids import InstanceName, RequestId, ServerName, Target, make_attempt_id
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
 from turmericweir_core.messages.effects import (
@@ -70,8 +70,8 @@
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.kind = Kind.MODEL
-        self.state = make_state(Kind.MODEL, 1)
+        self.kind = ServiceKind.MODEL
+        self.state = make_state(ServiceKind.MODEL, 1)
         self.out: list[str] = []
         self._seq = 0
 
@@ -95,9 +95,9 @@
             match effect:
                 case StartAttempt():
                     fresh = ""
-                    if effect.fresh_connection:
+                    if effect.needs_new_connection:
                         fresh = " fresh"
-                    elif effect.proven_connection:
+                    elif effect.needs_verified_connection:
                         fresh = " proven"
                     resume = f" from {effect.resume_from}" if effect.resume_from else ""
                     self.out.append(
@@ -120,7 +120,7 @@
     # --- commands --------------------------------------------------------------------------
 
     def _do_servers(self, words: list[str]) -> None:
-        self.kind = Kind.PLAIN if "plain" in words else Kind.MODEL
+        self.kind = ServiceKind.PLAIN if "plain" in words else ServiceKind.MODEL
         self.state = make_state(self.kind, int(words[0]))
 
     def _do_arrive(self, words: list[str]) -> None:
@@ -135,7 +135,7 @@
             customer="dunes",
             team="",
             service_class=CLASS,
-            arrived=self.now,
+            arrived_at=self.now,
             deadline=self.now + deadline_s,
             repeatable="once" not in words,
             fingerprint=words[0],
@@ -159,7 +159,7 @@
 
     def _do_late(self, words: list[str]) -> None:
         name = RequestId(words[0])
-        self._event(AttemptEnded(name, attempt_id(name, 0), _ENDS[words[1]]))
+        self._event(AttemptEnded(name, make_attempt_id(name, 0), _ENDS[words[1]]))
 
     def _do_leave(self, words: list[str]) -> None:
         self._event(CallerLeft(RequestId(words[0])))
@@ -172,7 +172,7 @@
 
     def _do_up(self, words: list[str]) -> None:
         self._seq += 1
-        models = (str(TARGET),) if self.kind is Kind.MODEL else ()
+        models = (str(TARGET),) if self.kind is ServiceKind.MODEL else ()
         name = ServerName(words[0])
         self._event(ServerReport(name, "2", self._seq, 0, 0, slots=1, models=models))
 
@@ -180,9 +180,9 @@
         self.state.retries.tokens = float(words[0])
 
 
-def make_state(kind: Kind, servers: int) -> State:
+def make_state(kind: ServiceKind, servers: int) -> State:
     """Return the state of an instance with some servers."""
-    models = (str(TARGET),) if kind is Kind.MODEL else ()
+    models = (str(TARGET),) if kind is ServiceKind.MODEL else ()
     service = Service(str(TARGET), kind, models, slots=1)
     entries = [
         ServerEntry(ServerName(f"s{number}"), service.name, "dc", f"127.0.0.1:{number}", "1")
--- a/tests/core/limits/test_limit.py
+++ b/tests/core/limits/test_limit.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Config, Customer, Kind, Limit, ServiceClass
+from turmericweir_core.base.config import Config, Customer, Limit, ServiceClass, ServiceKind
 from turmericweir_core.base.ids import InstanceName, RequestId, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.reasons import Reason
@@ -151,12 +151,12 @@
     """Return a request of the customer, whose team is `herons`."""
     return Request(
         request_id=RequestId(name),
-        kind=Kind.MODEL if predicted else Kind.PLAIN,
+        kind=ServiceKind.MODEL if predicted else ServiceKind.PLAIN,
         target=Target("any"),
         customer=CUSTOMER,
         team="herons",
         service_class=CLASS,
-        arrived=world.now,
+        arrived_at=world.now,
         deadline=world.now + 60.0,
         predicted_tokens=predicted,
     )
--- a/tests/core/load_script.py
+++ b/tests/core/load_script.py
@@ -22,7 +22,7 @@
 from msgspec.structs import fields
 
 from tests.core.load_world import LoadWorld
-from turmericweir_core.base.config import Kind, Policy
+from turmericweir_core.base.config import PlacementPolicy, ServiceKind
 from turmericweir_core.base.ids import InstanceName, RequestId
 from turmericweir_core.base.options import Options
 from turmericweir_core.messages.events import CallerLeft, EndCancelled, EndRefused
@@ -56,8 +56,8 @@
         instances=int(settings.get("instances", 1)),
         servers=int(settings.get("servers", 1)),
         slots=int(settings.get("slots", 1)),
-        policy=Policy(settings.get("policy", "counts")),
-        kind=Kind(settings.get("kind", "model")),
+        policy=PlacementPolicy(settings.get("policy", "counts")),
+        kind=ServiceKind(settings.get("kind", "model")),
         options=Options(**options),
     )
 
--- a/tests/core/load_world.py
+++ b/tests/core/load_world.py
@@ -13,7 +13,14 @@
 from itertools import count
 
 from turmericweir_core.base.account import Account, Outcome
-from turmericweir_core.base.config import Config, Kind, Policy, ServerEntry, Service, ServiceClass
+from turmericweir_core.base.config import (
+    Config,
+    PlacementPolicy,
+    ServerEntry,
+    Service,
+    ServiceClass,
+    ServiceKind,
+)
 from turmericweir_core.base.ids import AttemptId, InstanceName, RequestId, ServerName, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import CancelReason, Request
@@ -86,15 +93,15 @@
         instances: int = 1,
         servers: int = 2,
         slots: int = 2,
-        policy: Policy = Policy.COUNTS,
-        kind: Kind = Kind.MODEL,
+        policy: PlacementPolicy = PlacementPolicy.COUNTS,
+        kind: ServiceKind = ServiceKind.MODEL,
         options: Options | None = None,
         classes: dict[str, ServiceClass] | None = None,
         report_s: float | None = 0.1,
     ) -> None:
         self.now = 100.0
         self.kind = kind
-        self.target = MODEL if kind is Kind.MODEL else PLAIN
+        self.target = MODEL if kind is ServiceKind.MODEL else PLAIN
         self.options = options or Options()
         self.classes = classes or CLASSES
         # Interval of load reports; None disables them.
@@ -259,7 +266,7 @@
             customer=customer,
             team="",
             service_class=service_class,
-            arrived=self.now,
+            arrived_at=self.now,
             deadline=self.now + within,
             fingerprint=request_id,
             prefixes=prefixes,
@@ -331,7 +338,7 @@
 
 
 def report_of(
-    server: ServerName, seq: int, load: int, slots: int, kind: Kind = Kind.MODEL
+    server: ServerName, seq: int, load: int, slots: int, kind: ServiceKind = ServiceKind.MODEL
 ) -> ServerReport:
     """Return the load report of a server that has its model loaded."""
     return ServerReport(
@@ -341,15 +348,19 @@
         running=min(load, slots),
         waiting=max(0, load - slots),
         slots=slots,
-        models=(str(MODEL),) if kind is Kind.MODEL else (),
+        models=(str(MODEL),) if kind is ServiceKind.MODEL else (),
     )
 
 
 def _config(
-    servers: int, slots: int, policy: Policy, kind: Kind, classes: dict[str, ServiceClass]
+    servers: int,
+    slots: int,
+    policy: PlacementPolicy,
+    kind: ServiceKind,
+    classes: dict[str, ServiceClass],
 ) -> Config:
-    target = MODEL if kind is Kind.MODEL else PLAIN
-    models = (str(MODEL),) if kind is Kind.MODEL else ()
+    target = MODEL if kind is ServiceKind.MODEL else PLAIN
+    models = (str(MODEL),) if kind is ServiceKind.MODEL else ()
     service = Service(str(target), kind, models, slots=slots)
     entries = [
         ServerEntry(ServerName(f"s{each}"), service.name, DATA_CENTRE, f"127.0.0.1:{9000 + each}")
--- a/tests/core/membership/test_membership.py
+++ b/tests/core/membership/test_membership.py
@@ -8,7 +8,7 @@
 from msgspec.structs import replace
 
 from tests.core.member_network import Network
-from turmericweir_core.base.config import Config, Kind, ServerEntry, Service
+from turmericweir_core.base.config import Config, ServerEntry, Service, ServiceKind
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.membership.membership import (
@@ -473,9 +473,9 @@
     centre = state.members.centres["south"]
     assert centre.status_message is not None
     newest_status = centre.status_message
-    old_status = Word("south", newest_status.relay, newest_status.seq - 1, 1, 99, 99)
+    old_status = Word("south", newest_status.relay_key, newest_status.seq - 1, 1, 99, 99)
 
-    beat = replace(sent_heartbeats(network, names[1])[0], words=[old_status], seq=100_000)
+    beat = replace(sent_heartbeats(network, names[1])[0], status_messages=[old_status], seq=100_000)
     network.give(names[0], PeerReceived(InstanceName(names[1]), beat))
 
     assert centre.status_message == newest_status
@@ -484,7 +484,7 @@
 # --- backend servers -------------------------------------------------------------------------
 
 ENGINE = ServerEntry(ServerName("engine"), "lm", "north", "10.1.0.1:1", incarnation="1")
-LM = Service("lm", Kind.MODEL, models=("m",))
+LM = Service("lm", ServiceKind.MODEL, models=("m",))
 CONFIG = Config(services={"lm": LM})
 
 
@@ -612,9 +612,11 @@
     network = Network(options=Options(mark_keep=10, mark_keep_s=30.0))
     network.add("a")
     state = network.nodes["a"].state
-    beat = replace(Heartbeat("north", "10.9.9.9:1", "x", 1, False, 0, ""), tag=tag_of(network))
+    beat = replace(
+        Heartbeat("north", "10.9.9.9:1", "x", 1, False, 0, ""), cluster_hash=tag_of(network)
+    )
     notices = [Mark(f"server-{number}", "1", False, 0) for number in range(100)]
-    network.give("a", PeerReceived(InstanceName("b"), replace(beat, marks=notices)))
+    network.give("a", PeerReceived(InstanceName("b"), replace(beat, leaving_notices=notices)))
 
     assert len(state.servers.leaving_notices.by_key) == 10
     network.run(40.0)
@@ -622,7 +624,7 @@
     assert state.servers.leaving_notices.digest == 0
 
     # Notices older than the limit are ignored. Prevents a peer from restoring an expired notice.
-    old_beat = replace(beat, seq=2, marks=[Mark("old", "1", False, 31)])
+    old_beat = replace(beat, seq=2, leaving_notices=[Mark("old", "1", False, 31)])
     network.give("a", PeerReceived(InstanceName("b"), old_beat))
     assert ServerName("old") not in state.servers.leaving_notices.incarnations
 
--- a/tests/core/model_world.py
+++ b/tests/core/model_world.py
@@ -9,15 +9,15 @@
 from dataclasses import dataclass, field
 from typing import Any, Final
 
-from turmericweir_core.base.config import Config, Kind, ModelWant, ServerEntry, Service
+from turmericweir_core.base.config import Config, ModelReplicas, ServerEntry, Service, ServiceKind
 from turmericweir_core.base.ids import InstanceName, ServerName, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.messages.effects import (
     AppendRecords,
-    AskWeights,
     Effect,
     ProbeServer,
     ReadLog,
+    RequestLoadPermit,
     SendDatagram,
     SendOrder,
     SendPeer,
@@ -141,23 +141,23 @@
             name = ServerName(f"lm-{len(self.engines) + 1}")
             self.engines[name] = Engine(name, self.checks, text.split())
 
-    def config(self, *wants: ModelWant) -> Config:
+    def config(self, *wants: ModelReplicas) -> Config:
         """Return the settings with these wants."""
-        service = Service(SERVICE, Kind.MODEL, MODELS, slots=SLOTS, checks_fence=self.checks)
+        service = Service(SERVICE, ServiceKind.MODEL, MODELS, slots=SLOTS, checks_fence=self.checks)
         return Config(
             services={SERVICE: service},
             service_by_target={Target(model): service for model in MODELS},
-            wants={want.model: want for want in wants},
+            model_replicas={want.model: want for want in wants},
         )
 
-    def want(self, *wants: ModelWant) -> None:
+    def want(self, *wants: ModelReplicas) -> None:
         """Apply wants on all instances."""
         config = self.config(*wants)
         for state in self.states:
             _set_config(state, config)
             self._list(state)
 
-    def start(self, *wants: ModelWant) -> State:
+    def start(self, *wants: ModelReplicas) -> State:
         """Start one more instance."""
         number = len(self.states)
         identity = Identity(
@@ -205,7 +205,7 @@
                 self.handle(state, self.engines[server].report(self.now))
             case SendOrder():
                 self.order(state, effect)
-            case AskWeights(model, version):
+            case RequestLoadPermit(model, version):
                 self._grant(state, model, version)
             case SendDatagram() | SendPeer():
                 self._send(state, effect)
@@ -214,7 +214,7 @@
 
     def _append(self, state: State, token: str, records: tuple[Any, ...]) -> None:
         if not self.log_up:
-            self.handle(state, AppendFailed(LEASES_STREAM, token, "down", maybe=True))
+            self.handle(state, AppendFailed(LEASES_STREAM, token, "down", may_have_applied=True))
             return
         first = len(self.records)
         self.records += records
--- a/tests/core/placement/test_admission.py
+++ b/tests/core/placement/test_admission.py
@@ -12,7 +12,7 @@
 from tests.core.load_script import run_script
 from tests.core.load_world import CLASSES, LoadWorld
 from turmericweir_core.base.account import Account, Outcome
-from turmericweir_core.base.config import Kind, Policy
+from turmericweir_core.base.config import PlacementPolicy, ServiceKind
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.reasons import Reason
 from turmericweir_core.base.request import CancelReason
@@ -44,16 +44,18 @@
             if attempt is None:
                 oldest_arrival = min(
                     (
-                        each.arrived
+                        each.arrived_at
                         for each in state.requests.values()
                         if each.attempt is None and each.priority == req.priority
                     ),
                 )
-                droppable = not req.may_have_run and req.arrived > oldest_arrival
+                droppable = not req.may_have_run and req.arrived_at > oldest_arrival
             else:
                 # An attempt of the assured share runs at the most urgent tier.
                 droppable = (
-                    req.kind is Kind.MODEL and attempt.cancelled is None and attempt.tier > tier
+                    req.kind is ServiceKind.MODEL
+                    and attempt.cancelled is None
+                    and attempt.tier > tier
                 )
             if droppable:
                 displaceable.append(req.request_id)
@@ -88,9 +90,13 @@
 
 
 @settings(max_examples=150, deadline=None)
-@given(STEPS, st.sampled_from(list(Kind)), st.sampled_from([Policy.COUNTS, Policy.CREDITS]))
+@given(
+    STEPS,
+    st.sampled_from(list(ServiceKind)),
+    st.sampled_from([PlacementPolicy.COUNTS, PlacementPolicy.CREDITS]),
+)
 def test_lower_work_is_displaced_before_upper_work_is_refused(
-    steps: list[tuple[str, str]], kind: Kind, policy: Policy
+    steps: list[tuple[str, str]], kind: ServiceKind, policy: PlacementPolicy
 ) -> None:
     """Guards against refusing a request while lower work could be displaced, and against the
     reverse.
@@ -114,7 +120,7 @@
                     assert all(it.reason is not Reason.DISPLACED for it in dropped)
         elif step == "end" and world.running:
             running = world.oldest()
-            if kind is Kind.MODEL:
+            if kind is ServiceKind.MODEL:
                 world.progress(running, 20)
             world.end(running)
         else:
@@ -132,7 +138,11 @@
 def test_backlog_after_a_pause_is_admitted() -> None:
     """Guards against refusals after a pause, when credit has lapsed and engines are idle."""
     world = LoadWorld(
-        instances=2, servers=4, slots=8, policy=Policy.CREDITS, options=Options(pace_weight=1.0)
+        instances=2,
+        servers=4,
+        slots=8,
+        policy=PlacementPolicy.CREDITS,
+        options=Options(pace_weight=1.0),
     )
     world.advance(1.0)
     for _ in range(2):
@@ -156,9 +166,9 @@
 
 
 @settings(max_examples=60, deadline=None)
-@given(STEPS, st.sampled_from(list(Policy)))
+@given(STEPS, st.sampled_from(list(PlacementPolicy)))
 def test_every_request_ends_once_and_not_run_is_accurate(
-    steps: list[tuple[str, str]], policy: Policy
+    steps: list[tuple[str, str]], policy: PlacementPolicy
 ) -> None:
     """Guards against missing or double accounts, and `not_run` for a request that was sent."""
     world = LoadWorld(
--- a/tests/core/placement/test_displacement.py
+++ b/tests/core/placement/test_displacement.py
@@ -12,7 +12,7 @@
 from tests.core.case_driver import Case, check_lines, load_cases
 from tests.core.load_script import run_script
 from tests.core.load_world import CLASSES, LoadWorld
-from turmericweir_core.base.config import Policy
+from turmericweir_core.base.config import PlacementPolicy
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.options import Options
 from turmericweir_core.messages.effects import CancelAttempt
@@ -32,7 +32,7 @@
     """A world that fails instead of hanging where displacement does not end."""
 
     def __init__(self, options: Options) -> None:
-        super().__init__(servers=2, slots=1, policy=Policy.COUNTS, options=options)
+        super().__init__(servers=2, slots=1, policy=PlacementPolicy.COUNTS, options=options)
 
     def displacement_count(self) -> int:
         """Count the displacements."""
@@ -85,7 +85,7 @@
         instances=rng.randint(1, 4),
         servers=rng.randint(1, 3),
         slots=rng.randint(2, 5),
-        policy=Policy.CREDITS,
+        policy=PlacementPolicy.CREDITS,
         classes=STRICT,
     )
     world.advance(0.3)
--- a/tests/core/placement/test_placement.py
+++ b/tests/core/placement/test_placement.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tests.core.load_world import CLASSES, DATA_CENTRE, MODEL, LoadWorld, report_of
-from turmericweir_core.base.config import Config, Kind, Policy, ServerEntry, Service
+from turmericweir_core.base.config import Config, PlacementPolicy, ServerEntry, Service, ServiceKind
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.membership.subset import on_tick as subset_tick
@@ -30,7 +30,7 @@
 
 def region_state(name: str, servers: int, *, centres: tuple[str, ...] = CENTRES) -> State:
     """Return the state of an instance of the first data centre, with servers in all of them."""
-    service = Service(str(MODEL), Kind.MODEL, (str(MODEL),))
+    service = Service(str(MODEL), ServiceKind.MODEL, (str(MODEL),))
     entries = {
         ServerName(f"s{number}"): ServerEntry(
             ServerName(f"s{number}"), service.name, centres[number % len(centres)], "127.0.0.1:1"
@@ -142,7 +142,7 @@
 
 def test_baseline_takes_servers_in_turn() -> None:
     """Guards against a baseline policy that depends on load."""
-    world = LoadWorld(servers=3, slots=4, policy=Policy.BASELINE)
+    world = LoadWorld(servers=3, slots=4, policy=PlacementPolicy.BASELINE)
     for _ in range(9):
         world.arrive("quote")
     assert Counter(each.server for each in world.started) == {"s0": 3, "s1": 3, "s2": 3}
@@ -158,9 +158,9 @@
     assert world.run_of("q").server == "s1"
 
 
-@pytest.mark.parametrize("policy", [Policy.COUNTS, Policy.CREDITS])
+@pytest.mark.parametrize("policy", [PlacementPolicy.COUNTS, PlacementPolicy.CREDITS])
 @pytest.mark.parametrize("instances", [4, 8])
-def test_stale_reports_do_not_cause_herding(policy: Policy, instances: int) -> None:
+def test_stale_reports_do_not_cause_herding(policy: PlacementPolicy, instances: int) -> None:
     """Guards against all instances sending a burst to the one server whose stale report shows it
     idle.
     """
@@ -192,8 +192,8 @@
 
 def test_instance_without_running_requests_is_served() -> None:
     """Guards against starvation of an instance where others keep the only server full."""
-    world = LoadWorld(servers=1, slots=2, report_s=None, kind=Kind.PLAIN)
-    world.event(InstanceName("entry-0"), report_of(ServerName("s0"), 1, 7, 2, Kind.PLAIN))
+    world = LoadWorld(servers=1, slots=2, report_s=None, kind=ServiceKind.PLAIN)
+    world.event(InstanceName("entry-0"), report_of(ServerName("s0"), 1, 7, 2, ServiceKind.PLAIN))
     world.arrive("quote", name="q1")
     world.arrive("quote", name="q2")
     assert world.running_ids() == ["q1"]
--- a/tests/core/placement/test_predicted_placement.py
+++ b/tests/core/placement/test_predicted_placement.py
@@ -6,7 +6,7 @@
 
 from tests.core.store_world import BULK, FIT, MODEL, QUICK, StoreWorld, only, start_of
 from turmericweir_core.base.config import ServiceClass
-from turmericweir_core.base.routes import Route, WeightedTarget, make_table
+from turmericweir_core.base.routes import Route, WeightedTarget, build_route_table
 from turmericweir_core.engines import engine_pools
 from turmericweir_core.messages.effects import StartAttempt
 from turmericweir_core.messages.events import EndComplete, RegistryRead
@@ -93,7 +93,7 @@
         world.arrive("2", prompt_tokens=17_000, parts=(SHARED_PART, ("own-2", 3_700)))
     )
     assert second.server != first.server
-    assert second.fetch_from == holder.address
+    assert second.fetch_from_address == holder.address
 
 
 def test_late_request_does_not_repeat_a_prefill() -> None:
@@ -145,7 +145,7 @@
         world.arrive(name, service_class=QUICK, prompt_tokens=20, expected_tokens=600)
         world.now += 0.25
     rows = engine_pools.demand_rows(world.state, world.now)
-    assert 2_500 < rows[0].quick_ms_s * 10 < 3_500
+    assert 2_500 < rows[0].short_prompt_ms_s * 10 < 3_500
 
 
 def test_needed_decode_engines_are_assigned_at_once() -> None:
@@ -176,7 +176,7 @@
 def test_urgent_long_prompts_get_engines_first() -> None:
     """Guards against a burst of less urgent short prompts that takes the prefill engines."""
     world = StoreWorld(engines=8)
-    table = make_table([_route("marking", BULK, 0), _route("homework", QUICK, 1)])
+    table = build_route_table([_route("marking", BULK, 0), _route("homework", QUICK, 1)])
     world.state.config = replace(world.state.config, routes=table, offset=7)
     world.peer("a-2", LoadNews("y", 1, [], [], [DemandRow("lm", 3_500, 9_000)]))
     assert len(_servers(world, "b", BULK, 20)) >= 6
@@ -231,7 +231,7 @@
         entries = [
             replace(each, data_centre=centres.get(each.name, "dc-a")) for each in world.entries
         ]
-        world.give(RegistryRead(tuple((each, 2) for each in entries), whole=True))
+        world.give(RegistryRead(tuple((each, 2) for each in entries), is_complete=True))
         world.state.me = replace(world.state.me, data_centre=f"dc-{own}")
         shared = ("greeting", 120)
         fields = {"service_class": QUICK, "prompt_tokens": 700}
@@ -257,7 +257,7 @@
         replace(each, data_centre="dc-b" if each.name == first.server else "dc-a")
         for each in world.entries
     ]
-    world.give(RegistryRead(tuple((each, 2) for each in entries), whole=True))
+    world.give(RegistryRead(tuple((each, 2) for each in entries), is_complete=True))
     second = start_of(
         world.arrive("2", prompt_tokens=17_000, parts=(SHARED_PART, ("own-2", 3_700)))
     )
--- a/tests/core/placement/test_straggler.py
+++ b/tests/core/placement/test_straggler.py
@@ -12,7 +12,7 @@
 
 from tests.core.load_world import LoadWorld, Running
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Policy, ServiceClass
+from turmericweir_core.base.config import PlacementPolicy, ServiceClass
 from turmericweir_core.base.ids import AttemptId, InstanceName, RequestId, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.reasons import Reason
@@ -174,7 +174,12 @@
 def attempt_with(tokens: int, first: float, last: float) -> Attempt:
     """Return an attempt that received tokens between two times."""
     return Attempt(
-        AttemptId("r.0"), S0, started=0.0, tokens=tokens, first_token_at=first, last_token_at=last
+        AttemptId("r.0"),
+        S0,
+        started_at=0.0,
+        tokens=tokens,
+        first_token_at=first,
+        last_token_at=last,
     )
 
 
@@ -229,12 +234,12 @@
     # Whether the other servers are full of answers of the same class.
     full: bool = False
     budget: float = 5.0
-    policy: Policy = Policy.COUNTS
+    policy: PlacementPolicy = PlacementPolicy.COUNTS
 
 
 MOVE_CASES: Final = (
     MoveCase("late tokens", moved=True),
-    MoveCase("late tokens, under credits", moved=True, policy=Policy.CREDITS),
+    MoveCase("late tokens, under credits", moved=True, policy=PlacementPolicy.CREDITS),
     MoveCase("slower, but as promised", moved=False, slow_gap_s=0.06),
     MoveCase("hardly slower than the others", moved=False, slow_gap_s=0.07, gap_s=0.06),
     MoveCase("class without a promise", moved=False, class_name=BULK),
@@ -243,7 +248,7 @@
     MoveCase("most are slow", moved=False, slow=tuple(map(ServerName, ("s0", "s1", "s2")))),
     MoveCase("no room elsewhere", moved=False, full=True),
     MoveCase("no budget", moved=False, budget=0.0),
-    MoveCase("baseline", moved=False, policy=Policy.BASELINE),
+    MoveCase("baseline", moved=False, policy=PlacementPolicy.BASELINE),
 )
 
 
@@ -379,7 +384,7 @@
 
 def test_move_asks_for_credit() -> None:
     """Guards against missing a move because the instance holds no credit for other servers."""
-    bench = MoveBench(MoveCase("credits", moved=True, policy=Policy.CREDITS))
+    bench = MoveBench(MoveCase("credits", moved=True, policy=PlacementPolicy.CREDITS))
     name = bench.world.on_server("s0")[0].request_id
     for running in list(bench.world.running.values()):
         if running.server != S0:
@@ -427,7 +432,7 @@
     """Guards against waiting for a second late gap on an engine already known to be slow."""
     bench = MoveBench(MOVE_CASES[0])
     first = bench.world.on_server("s0")[0].request_id
-    bench.world.first.requests[RequestId(first)].moved = True
+    bench.world.first.requests[RequestId(first)].was_moved = True
     bench.gap_s[S0] = 0.1
     bench.run(0.25)
     bench.arrive_at(S0, "newcomer", MOVE_CASES[0])
--- a/tests/core/queueing/test_queue.py
+++ b/tests/core/queueing/test_queue.py
@@ -11,7 +11,7 @@
 from tests.core.load_script import run_script
 from tests.core.load_world import CLASSES, LoadWorld
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Kind, Policy, ServiceClass
+from turmericweir_core.base.config import PlacementPolicy, ServiceClass, ServiceKind
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
 
@@ -29,17 +29,17 @@
             world.arrive(class_name, instance=round_number % len(world.states))
         if world.running:
             running = world.oldest()
-            if world.kind is Kind.MODEL:
+            if world.kind is ServiceKind.MODEL:
                 world.progress(running, 256)
             world.end(running)
         world.advance(0.1)
 
 
-@pytest.mark.parametrize("policy", [Policy.COUNTS, Policy.CREDITS])
-@pytest.mark.parametrize("kind", list(Kind))
+@pytest.mark.parametrize("policy", [PlacementPolicy.COUNTS, PlacementPolicy.CREDITS])
+@pytest.mark.parametrize("kind", list(ServiceKind))
 @pytest.mark.parametrize("instances", [1, 3])
 def test_every_class_is_served_under_endless_overload(
-    policy: Policy, kind: Kind, instances: int
+    policy: PlacementPolicy, kind: ServiceKind, instances: int
 ) -> None:
     """Guards against starvation of the lowest class under lasting overload by upper ones."""
     options = Options(queue_limit=10**6, admit_share=1e9)
@@ -59,7 +59,9 @@
 def test_assured_share_works_without_local_upper_traffic() -> None:
     """Guards against starvation of a class where its instance dispatches nothing else."""
     options = Options(queue_limit=10**6, admit_share=1e9, credit_assured_s=0.5)
-    world = LoadWorld(instances=3, servers=1, slots=2, policy=Policy.CREDITS, options=options)
+    world = LoadWorld(
+        instances=3, servers=1, slots=2, policy=PlacementPolicy.CREDITS, options=options
+    )
     world.advance(0.3)
     for number in range(2):
         for _ in range(10):
@@ -138,4 +140,4 @@
 
 def is_late(world: LoadWorld, req: Request) -> bool:
     """Return whether a request has waited for too long to meet its target."""
-    return world.now - req.arrived >= world.options.on_time_share * req.service_class.target_s
+    return world.now - req.arrived_at >= world.options.on_time_share * req.service_class.target_s
--- a/tests/core/queueing/test_urgent_first.py
+++ b/tests/core/queueing/test_urgent_first.py
@@ -62,7 +62,7 @@
         world.arrive(f"q{number}", service_class=URGENT, prompt_tokens=20)
     world.know("b-1")
     sent = [each.message for each in world.wait(1.0) if hasattr(each, "message")]
-    ranks = [row.late_rank for each in sent if isinstance(each, LoadNews) for row in each.demand]
+    ranks = [row.overdue_rank for each in sent if isinstance(each, LoadNews) for row in each.demand]
     assert ranks[0] is None
     assert ranks[-1] == 0
 
--- a/tests/core/requests/test_lifecycle.py
+++ b/tests/core/requests/test_lifecycle.py
@@ -13,7 +13,7 @@
 from tests.core.case_driver import Case, check_lines, load_cases
 from tests.core.lifecycle_script import CLASS, OPTIONS, TARGET, LifecycleScript, make_state
 from turmericweir_core.base.account import Account, Outcome
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.ids import AttemptId, RequestId
 from turmericweir_core.base.request import Request
 from turmericweir_core.messages.effects import CancelAttempt, Effect, FinishRequest, StartAttempt
@@ -71,7 +71,7 @@
 class Environment:
     """The environment of an instance, which checks each guarantee as effects arrive."""
 
-    def __init__(self, kind: Kind) -> None:
+    def __init__(self, kind: ServiceKind) -> None:
         self.kind = kind
         self.now = 100.0
         self.state: State = make_state(kind, 2)
@@ -94,7 +94,7 @@
                 assert not self._runs(effect.request_id), "two attempts at once"
                 if not observed.req.repeatable:
                     assert observed.may_have_begun == 0, "non-repeatable request run twice"
-                if self.kind is Kind.MODEL:
+                if self.kind is ServiceKind.MODEL:
                     assert effect.resume_from == observed.tokens, "tokens lost or duplicated"
                 self.attempts[effect.attempt_id] = ObservedAttempt(effect)
             case CancelAttempt():
@@ -130,9 +130,9 @@
             customer="dunes",
             team="",
             service_class=CLASS,
-            arrived=self.now,
+            arrived_at=self.now,
             deadline=self.now + deadline_s,
-            repeatable=repeatable or self.kind is Kind.MODEL,
+            repeatable=repeatable or self.kind is ServiceKind.MODEL,
             fingerprint=str(len(self.observed_requests) % 3),
         )
         self.observed_requests[request_id] = ObservedRequest(req)
@@ -259,9 +259,9 @@
 
 
 @settings(max_examples=300, deadline=None)
-@given(kind=st.sampled_from(Kind), steps=STEPS)
+@given(kind=st.sampled_from(ServiceKind), steps=STEPS)
 def test_every_request_gets_one_correct_account(
-    kind: Kind, steps: list[tuple[object, ...]]
+    kind: ServiceKind, steps: list[tuple[object, ...]]
 ) -> None:
     """Guards against violated guarantees in any order of events.
 
--- a/tests/core/settings/test_settings.py
+++ b/tests/core/settings/test_settings.py
@@ -12,8 +12,13 @@
 from tests.core.case_driver import Case, check_lines, load_cases
 from tests.core.settings_script import ROOT, change, record_of
 from turmericweir_core.messages.events import LogRecord
-from turmericweir_core.records.settings_record import SnapshotRecord, log_form, read_record
-from turmericweir_core.records.settings_verdict import Verdict, VerdictKind, describe, kind_of
+from turmericweir_core.records.settings_record import SnapshotRecord, read_record, record_json
+from turmericweir_core.records.settings_verdict import (
+    Verdict,
+    VerdictKind,
+    verdict_json,
+    verdict_kind,
+)
 from turmericweir_core.state.settings_state import (
     SEEN_KEEP,
     SettingsState,
@@ -35,7 +40,7 @@
 
 def snapshot_value(state: SettingsState, damage: str) -> dict[str, Any]:
     """Return the record of a snapshot, damaged as the case says."""
-    value = log_form(take_snapshot(state))
+    value = record_json(take_snapshot(state))
     if damage == "wrong-hash":
         value["hash"] = "0" * 32
     elif damage == "wrong-value":
@@ -49,7 +54,7 @@
     keyword, _, rest = line.partition(" ")
     value = snapshot_value(state, rest) if keyword == "snapshot" else record_of(line)
     (verdict,) = fold(state, value)
-    fields = describe(verdict)
+    fields = verdict_json(verdict)
     kind = fields.pop("verdict")
     shown = {key: it for key, it in fields.items() if key not in ("at", "offset")}
     return f"{state.offset - 1} {kind} " + " ".join(f"{k}={_short(v)}" for k, v in shown.items())
@@ -139,15 +144,15 @@
     """Prevents a reader that starts from a snapshot from reaching another state."""
     whole = SettingsState()
     fold(whole, *values[:cut])
-    sent = json.loads(json.dumps(log_form(take_snapshot(whole))))
+    sent = json.loads(json.dumps(record_json(take_snapshot(whole))))
     late_reader = SettingsState()
     snapshot = read_record(sent).unwrap()
     assert isinstance(snapshot, SnapshotRecord)
     if whole.offset:
         load_snapshot(late_reader, snapshot).unwrap()
     rest = values[cut:]
-    assert [describe(it) for it in fold(whole, *rest)] == [
-        describe(it) for it in fold(late_reader, *rest)
+    assert [verdict_json(it) for it in fold(whole, *rest)] == [
+        verdict_json(it) for it in fold(late_reader, *rest)
     ]
     assert are_equal(whole, late_reader)
 
@@ -162,7 +167,7 @@
     for copy in copies:
         if copy < len(values) and is_change_record(values[copy]):
             (verdict,) = fold(state, values[copy])
-            assert kind_of(verdict) is VerdictKind.REPEATED
+            assert verdict_kind(verdict) is VerdictKind.REPEATED
     assert state.entries == entries
 
 
@@ -189,7 +194,7 @@
 def test_damaged_snapshot_is_refused_and_changes_nothing(values: list[Any], damage: str) -> None:
     state = SettingsState()
     fold(state, change("first", "/classes/z", {"priority": 0, "latency_target_ms": 1}), *values)
-    good = log_form(take_snapshot(state))
+    good = record_json(take_snapshot(state))
     damaged: dict[str, Any] = {
         "hash": {**good, "hash": good["hash"][::-1] + "0"},
         "offset": {**good, "offset": good["offset"] + 1},
@@ -227,7 +232,7 @@
     assert "first" not in state.seen
     # The id was dropped, but the outdated expected version prevents a change.
     (verdict,) = fold(state, change("first", "/limits/default", {"requests_s": 9}))
-    assert kind_of(verdict) is VerdictKind.CONFLICT
+    assert verdict_kind(verdict) is VerdictKind.CONFLICT
     reread = read_snapshot(take_snapshot(state)).unwrap()
     assert are_equal(reread, state)
 
--- a/tests/core/settings/test_settings_sync.py
+++ b/tests/core/settings/test_settings_sync.py
@@ -39,8 +39,8 @@
     Effect,
     Log,
     ReadLog,
+    ReportVerdict,
     SendPeer,
-    SettleChange,
 )
 from turmericweir_core.messages.events import (
     AppendDone,
@@ -52,8 +52,8 @@
     LogRecord,
 )
 from turmericweir_core.messages.peer_messages import SettingsAsk, SettingsSend
-from turmericweir_core.records.settings_record import STREAM, log_form
-from turmericweir_core.records.settings_verdict import VerdictKind, describe
+from turmericweir_core.records.settings_record import SETTINGS_STREAM, record_json
+from turmericweir_core.records.settings_verdict import VerdictKind, verdict_json
 from turmericweir_core.settings import settings_changes, settings_reducer
 from turmericweir_core.state.settings_state import SettingsState, apply, state_digest, take_snapshot
 from turmericweir_core.state.settings_sync import PeerSettings, SettingsSync, settings_read_offset
@@ -116,20 +116,22 @@
             case "read":
                 return self.read(int(rest or len(self.log)))
             case "ended":
-                ended = LogRead(STREAM, (), int(rest))
+                ended = LogRead(SETTINGS_STREAM, (), int(rest))
                 return settings_reducer.on_log_read(self.sync, self.options, self.now, ended)
             case "expired":
-                event = LogExpired(STREAM, int(rest), len(self.log))
+                event = LogExpired(SETTINGS_STREAM, int(rest), len(self.log))
                 return settings_reducer.on_log_expired(self.sync, self.now, event)
             case "failed":
-                failed = LogFailed(STREAM, "no route")
+                failed = LogFailed(SETTINGS_STREAM, "no route")
                 return settings_reducer.on_log_failed(self.sync, self.now, failed)
             case "submit":
                 return self.submit(*rest.split(" ", 3))
             case "done":
                 return self.done(rest)
             case "lost" | "refused":
-                lost = AppendFailed(STREAM, rest, "timed out", maybe=command == "lost")
+                lost = AppendFailed(
+                    SETTINGS_STREAM, rest, "timed out", may_have_applied=command == "lost"
+                )
                 return settings_changes.on_append_failed(self.sync, self.now, lost)
             case "ask":
                 ask = SettingsAsk(int(rest))
@@ -143,14 +145,14 @@
         """Return a record for the log."""
         command, _, at = text.partition(" ")
         if command == "snapshot":
-            return log_form(take_snapshot(fold(self.log[: int(at)])))
+            return record_json(take_snapshot(fold(self.log[: int(at)])))
         return record_of(text)
 
     def message(self, text: str) -> SettingsSend:
         """Return the message that a peer sends."""
         first, _, rest = text.partition(" ")
         if first == "snapshot":
-            snapshot = log_form(take_snapshot(fold(self.log[: int(rest)])))
+            snapshot = record_json(take_snapshot(fold(self.log[: int(rest)])))
             return SettingsSend(int(rest), [], snapshot)
         at = int(first)
         return SettingsSend(at, self.log[at : at + int(rest)])
@@ -166,7 +168,7 @@
     def read(self, count_max: int) -> list[Effect]:
         """Read at most a number of records from the log."""
         first = settings_read_offset(self.sync)
-        event = LogRead(STREAM, records(self.log, first, first + count_max), len(self.log))
+        event = LogRead(SETTINGS_STREAM, records(self.log, first, first + count_max), len(self.log))
         return settings_reducer.on_log_read(self.sync, self.options, self.now, event)
 
     def submit(self, change_id: str, path: str, version: str, value: str) -> list[Effect]:
@@ -179,7 +181,7 @@
     def done(self, change_id: str) -> list[Effect]:
         """Acknowledge the append of a record that is in the log."""
         at = max(n for n, it in enumerate(self.log) if it.get("change_id") == change_id)
-        event = AppendDone(STREAM, change_id, at, at + 1)
+        event = AppendDone(SETTINGS_STREAM, change_id, at, at + 1)
         return settings_changes.on_append_done(self.sync, event)
 
     def show(self) -> str:
@@ -204,8 +206,8 @@
         case SendPeer(peer, _, SettingsSend() as sent):
             content = f"{len(sent.records)} records" if sent.snapshot is None else "snapshot"
             return f"to {peer}: {content} from {sent.first}"
-        case SettleChange():
-            fields = describe(effect.verdict)
+        case ReportVerdict():
+            fields = verdict_json(effect.verdict)
             shown = [f"{key}={it}" for key, it in fields.items() if key in SETTLED_FIELDS]
             return f"settle {effect.change_id} " + " ".join(shown)
         case Log():
@@ -247,7 +249,7 @@
             )
         else:
             at = draw(st.integers(0, len(values)))
-            snapshot = log_form(take_snapshot(fold(values[:at])))
+            snapshot = record_json(take_snapshot(fold(values[:at])))
             values.append({**snapshot, "hash": "0" * 32} if kind == "bad" else snapshot)
     return values
 
@@ -271,7 +273,7 @@
             play.read(count)
         case "old_read":
             # Any part of the log, as from a delayed read or a log that was truncated since.
-            event = LogRead(STREAM, records(play.log, at, at + count), max(at, 1))
+            event = LogRead(SETTINGS_STREAM, records(play.log, at, at + count), max(at, 1))
             settings_reducer.on_log_read(play.sync, play.options, play.now, event)
         case "expired":
             play.do("expired", str(at))
@@ -372,7 +374,7 @@
 def handle(data: st.DataObject, operator: Operator, effects: list[Effect]) -> None:
     """Carry out effects; appends end in any of the possible ways."""
     for effect in effects:
-        if isinstance(effect, SettleChange):
+        if isinstance(effect, ReportVerdict):
             assert operator.verdict is None
             operator.verdict = reported_kind(effect)
         if isinstance(effect, AppendRecords):
@@ -380,9 +382,9 @@
             append(operator, effect, end)
 
 
-def reported_kind(effect: SettleChange) -> VerdictKind:
+def reported_kind(effect: ReportVerdict) -> VerdictKind:
     """Return the verdict that was reported, by the record or by its repetition."""
-    fields = describe(effect.verdict)
+    fields = verdict_json(effect.verdict)
     return VerdictKind(fields.get("first", fields["verdict"]))
 
 
@@ -405,7 +407,7 @@
     for _ in range(4):
         play.now += play.options.change_give_up_s
         for effect in (*play.do("read", ""), *play.tick()):
-            if isinstance(effect, SettleChange):
+            if isinstance(effect, ReportVerdict):
                 operator.verdict = reported_kind(effect)
             if isinstance(effect, AppendRecords):
                 append(operator, effect, "done")
--- a/tests/core/store/test_document.py
+++ b/tests/core/store/test_document.py
@@ -90,7 +90,7 @@
     (ask,) = [effect.message for effect in asks if isinstance(effect.message, DocumentAsk)]
     asked_at = world.now
     world.now += 0.5
-    world.peer(peer, DocumentProof(1, ask.number, 0.2))
+    world.peer(peer, DocumentProof(1, ask.request_number, 0.2))
     age_s = document.proof_age(world.state, world.now)
     assert 0.7 <= age_s <= 0.7 + (world.now - asked_at)
 
@@ -122,7 +122,7 @@
     asks = [effect for effect in world.wait(0.2) if isinstance(effect, SendDatagram)]
     (ask,) = [effect.message for effect in asks if isinstance(effect.message, DocumentAsk)]
     world.now += 4.5
-    world.peer(peer, DocumentProof(5, ask.number, 0.0))
+    world.peer(peer, DocumentProof(5, ask.request_number, 0.0))
     assert (
         account_of(world.arrive("1", target=PLAIN, keyed=True)).account.outcome is Outcome.NOT_RUN
     )
--- a/tests/core/store/test_registry.py
+++ b/tests/core/store/test_registry.py
@@ -25,7 +25,7 @@
     """
     world = StoreWorld(plain=1)
     world.wait(6.0)
-    world.give(RegistryRead((), whole=True))
+    world.give(RegistryRead((), is_complete=True))
     assert only(world.arrive("1", target=PLAIN), StartAttempt)
     world.give(RegistryRead(((world.entries[-1], 9),)))
     world.wait(3.0)
@@ -36,7 +36,7 @@
     """An entry that is not renewed after an outage is removed; its address may be reused."""
     world = StoreWorld(plain=1)
     world.wait(6.0)
-    world.give(RegistryRead((), whole=True))
+    world.give(RegistryRead((), is_complete=True))
     world.wait(2.0)
     world.give(RegistryRead(()))
     world.wait(1.0)
--- a/tests/core/store/test_store_duty.py
+++ b/tests/core/store/test_store_duty.py
@@ -5,7 +5,7 @@
 import pytest
 
 from tests.core.store_network import StoreNetwork
-from turmericweir_core.base.store_times import store_times
+from turmericweir_core.base.store_times import derive_store_times
 
 COUNT = 120
 DATA_CENTRES = 6
@@ -16,7 +16,7 @@
 @pytest.fixture(name="network")
 def fixture_network() -> StoreNetwork:
     """A network of instances that started some time ago."""
-    network = StoreNetwork(store_times(SETTINGS_BOUND_S, DRAIN_BOUND_S))
+    network = StoreNetwork(derive_store_times(SETTINGS_BOUND_S, DRAIN_BOUND_S))
     network.start_all(COUNT, DATA_CENTRES)
     network.run(16.0)
     return network
--- a/tests/core/store_network.py
+++ b/tests/core/store_network.py
@@ -15,7 +15,7 @@
 from random import Random
 
 from tests.core.member_network import Network
-from turmericweir_core.base.config import Config, Kind, Policy, ServerEntry, Service
+from turmericweir_core.base.config import Config, PlacementPolicy, ServerEntry, Service, ServiceKind
 from turmericweir_core.base.ids import ServerName, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.store_times import StoreTimes
@@ -27,7 +27,7 @@
 from turmericweir_core.state.state import Identity, State
 
 CHECK_INTERVAL_S = 0.1
-SERVICE = Service("lm", Kind.MODEL, slots=12, kv_tokens=480_000, event_tokens=3)
+SERVICE = Service("lm", ServiceKind.MODEL, slots=12, kv_tokens=480_000, event_tokens=3)
 
 
 @dataclass
@@ -127,13 +127,13 @@
             self._give_document(name, self.store.version, self.now, "")
 
     def _read_servers(self, name: str) -> None:
-        self.give(name, RegistryRead(tuple(self.store.entries.values()), whole=True))
+        self.give(name, RegistryRead(tuple(self.store.entries.values()), is_complete=True))
 
     def _give_document(self, name: str, version: int, asked_at: float | None, peer: str) -> None:
         config = Config(
             services={"lm": SERVICE},
             service_by_target={Target("lm"): SERVICE},
-            policy=Policy.PREDICTED,
+            policy=PlacementPolicy.PREDICTED,
             offset=version,
         )
         raw = str(version).encode()
--- a/tests/core/store_world.py
+++ b/tests/core/store_world.py
@@ -5,7 +5,14 @@
 from random import Random
 from typing import TypeVar
 
-from turmericweir_core.base.config import Config, Kind, Policy, ServerEntry, Service, ServiceClass
+from turmericweir_core.base.config import (
+    Config,
+    PlacementPolicy,
+    ServerEntry,
+    Service,
+    ServiceClass,
+    ServiceKind,
+)
 from turmericweir_core.base.ids import InstanceName, RequestId, ServerName, Target
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import Request
@@ -81,7 +88,7 @@
             *(self.entry(f"lm-{number}", "lm") for number in range(1, engines + 1)),
             *(self.entry(f"shop-{number}", "shop") for number in range(1, plain + 1)),
         ]
-        self.give(RegistryRead(tuple((entry, 1) for entry in self.entries), whole=True))
+        self.give(RegistryRead(tuple((entry, 1) for entry in self.entries), is_complete=True))
 
     def entry(self, name: str, service: str, **fields: object) -> ServerEntry:
         """Return a server's entry."""
@@ -98,19 +105,19 @@
         services = {
             "lm": Service(
                 "lm",
-                Kind.MODEL,
+                ServiceKind.MODEL,
                 slots=64,
                 kv_tokens=584_240,
                 event_tokens=3,
                 fetch_ms_per_token=0.0048,
             ),
-            "shop": Service("shop", Kind.PLAIN, slots=6),
+            "shop": Service("shop", ServiceKind.PLAIN, slots=6),
         }
         return Config(
             classes={each.name: each for each in (QUICK, FIT, BULK, COUNTER)},
             services=services,
             service_by_target={Target(name): each for name, each in services.items()},
-            policy=Policy.PREDICTED,
+            policy=PlacementPolicy.PREDICTED,
         )
 
     def give(self, event: Event) -> list[Effect]:
@@ -154,10 +161,10 @@
     def request(self, name: str, **fields: object) -> Request:
         """Return a request, a model request by default."""
         target = fields.pop("target", MODEL)
-        kind = Kind.MODEL if target == MODEL else Kind.PLAIN
+        kind = ServiceKind.MODEL if target == MODEL else ServiceKind.PLAIN
         all_fields: dict[str, object] = {
-            "service_class": BULK if kind is Kind.MODEL else COUNTER,
-            "deadline": self.now + (12.0 if kind is Kind.MODEL else 1.0),
+            "service_class": BULK if kind is ServiceKind.MODEL else COUNTER,
+            "deadline": self.now + (12.0 if kind is ServiceKind.MODEL else 1.0),
             "repeatable": False,
             "sends_max": 1,
             "prompt_tokens": 0,
@@ -171,7 +178,7 @@
             target=target,  # type: ignore[arg-type]
             customer="c",
             team="",
-            arrived=self.now,
+            arrived_at=self.now,
             **all_fields,  # type: ignore[arg-type]
         )
 
--- a/tests/core/trust/test_quarantine.py
+++ b/tests/core/trust/test_quarantine.py
@@ -10,7 +10,7 @@
 
 from tests.core.fault_world import FaultWorld
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Kind
+from turmericweir_core.base.config import ServiceKind
 from turmericweir_core.base.ids import RequestId, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.request import CancelReason
@@ -419,7 +419,7 @@
 
 def test_plain_call_that_must_not_be_repeated_does_not_run_again() -> None:
     # Prevents a second run of a call that must not be repeated and was in flight at a crash.
-    world = FaultWorld(instances=1, servers=2, kind=Kind.PLAIN)
+    world = FaultWorld(instances=1, servers=2, kind=ServiceKind.PLAIN)
     world.tick()
     world.arrive("reserve", repeatable=False)
     world.crash(world.runs[0][1])
--- a/tests/core/trust/test_silence.py
+++ b/tests/core/trust/test_silence.py
@@ -9,7 +9,7 @@
 
 from tests.core.fault_world import CLASS, FaultWorld
 from turmericweir_core.base.account import Outcome
-from turmericweir_core.base.config import Kind, ServiceClass
+from turmericweir_core.base.config import ServiceClass, ServiceKind
 from turmericweir_core.base.ids import ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.messages.events import ServerReport
@@ -116,7 +116,7 @@
 
 def test_call_that_must_not_be_repeated_is_not_retried() -> None:
     # A call that must not be repeated is not retried, and has an unknown outcome at its deadline.
-    world = FaultWorld(servers=2, kind=Kind.PLAIN)
+    world = FaultWorld(servers=2, kind=ServiceKind.PLAIN)
     world.tick()
     world.arrive("reserve", repeatable=False, deadline_s=8.0)
     world.lost.add("reserve")
@@ -224,7 +224,7 @@
         moved = [each.start for each in world.attempts(run.fingerprint)]
         expected = [token] if case.moved else [0]
         assert [start.resume_from for start in moved] == expected
-        assert [start.fresh_connection for start in moved] == [case.moved]
+        assert [start.needs_new_connection for start in moved] == [case.moved]
 
 
 def test_server_that_stalls_briefly() -> None:
@@ -264,14 +264,14 @@
 def test_plain_call_that_its_server_does_not_count(is_reused: bool) -> None:
     # A call on a lost reused connection, which its server does not count, is retried over a new
     # connection. A call on a new connection has reached its server and is not retried.
-    world = FaultWorld(servers=2, kind=Kind.PLAIN, length=1)
+    world = FaultWorld(servers=2, kind=ServiceKind.PLAIN, length=1)
     for name in ("first", "second"):
         world.arrive(name)
         world.tick()
     world.kept_connections = is_reused
     server = send_on_lost_connection(world, "one")
     world.advance(EARLY_DETECTION_S)
-    assert [run.start.fresh_connection for run in world.attempts("one")] == [is_reused]
+    assert [run.start.needs_new_connection for run in world.attempts("one")] == [is_reused]
     assert (world.config.servers[server].address in world.distrusted) == is_reused
     world.lost.clear()
     world.advance_until_done()
--- a/tests/ctl/fake_daemon.py
+++ b/tests/ctl/fake_daemon.py
@@ -27,10 +27,10 @@
 from turmericweir_core.base.options import Options
 from turmericweir_core.messages.effects import (
     AppendRecords,
-    AskWeights,
-    DistrustConnections,
     ProbeServer,
     ReadLog,
+    RequestLoadPermit,
+    RetireConnections,
     SendDatagram,
     SendOrder,
     SendPeer,
@@ -80,12 +80,16 @@
     def append(self, effect: AppendRecords) -> None:
         """Append records, or fail according to the mode."""
         if self.mode is LogMode.DOWN:
-            self.handle(AppendFailed(effect.stream, effect.token, "refused", maybe=False))
+            self.handle(
+                AppendFailed(effect.stream, effect.token, "refused", may_have_applied=False)
+            )
             return
         first = len(self.values)
         self.values += effect.records
         if self.mode in (LogMode.LOSES_ACKS, LogMode.HIDES):
-            self.handle(AppendFailed(effect.stream, effect.token, "timed out", maybe=True))
+            self.handle(
+                AppendFailed(effect.stream, effect.token, "timed out", may_have_applied=True)
+            )
         else:
             self.handle(AppendDone(effect.stream, effect.token, first, len(self.values)))
         self.deliver()
@@ -106,7 +110,7 @@
         """Deliver new records when the reducer requests a read."""
         self.deliver()
 
-    def ask_weights(self, effect: AskWeights) -> None:
+    def ask_weights(self, effect: RequestLoadPermit) -> None:
         """Ignore the weight store."""
 
 
@@ -119,7 +123,7 @@
     def probe(self, effect: ProbeServer) -> None:
         """Ignore a probe."""
 
-    def distrust(self, effect: DistrustConnections) -> None:
+    def distrust(self, effect: RetireConnections) -> None:
         """Ignore the effect; there are no connections."""
 
     def order(self, effect: SendOrder) -> None:
@@ -156,7 +160,9 @@
         self.portal.call(self._report_centre, data_centre, offset, age_s)
 
     def _report_centre(self, data_centre: str, offset: int, age_s: float) -> None:
-        status = Word(data_centre, relay=1, seq=1, members_hash=1, live=2, settings_offset=offset)
+        status = Word(
+            data_centre, relay_key=1, seq=1, members_hash=1, live_members=2, settings_offset=offset
+        )
         heard_at = anyio.current_time() - age_s
         centre = RemoteCentre(data_centre, last_seen_at=heard_at, status_message=status)
         self.node.state.members.centres[data_centre] = centre
--- a/tests/daemon/test_peer_codec.py
+++ b/tests/daemon/test_peer_codec.py
@@ -33,8 +33,8 @@
     newest_offset=3,
     counters="\x00\x7f",
     entries=[1, 2, 0],
-    words=[Word("south", 5, 6, 7, 8, 9)],
-    marks=[Mark("engine", "1", True, 4)],
+    status_messages=[Word("south", 5, 6, 7, 8, 9)],
+    leaving_notices=[Mark("engine", "1", True, 4)],
 )
 MESSAGES: list[PeerMessage] = [
     HEARTBEAT,
@@ -64,7 +64,7 @@
     message = decode(shorter, "peer").unwrap().message
     assert isinstance(message, Heartbeat)
     assert message.members_hash == HEARTBEAT.members_hash
-    assert message.words == []
+    assert message.status_messages == []
 
 
 INVALID_FRAMES: dict[str, bytes] = {
--- a/tests/failures/test_partition.py
+++ b/tests/failures/test_partition.py
@@ -117,7 +117,7 @@
     with MemberCluster(tmp_path, 2) as cluster:
         cluster.wait_all_live()
         host, _, port = (cluster.instances[ENTRY_1].listed.peer_address or "").rpartition(":")
-        foreign = Heartbeat("dc-1", "127.0.0.1:9", "x", 1, False, 99, "", tag=12345)
+        foreign = Heartbeat("dc-1", "127.0.0.1:9", "x", 1, False, 99, "", cluster_hash=12345)
 
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as sock:
             for data in (b"\x00", b"GET / HTTP/1.1\r\n\r\n", encode(ENTRY_3, foreign)):
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -15,7 +15,7 @@
 from turmericweir.answers.forward_wire import ForwardCall, NotRun, Passable, RequestHead, Spoiled
 from turmericweir.process.entry_settings import parse_entry_settings
 from turmericweir_core.base.account import Account, Outcome
-from turmericweir_core.base.config import Config, Kind
+from turmericweir_core.base.config import Config, ServiceKind
 from turmericweir_core.base.ids import RequestId
 from turmericweir_core.base.reasons import Reason
 from turmericweir_platform.server_entries import decode_entry
@@ -82,7 +82,7 @@
 
 def test_document_is_decoded() -> None:
     cfg = config()
-    route = cfg.routes.find(HOST, "/lm/chat/7")
+    route = cfg.routes.find_route(HOST, "/lm/chat/7")
     assert route is not None
     assert (route.name, route.streamed, route.repeatable, route.sends_max) == (
         "chat",
@@ -90,8 +90,8 @@
         True,
         3,
     )
-    assert cfg.services["lm"].kind is Kind.MODEL
-    assert cfg.services["shop"].kind is Kind.PLAIN
+    assert cfg.services["lm"].kind is ServiceKind.MODEL
+    assert cfg.services["shop"].kind is ServiceKind.PLAIN
     assert KEY not in repr(cfg.customers)
 
 
