--- a/packages/turmericweir-core/turmericweir_core/claims/claim_end.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_end.py
@@ -8,7 +8,7 @@
 from turmericweir_core.base.account import Account, Outcome
 from turmericweir_core.base.ids import RequestId
 from turmericweir_core.base.request import Request
-from turmericweir_core.claims.claim_outbox import put_end, put_withdrawal
+from turmericweir_core.claims.claim_outbox import queue_end, queue_withdrawal
 from turmericweir_core.claims.claim_peer import kept_message
 from turmericweir_core.claims.claim_vote import known_holder, release
 from turmericweir_core.messages.effects import Effect
@@ -32,13 +32,13 @@
         # Prevents a claim that is not written yet from being appended after its withdrawal.
         claims.outbox.claims.pop(request_id, None)
         claims.withdrawing.add(request_id)
-        put_withdrawal(claims.outbox, state.options, now, request_id, key)
+        queue_withdrawal(claims.outbox, state.options, now, request_id, key)
         claims.remote_waiters.pop(request_id, None)
         return release(state, request_id, key)
     end = ClaimEnd(account.outcome, account.reason, account.status)
     kept_end = StoredEnd(end, answer)
     store_end(claims.answers, state.options, request_id, kept_end)
-    put_end(claims.outbox, state.options, now, request_id, EndRecord(key, request_id, end))
+    queue_end(claims.outbox, state.options, now, request_id, EndRecord(key, request_id, end))
     askers = claims.remote_waiters.pop(request_id, [])
     return [kept_message(state, asker, request_id, kept_end) for asker in askers]
 
@@ -53,11 +53,11 @@
         # The claim may be in the log or on its way there. Prevents it from holding the key without
         # a request that runs.
         claims.withdrawing.add(request_id)
-        put_withdrawal(claims.outbox, state.options, now, request_id, wait.key)
+        queue_withdrawal(claims.outbox, state.options, now, request_id, wait.key)
     return release(state, request_id, wait.key)
 
 
-def follows_holder(state: State, req: Request) -> bool:
+def waits_for_holder(state: State, req: Request) -> bool:
     """Return whether a request waits for another that holds its key and may have run."""
     wait = state.claims.waits.get(req.request_id)
     if wait is None:
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
@@ -37,13 +37,13 @@
 # --- entries ---------------------------------------------------------------------------------
 
 
-def put_claim(outbox: Outbox, request_id: RequestId, claim: NewClaim) -> None:
+def queue_claim(outbox: Outbox, request_id: RequestId, claim: NewClaim) -> None:
     """Queue a claim for writing."""
     outbox.claims[request_id] = claim
     outbox.clock_ms = max(outbox.clock_ms, uuid7_time_ms(request_id))
 
 
-def put_withdrawal(
+def queue_withdrawal(
     outbox: Outbox, options: Options, now: float, request_id: RequestId, key: str
 ) -> None:
     """Queue the withdrawal of a claim whose call never ran."""
@@ -51,7 +51,7 @@
     _schedule_append(outbox, options, now)
 
 
-def put_end(
+def queue_end(
     outbox: Outbox, options: Options, now: float, request_id: RequestId, record: EndRecord
 ) -> None:
     """Queue the end of a claimed call for writing."""
@@ -64,7 +64,7 @@
         outbox.append_by = now + options.claim_end_delay_s
 
 
-def is_claim_out(outbox: Outbox, request_id: RequestId) -> bool:
+def is_claim_in_progress(outbox: Outbox, request_id: RequestId) -> bool:
     """Return whether a claim is queued, in flight, or not yet read back."""
     if request_id in outbox.claims:
         return True
@@ -75,7 +75,7 @@
     return any(claim.request_id == request_id for claim in batch.claims)
 
 
-def is_in_doubt(claims: ClaimState, key: str, request_id: str) -> bool:
+def has_competing_claim(claims: ClaimState, key: str, request_id: str) -> bool:
     """Return whether another local request's claim of the key may be in the log or reach it."""
     outbox = claims.outbox
     has_claim = any(each.key == key and rid != request_id for rid, each in outbox.claims.items())
@@ -103,7 +103,7 @@
     return min(now - outbox.in_flight_at, outbox.in_flight_s)
 
 
-def note_tick(outbox: Outbox, options: Options) -> None:
+def count_append_time(outbox: Outbox, options: Options) -> None:
     """Add one tick to the time that the append has been in flight."""
     outbox.in_flight_s += options.tick_s
 
@@ -272,7 +272,7 @@
     return batch
 
 
-def give_up_late(state: State, now: float) -> list[Effect]:
+def fail_overdue_append(state: State, now: float) -> list[Effect]:
     """Treat an append as failed if it has not been answered within `claim_call_s`.
 
     Prevents a task that ended by a bug from blocking all further appends.
@@ -300,7 +300,7 @@
     outbox.retry_at = now + pause_s * (0.5 + state.rng.random() / 2)
     if batch.withdrawn or batch.ends:
         outbox.append_by = outbox.retry_at
-    return [Count("claim.append_failed"), *read_on(state, now)]
+    return [Count("claim.append_failed"), *read_claims_stream(state, now)]
 
 
 def _max_retry_pause_s(options: Options, failures: int) -> float:
@@ -309,7 +309,7 @@
     return min(options.claim_retry_max_s, doubled_s)
 
 
-def read_on(state: State, now: float) -> list[Effect]:
+def read_claims_stream(state: State, now: float) -> list[Effect]:
     """Read the stream from the ledger's offset, unless a read is in progress."""
     claims = state.claims
     claims.next_read_at = now + state.options.claim_read_s
@@ -320,7 +320,7 @@
     return [ReadLog(CLAIMS_STREAM, claims.ledger.offset)]
 
 
-def note_read_back(outbox: Outbox, batch: ClaimBatch, *, valid: bool) -> None:
+def remove_read_back(outbox: Outbox, batch: ClaimBatch, *, valid: bool) -> None:
     """Remove the entries of a local record that was read back, unless the record is void."""
     outbox.acknowledged_appends.pop(batch.number, None)
     if not valid:
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
@@ -79,7 +79,7 @@
     return [SendPeer(InstanceName(peer), address, ask)]
 
 
-def end_told(message: ClaimKept) -> StoredEnd | None:
+def end_from_message(message: ClaimKept) -> StoredEnd | None:
     """Return the end that a message reports, or None if this release does not know its values."""
     try:
         end = ClaimEnd(Outcome(message.outcome), Reason(message.reason), message.status)
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
@@ -20,7 +20,7 @@
 
 from turmericweir_core.base.ids import InstanceName, RequestId
 from turmericweir_core.base.options import Options
-from turmericweir_core.claims.claim_outbox import is_in_doubt, put_withdrawal, writer_of
+from turmericweir_core.claims.claim_outbox import has_competing_claim, queue_withdrawal, writer_of
 from turmericweir_core.messages.effects import Effect, SendPeer
 from turmericweir_core.messages.peer_messages import ClaimRelease, ClaimVote, ClaimVoteAsk
 from turmericweir_core.records.claim_record import NewClaim, RecordWriter, uuid7_time_ms
@@ -70,7 +70,7 @@
     vote = claims.votes.get(claim.key)
     if vote is not None:
         return vote.claim.request_id == claim.request_id
-    if is_in_doubt(claims, claim.key, claim.request_id):
+    if has_competing_claim(claims, claim.key, claim.request_id):
         return False
     if len(claims.ledger.claims) + len(claims.votes) >= state.options.claim_live_max:
         return False
@@ -137,7 +137,7 @@
 # --- records of the log ----------------------------------------------------------------------
 
 
-def note_folded(state: State, now: float, offset: int, folded: ClaimFoldResult) -> None:
+def apply_folded_record(state: State, now: float, offset: int, folded: ClaimFoldResult) -> None:
     """Drop the agreements that a record of the log has settled."""
     claims = state.claims
     for key in folded.touched_keys:
@@ -189,7 +189,7 @@
     if holder.incarnation != state.me.incarnation or _is_pending(claims, request_id):
         return
     claims.withdrawing.add(request_id)
-    put_withdrawal(claims.outbox, state.options, now, request_id, claim.key)
+    queue_withdrawal(claims.outbox, state.options, now, request_id, claim.key)
 
 
 def _is_pending(claims: ClaimState, request_id: RequestId) -> bool:
--- a/packages/turmericweir-core/turmericweir_core/credits/credit.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit.py
@@ -27,7 +27,7 @@
 from turmericweir_core.credits import credit_demand, credit_dispatcher, credit_holder
 from turmericweir_core.credits.dispatcher_selection import (
     dispatcher_of,
-    leads,
+    is_dispatcher,
     update_live_instances,
 )
 from turmericweir_core.membership import membership
@@ -44,7 +44,7 @@
 # --- demands and grants ----------------------------------------------------------------------
 
 
-def ask(state: State, now: float, pool: str) -> list[Effect]:
+def request_credit(state: State, now: float, pool: str) -> list[Effect]:
     """Request credit for the waiting requests of a pool, and withdraw demand that has ended."""
     if state.config.policy is not PlacementPolicy.CREDITS:
         return []
@@ -88,7 +88,7 @@
     return [] if demand is None else _send(state, now, dispatcher, demand)
 
 
-def note_freed(state: State, now: float, server: Server) -> list[Effect]:
+def report_freed_slot(state: State, now: float, server: Server) -> list[Effect]:
     """Report the end of an attempt to the dispatcher if the server is contended."""
     credit = state.credits.held_by_server.get(server.entry.name)
     if state.config.policy is not PlacementPolicy.CREDITS or credit is None:
@@ -103,7 +103,7 @@
     return _send_demand_if_due(state, now, server, [])
 
 
-def on_peer(
+def on_credit_message(
     state: State, now: float, sender: InstanceName, message: CreditDemand | CreditGrant
 ) -> list[Effect]:
     """Handle a demand as the dispatcher, or a grant as a holder."""
@@ -130,8 +130,8 @@
     state: State, now: float, receiver: InstanceName, message: CreditDemand | CreditGrant
 ) -> list[Effect]:
     if receiver == state.me.name:
-        return on_peer(state, now, receiver, message)
-    member = membership.member(state, receiver)
+        return on_credit_message(state, now, receiver, message)
+    member = membership.find_member(state, receiver)
     if member is None:
         return []
     return [SendPeer(receiver, member.peer_address, message)]
@@ -178,10 +178,10 @@
     An instance that uses local counts probes as well. Prevents it from missing the load of other
     instances while no dispatcher is reachable.
     """
-    if leads(state, now, server):
+    if is_dispatcher(state, now, server):
         return True
     if server.entry.name not in state.subsets.used_servers:
         return False
     # A server that was unreachable from this instance is probed before it is used again.
     was_unreachable = server.unreachable_until > 0.0
-    return was_unreachable or credit_holder.goes_by_counts(state, now, server)
+    return was_unreachable or credit_holder.uses_local_counts(state, now, server)
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -27,7 +27,10 @@
 from turmericweir_core.credits.credit_holder import displaceable_attempts, used_by_tier
 from turmericweir_core.membership.subset import open_servers
 from turmericweir_core.messages.peer_messages import CreditDemand, TierDemand
-from turmericweir_core.queueing.displacement_delay import count_ripe, displacement_wait
+from turmericweir_core.queueing.displacement_delay import (
+    count_ready_to_displace,
+    displacement_wait_s,
+)
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.concurrency import limited_slots
 from turmericweir_core.state.credit_state import HeldCredit
@@ -59,7 +62,7 @@
             served_locally += taken_locally
         if unserved:
             asked_servers = _servers_to_ask(state, now, queue, servers, unserved)
-            ready = count_ripe(state.options, now, queue, unserved)
+            ready = count_ready_to_displace(state.options, now, queue, unserved)
             if queue.service_class.priority >= lowest_tier(state.config):
                 # There is no lower tier to displace.
                 ready = 0
@@ -157,7 +160,7 @@
     Each ready request is reported to one dispatcher to displace one attempt for it. Later it is
     reported to more of them, as the first server may run only upper attempts.
     """
-    wait = displacement_wait(options, queue.service_class.target_s)
+    wait = displacement_wait_s(options, queue.service_class.target_s)
     steps = int((now - queue.oldest_at() - wait) / options.credit_press_s)
     # The exponent is bounded because the waiting time is not.
     reached_servers = ready * options.credit_ask ** max(0, min(3, steps))
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
@@ -42,7 +42,7 @@
     update_use,
     update_use_of,
 )
-from turmericweir_core.membership.subset import sharing_instances
+from turmericweir_core.membership.subset import instances_per_server
 from turmericweir_core.messages.peer_messages import (
     CreditDemand,
     CreditGrant,
@@ -201,7 +201,7 @@
         most_urgent=most_urgent_configured_tier(state.config),
         lowest=lowest_tier(state.config),
         by_tier=server.service.kind is ServiceKind.PLAIN,
-        sharing=sharing_instances(state, any_target(server)),
+        sharing=instances_per_server(state, any_target(server)),
     )
 
 
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
@@ -36,7 +36,7 @@
     return used
 
 
-def goes_by_counts(state: State, now: float, server: Server) -> bool:
+def uses_local_counts(state: State, now: float, server: Server) -> bool:
     """Return whether local counts are used for a server because no dispatcher answers.
 
     Prevents callers from waiting for a grant while the server works. The server may be overloaded
@@ -129,7 +129,7 @@
     return 0 < assured >= used_by_tier(server).get(tier, 0)
 
 
-def excess(state: State, server: Server) -> int:
+def excess_attempts(state: State, server: Server) -> int:
     """Return the number of attempts to stop on a server because its credit was recalled."""
     credit = state.credits.held_by_server.get(server.entry.name)
     if credit is None or credit.attempts_to_keep is None:
--- a/packages/turmericweir-core/turmericweir_core/credits/dispatcher_selection.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/dispatcher_selection.py
@@ -27,7 +27,7 @@
     return credits.dispatchers[name]
 
 
-def leads(state: State, now: float, server: Server) -> bool:
+def is_dispatcher(state: State, now: float, server: Server) -> bool:
     """Return whether this instance is the dispatcher of a server."""
     return dispatcher_of(state, now, server) == state.me.name
 
--- a/packages/turmericweir-core/turmericweir_core/duties/capacity.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity.py
@@ -48,7 +48,7 @@
 def on_tick(state: State, now: float) -> list[Effect]:
     """Compare the present servers with the wanted ones, and order the difference."""
     capacity_state = _capacity(state)
-    if not lease_flow.is_own(state, election.SCOPE):
+    if not lease_flow.is_own_lease(state, election.SCOPE):
         capacity_state.since = None
         return []
     if now < capacity_state.next_check_at or state.servers.listed_at is None:
@@ -124,7 +124,7 @@
     """Return the number of needed engines: the recent maximum, or the present ones at first."""
     capacity_state = _capacity(state)
     present_count = sum(servers.lasting + servers.spot for servers in present.values())
-    work_ms = engine_pools.total_work_ms(state, now, service.name)
+    work_ms = engine_pools.demand_ms_per_s(state, now, service.name)
     current_need = ceil(work_ms / (_MS_PER_S * _TARGET_UTILIZATION))
     initial_need = _first_need(service, present_count) if not current_need else present_count
     recorded_need, recorded_at = capacity_state.recent_need.get(service.name, (initial_need, now))
@@ -172,7 +172,7 @@
             return []
     lease = election.usable_lease(state, now)
     if lease is None:
-        lease_flow.rest(state, election.SCOPE, resting=False)
+        lease_flow.set_resting(state, election.SCOPE, resting=False)
         return []
     if len(capacity_state.calls_in_flight) >= _PENDING_ORDERS_MAX:
         return []
--- a/packages/turmericweir-core/turmericweir_core/duties/duty_view.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/duty_view.py
@@ -72,7 +72,7 @@
     if state.duties is None:
         return None
     lease = state.leases.ledger.leases.get(election.SCOPE)
-    is_held_here = lease_flow.is_own(state, election.SCOPE)
+    is_held_here = lease_flow.is_own_lease(state, election.SCOPE)
     return DutyView(
         candidates=[member.name for member in election.candidates(state, now)],
         holder=None if lease is None or lease.released else lease.instance,
--- a/packages/turmericweir-core/turmericweir_core/duties/election.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/election.py
@@ -71,7 +71,7 @@
 def on_tick(state: State, now: float) -> list[Effect]:
     """Try for the lease, or leave it to another candidate."""
     duties = _duties(state)
-    is_holder = lease_flow.is_own(state, SCOPE) and now >= duties.barred_until
+    is_holder = lease_flow.is_own_lease(state, SCOPE) and now >= duties.barred_until
     position = _own_position(state, now)
     if is_holder and _has_failed(duties, now):
         return _give_up(state, now)
@@ -130,10 +130,10 @@
         duties.holder_seen_at = now
 
 
-def note_ledger(state: State, now: float) -> None:
+def note_lease_holder(state: State, now: float) -> None:
     """Leave the duties to another instance whose lease was just read."""
     lease = state.leases.ledger.leases.get(SCOPE)
-    if lease is None or lease.released or lease_flow.is_own(state, SCOPE):
+    if lease is None or lease.released or lease_flow.is_own_lease(state, SCOPE):
         return
     duties = _duties(state)
     if (lease.incarnation, lease.fence) != duties.foreign_lease:
@@ -141,7 +141,7 @@
         duties.holder_seen_at = now
 
 
-def note_result(state: State, now: float, *, works: bool) -> None:
+def note_call_outcome(state: State, now: float, *, works: bool) -> None:
     """Record whether a call of the holder to the store or the platform succeeded."""
     duties = _duties(state)
     if works:
@@ -152,7 +152,7 @@
 
 def usable_lease(state: State, now: float) -> HeldLease | None:
     """Return the lease if this instance may act under it now."""
-    lease = lease_flow.held(state, now, SCOPE)
+    lease = lease_flow.current_lease(state, now, SCOPE)
     if lease is None:
         return None
     if lease.is_taken_over and not _duties(state).settings.checks_fence:
--- a/packages/turmericweir-core/turmericweir_core/duties/usage.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/usage.py
@@ -53,7 +53,7 @@
 # --- every instance --------------------------------------------------------------------------
 
 
-def tell(state: State, now: float) -> list[Effect]:
+def send_counts(state: State, now: float) -> list[Effect]:
     """Send this instance's counts to the candidates when they are due."""
     duties, meter = _duties(state), _meter(state)
     usage = duties.usage
@@ -105,7 +105,7 @@
     return window
 
 
-def on_told(state: State, now: float, sender: InstanceName, message: UsageCounts) -> None:
+def on_counts(state: State, now: float, sender: InstanceName, message: UsageCounts) -> None:
     """Record the counts received from another instance."""
     received = _duties(state).usage.counts_by_incarnation
     record = received.get((sender, message.incarnation))
@@ -118,7 +118,7 @@
         record.windows[window_counts.window] = window_counts.counts
 
 
-def forget(state: State, now: float) -> None:
+def drop_old_windows(state: State, now: float) -> None:
     """Drop expired windows."""
     current = usage_meter.window_at(_meter(state), now)
     if current is None:
@@ -139,7 +139,7 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Settle the windows that are over, and report settled windows."""
-    if not lease_flow.is_own(state, election.SCOPE):
+    if not lease_flow.is_own_lease(state, election.SCOPE):
         return []
     note = decode_usage_note(lease_flow.newest_note(state, election.SCOPE))
     effects = _settle_windows(state, now, note)
--- a/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
@@ -46,9 +46,9 @@
     return [SendPeer(peer.name, peer.peer_address, CachesAsk())]
 
 
-def on_ask(state: State, now: float, sender: InstanceName) -> list[Effect]:
+def on_caches_request(state: State, now: float, sender: InstanceName) -> list[Effect]:
     """Send this instance's cache data to a peer that asks, if there is any."""
-    peer = membership.member(state, sender)
+    peer = membership.find_member(state, sender)
     rows = _cache_rows(state)
     if peer is None or not rows:
         # The peer asks another instance; this one may have started with it.
@@ -67,7 +67,7 @@
     return rows
 
 
-def on_told(state: State, sender: InstanceName, message: CachesSend) -> list[Effect]:
+def on_caches_received(state: State, sender: InstanceName, message: CachesSend) -> list[Effect]:
     """Record a peer's cache data; parts observed here since the start count as newer."""
     if state.handover.has_cache_contents:
         return []
@@ -77,7 +77,7 @@
         server = state.servers.by_name.get(ServerName(row.server))
         if server is None:
             continue
-        record = engine_model.book_of(state, server.entry.name)
+        record = engine_model.engine_info_of(state, server.entry.name)
         observed_parts = list(record.cached.items())
         for part, tokens in [*zip(row.parts, row.tokens, strict=False), *observed_parts]:
             engine_model.record_cached(record, server, part, tokens)
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
@@ -57,7 +57,7 @@
 _PREFILL_TIMEOUT_MARGIN_S: Final = 0.3
 
 
-def book_of(state: State, server: ServerName) -> EngineInfo:
+def engine_info_of(state: State, server: ServerName) -> EngineInfo:
     """Return the model record of a server."""
     record = state.engines.by_server.get(server)
     if record is None:
@@ -145,7 +145,9 @@
     for held_tokens, other in holdings.most:
         if other is server:
             continue
-        own_tokens = req.prompt_tokens - uncached_tokens(book_of(state, server.entry.name), req)
+        own_tokens = req.prompt_tokens - uncached_tokens(
+            engine_info_of(state, server.entry.name), req
+        )
         missing_tokens = held_tokens - own_tokens
         return (
             Fetch(other.entry.address, missing_tokens)
@@ -182,7 +184,7 @@
     return prefill_ms(options, tokens, req.prompt_tokens)
 
 
-def load_at(record: EngineInfo, now: float) -> EngineLoad:
+def engine_load(record: EngineInfo, now: float) -> EngineLoad:
     """Return the load of all instances on a server."""
     own = (len(record.prefills), len(record.running))
     load = record.load
@@ -225,7 +227,7 @@
     A new prompt waits for the rest of the current prefill, whatever its rank, and for all prompts
     of its own and lower ranks.
     """
-    load = load_at(record, now)
+    load = engine_load(record, now)
     if not load.pending:
         return 0.0
     work_before_ms = sum(
@@ -256,12 +258,12 @@
 
 def request_count(record: EngineInfo, now: float) -> int:
     """Return the number of requests of all instances on a server."""
-    return load_at(record, now).requests
+    return engine_load(record, now).requests
 
 
-def tokens_at(record: EngineInfo, now: float) -> int:
+def tokens_in_use(record: EngineInfo, now: float) -> int:
     """Return the tokens of all instances' requests in an engine's memory."""
-    return load_at(record, now).tokens
+    return engine_load(record, now).tokens
 
 
 def final_tokens(req: Request) -> int:
@@ -276,7 +278,7 @@
     state: State, now: float, req: Request, attempt: Attempt, server: Server
 ) -> None:
     """Record a request that is being sent to a server."""
-    record = book_of(state, attempt.server)
+    record = engine_info_of(state, attempt.server)
     state.engines.has_unsent_load = True
     record.load_version += 1
     if not req.prompt_tokens:
@@ -348,7 +350,7 @@
 
 def record_first_token(state: State, now: float, req: Request, attempt: Attempt) -> None:
     """Learn from a request's first token: its whole prompt is cached now."""
-    record = book_of(state, attempt.server)
+    record = engine_info_of(state, attempt.server)
     prefill = record.prefills.pop(attempt.attempt_id, None)
     if prefill is None:
         return
@@ -386,7 +388,7 @@
         state.engines.has_unsent_load = True
 
 
-def forget(state: State, server: ServerName) -> None:
+def reset_engine(state: State, server: ServerName) -> None:
     """Reset the model of a server that restarted or was removed; its cache is empty."""
     record = state.engines.by_server.get(server)
     if record is None:
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
@@ -104,13 +104,13 @@
     return gap_s * _MS >= service.event_tokens * state.options.chunk_step_ms
 
 
-def note_demand(state: State, now: float, req: Request, engines: list[Server]) -> None:
+def record_demand(state: State, now: float, req: Request, engines: list[Server]) -> None:
     """Record the work of a new request, at the engine with the least work for it."""
     if not engines or not req.prompt_tokens:
         return
     demand = state.pools.own.setdefault(req.target, EngineDemand(at=now))
     _decay(demand, now)
-    records = (engine_model.book_of(state, each.entry.name) for each in engines)
+    records = (engine_model.engine_info_of(state, each.entry.name) for each in engines)
     work = min(engine_model.own_work_ms(state, record, req) for record in records)
     # Answers hardly progress during a prefill, so both take their share of the engine's time.
     work += _slot_ms(state, req, engines[0])
@@ -385,7 +385,7 @@
     return min(gaps, default=None)
 
 
-def total_work_ms(state: State, now: float, service: str) -> float:
+def demand_ms_per_s(state: State, now: float, service: str) -> float:
     """Return the demand for a service's engines, in milliseconds of work per second."""
     total = 0.0
     for target, each in state.config.service_by_target.items():
--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -74,7 +74,7 @@
     ):
         return current_plan
     me = state.me.name
-    if relays.is_direct(state, now):
+    if relays.is_direct_delivery(state, now):
         region = membership.region_instances(state, now)
         current_plan = RelayPlan(direct=[each for each in region if each.name != me])
     else:
@@ -101,9 +101,9 @@
             now + _RELAY_RETRY_AFTER_S,
         )
     local_instances = membership.live_instances(state, now, state.me.data_centre)
-    local_relays = relays.tellers(local_instances)
+    local_relays = relays.relays_of(local_instances)
     me = state.me.name
-    other_relays = [each for each in relays.all_tellers(state, now) if each.name != me]
+    other_relays = [each for each in relays.region_relays(state, now) if each.name != me]
     if any(each.name == me for each in local_relays):
         return RelayPlan(is_direct=False, other_relays=other_relays)
     usable_relays = [
@@ -111,8 +111,8 @@
         for each in local_relays
         if each.name != update_state.unresponsive_relay or now > update_state.avoid_relay_until
     ]
-    name = relays.teller_of(usable_relays or local_relays, me)
-    relay = None if name is None else membership.member(state, name)
+    name = relays.relay_for(usable_relays or local_relays, me)
+    relay = None if name is None else membership.find_member(state, name)
     if (
         update_state.plan.own_relay is None
         or relay is None
@@ -127,7 +127,7 @@
 
 def gather_update(state: State, now: float, sender: InstanceName, update: LoadNews) -> None:
     """Keep an update of an instance of this relay's group, to pass it on."""
-    peer = membership.member(state, sender)
+    peer = membership.find_member(state, sender)
     if state.load_updates.plan.is_direct or peer is None:
         return
     relay_state = state.load_updates.relayed_updates
--- a/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
@@ -41,7 +41,7 @@
 _WORK_FIELDS: Final = 3
 
 
-def due_news(state: State, now: float) -> list[Effect]:
+def send_due_update(state: State, now: float) -> list[Effect]:
     """Send a load update to the other instances if one is due."""
     update_state = state.load_updates
     if now < update_state.next_send_at or state.config.policy is not PlacementPolicy.PREDICTED:
@@ -105,13 +105,13 @@
 # --- receiving -------------------------------------------------------------------------------
 
 
-def on_news(state: State, now: float, sender: InstanceName, update: LoadNews) -> None:
+def on_load_update(state: State, now: float, sender: InstanceName, update: LoadNews) -> None:
     """Record another instance's load, and relay it if this instance is its relay."""
     if record_update(state, now, sender, update):
         load_relay.gather_update(state, now, sender, update)
 
 
-def on_bundle(state: State, now: float, sender: InstanceName, bundle: LoadBundle) -> None:
+def on_load_bundle(state: State, now: float, sender: InstanceName, bundle: LoadBundle) -> None:
     """Record the updates that a relay passed on."""
     plan = state.load_updates.plan
     if plan.own_relay is not None and plan.own_relay.name == sender:
@@ -155,7 +155,11 @@
         elif name in state.servers.by_name:
             reported_servers.add(name)
             _record_row(
-                engine_model.book_of(state, name), sent_at, origin, origin_state.last_receipt, row
+                engine_model.engine_info_of(state, name),
+                sent_at,
+                origin,
+                origin_state.last_receipt,
+                row,
             )
     if update.is_complete:
         for name in origin_state.servers - reported_servers:
@@ -197,7 +201,7 @@
         server = state.servers.by_name.get(ServerName(part.server))
         if server is None:
             continue
-        record = engine_model.book_of(state, server.entry.name)
+        record = engine_model.engine_info_of(state, server.entry.name)
         if part.is_prefilled:
             engine_model.record_cached(record, server, part.part, part.tokens)
         elif part.part not in record.cached:
@@ -211,7 +215,7 @@
             _drop_load(state, origin, origin_state, name)
 
 
-def forget_silent(state: State, now: float) -> None:
+def forget_stale_origins(state: State, now: float) -> None:
     """Forget the load of instances without a recent update."""
     stale_origins = [
         origin
--- a/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
@@ -61,7 +61,7 @@
     state.leases.idle_scopes.discard(scope)
 
 
-def rest(state: State, scope: LeaseScope, *, resting: bool) -> None:
+def set_resting(state: State, scope: LeaseScope, *, resting: bool) -> None:
     """Let a lease expire while there are no orders under it, or resume its renewal."""
     if resting:
         state.leases.idle_scopes.add(scope)
@@ -75,8 +75,8 @@
     With conditional appends the holder of an expired lease may write as well: the append fails if
     another instance has held the lease since.
     """
-    can_append = state.options.lease_keyed and is_own(state, scope)
-    if held(state, now, scope) is None and not can_append:
+    can_append = state.options.lease_keyed and is_own_lease(state, scope)
+    if current_lease(state, now, scope) is None and not can_append:
         return False
     state.leases.notes[scope] = note
     return True
@@ -88,7 +88,7 @@
     return None if lease is None else lease.note
 
 
-def held(state: State, now: float, scope: LeaseScope) -> HeldLease | None:
+def current_lease(state: State, now: float, scope: LeaseScope) -> HeldLease | None:
     """Return the lease of a scope if this instance holds it now.
 
     Prevents a holder that was paused past its lease from sending orders that conflict with its
@@ -99,7 +99,7 @@
     return lease if lease is not None and now < lease.expires_at else None
 
 
-def is_own(state: State, scope: LeaseScope) -> bool:
+def is_own_lease(state: State, scope: LeaseScope) -> bool:
     """Return whether the newest lease of a scope is this instance's, expired or not."""
     lease = state.leases.ledger.leases.get(scope)
     return lease is not None and _can_renew(state, scope, lease)
@@ -110,7 +110,7 @@
     return _fence_for_record(state.leases, scope)
 
 
-def drop(state: State, now: float, scope: LeaseScope) -> list[Effect]:
+def drop_lease(state: State, now: float, scope: LeaseScope) -> list[Effect]:
     """Stop using a lease after a server refused an order under it as outdated."""
     lease = state.leases.held.pop(scope, None)
     state.leases.dropped.add(scope)
--- a/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
@@ -170,7 +170,10 @@
 
 def on_message(state: State, now: float, sender: InstanceName, message: ModelDemand) -> None:
     """Record the use that another instance sent."""
-    if membership.member(state, sender) is None or message.service not in state.config.services:
+    if (
+        membership.find_member(state, sender) is None
+        or message.service not in state.config.services
+    ):
         return
     scope = LeaseScope(message.service, message.data_centre)
     _record_use(state, now, scope, sender, message.uses)
--- a/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
@@ -112,7 +112,7 @@
 
 def _lease_for(state: State, now: float, order: Order) -> HeldLease | None:
     """Return the lease under which an order may be sent now."""
-    lease = lease_flow.held(state, now, order.scope)
+    lease = lease_flow.current_lease(state, now, order.scope)
     server = state.servers.by_name.get(order.server)
     if lease is None or server is None or not can_take_work(server, now):
         return None
@@ -192,7 +192,7 @@
     }
     effects: list[Effect] = [Count("order.failed"), Log("order_failed", fields)]
     if event.stale_fence and _is_lease_current(state, out):
-        effects += lease_flow.drop(state, now, out.order.scope)
+        effects += lease_flow.drop_lease(state, now, out.order.scope)
     return effects
 
 
--- a/packages/turmericweir-core/turmericweir_core/limits/limit.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit.py
@@ -81,7 +81,7 @@
     return None
 
 
-def settle(state: State, now: float, req: Request, outcome: Outcome) -> None:
+def settle_charge(state: State, now: float, req: Request, outcome: Outcome) -> None:
     """Replace the charge of a finished request by its actual use."""
     charge_record = state.rate_limits.charges.pop(req.request_id, None)
     if charge_record is None:
@@ -423,6 +423,6 @@
     hold_s = state.options.rate_hold_s
     return sum(
         view.live
-        for view in membership.data_centres(state, now)
+        for view in membership.data_centre_views(state, now)
         if not view.reachable and now - view.last_seen_at <= hold_s
     )
--- a/packages/turmericweir-core/turmericweir_core/membership/leaving.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/leaving.py
@@ -25,7 +25,7 @@
 from turmericweir_core.state.state import State
 
 
-def mark_leavers(state: State, now: float) -> list[Effect]:
+def create_leaving_notices(state: State, now: float) -> list[Effect]:
     """Create or renew the notices of all servers that this instance itself sees leaving."""
     effects: list[Effect] = []
     for server in state.servers.by_name.values():
--- a/packages/turmericweir-core/turmericweir_core/membership/membership.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership.py
@@ -57,7 +57,7 @@
     return [member for member in live_instances(state, now) if member.region == region]
 
 
-def member(state: State, name: InstanceName) -> Member | None:
+def find_member(state: State, name: InstanceName) -> Member | None:
     """Return a member by name, live or not; this instance is one."""
     return self_member(state) if name == state.me.name else state.members.by_name.get(name)
 
@@ -74,7 +74,7 @@
     return now - centre.last_seen_at <= state.options.centre_suspect_s
 
 
-def data_centres(state: State, now: float) -> list[CentreView]:
+def data_centre_views(state: State, now: float) -> list[CentreView]:
     """Return the data centres with the newest status of each, this one included."""
     views = [_remote_view(state, now, each) for each in state.members.centres.values()]
     local_members = live_instances(state, now, state.me.data_centre)
@@ -98,7 +98,7 @@
     )
 
 
-def list_period(state: State) -> float:
+def list_period_s(state: State) -> float:
     """Return the time between two reads of the platform's list, in seconds.
 
     The period grows with the list, which bounds the cost for each instance.
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
@@ -9,7 +9,7 @@
 time after a difference was seen. Records of unknown keys are requested.
 
 A process that was paused reads old datagrams from its sockets when it resumes. Their counters look
-like progress of members that may be gone. `note_time` detects the pause, and progress is ignored
+like progress of members that may be gone. `detect_pause` detects the pause, and progress is ignored
 for a short time after it.
 """
 
@@ -58,7 +58,7 @@
 # --- time ------------------------------------------------------------------------------------
 
 
-def note_time(state: State, now: float) -> list[Effect]:
+def detect_pause(state: State, now: float) -> list[Effect]:
     """Detect whether this process was paused; called before any message is evaluated.
 
     Prevents datagrams that were received before a pause from making a dead member live again.
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
@@ -13,7 +13,7 @@
     index_member,
     is_live,
     is_retired,
-    list_period,
+    list_period_s,
     restart,
     unindex_member,
 )
@@ -116,6 +116,6 @@
 def _forget_after_s(state: State, now: float, member: Member) -> float:
     listed_at = state.servers.listed_at
     # Two reads of a long list may lie further apart than the option.
-    limit_s = max(state.options.forget_s, 2 * list_period(state))
+    limit_s = max(state.options.forget_s, 2 * list_period_s(state))
     is_outage = listed_at is None or now - listed_at > limit_s
     return state.options.forget_outage_s if is_outage and not member.leaving else limit_s
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
@@ -46,7 +46,7 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Send what is due."""
-    effects = membership_gossip.note_time(state, now)
+    effects = membership_gossip.detect_pause(state, now)
     members = state.members
     if members.started_at is None:
         members.started_at = now
@@ -71,7 +71,7 @@
 
 
 def _run_round(state: State, now: float) -> list[Effect]:
-    effects = leaving.mark_leavers(state, now)
+    effects = leaving.create_leaving_notices(state, now)
     statuses = membership_status.statuses_to_send(state, now)
     return effects + _add_notices(state, now, membership_gossip.run_round(state, now, statuses))
 
@@ -102,7 +102,7 @@
     state: State, now: float, name: InstanceName, beat: Heartbeat
 ) -> tuple[list[Effect], Heartbeat | None]:
     """Process a heartbeat; return it with its sender's identity, or None if it is dropped."""
-    effects = membership_gossip.note_time(state, now)
+    effects = membership_gossip.detect_pause(state, now)
     previous_incarnation = _live_incarnation(state, now, name)
     is_known = _is_known_sender(state, name)
     sender = membership_gossip.take_sender(state, now, name, beat)
--- a/packages/turmericweir-core/turmericweir_core/membership/relays.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/relays.py
@@ -27,12 +27,12 @@
 _INSTANCES_PER_RELAY: Final = 16
 
 
-def is_direct(state: State, now: float) -> bool:
+def is_direct_delivery(state: State, now: float) -> bool:
     """Return whether there are so few instances that each sends to every other one."""
     return len(membership.region_instances(state, now)) <= _DIRECT_INSTANCES_MAX
 
 
-def tellers(members: list[Member]) -> list[Member]:
+def relays_of(members: list[Member]) -> list[Member]:
     """Return the relays among one data centre's live members."""
     staying = [member for member in members if not member.leaving]
     return members_for_duty(staying, _DUTY, -(-len(staying) // _INSTANCES_PER_RELAY))
@@ -52,7 +52,7 @@
     return ranked[:count]
 
 
-def teller_of(relay_members: list[Member], name: InstanceName) -> InstanceName | None:
+def relay_for(relay_members: list[Member], name: InstanceName) -> InstanceName | None:
     """Return the name of the relay that sends to an instance; a relay is its own."""
     if not relay_members:
         return None
@@ -63,14 +63,14 @@
 
 def relay_group(members: list[Member], name: InstanceName) -> list[Member]:
     """Return the members of a data centre that have the same relay as the named one."""
-    relay_members = tellers(members)
-    relay = teller_of(relay_members, name)
-    return [member for member in members if teller_of(relay_members, member.name) == relay]
+    relay_members = relays_of(members)
+    relay = relay_for(relay_members, name)
+    return [member for member in members if relay_for(relay_members, member.name) == relay]
 
 
-def all_tellers(state: State, now: float) -> list[Member]:
+def region_relays(state: State, now: float) -> list[Member]:
     """Return the relays of all data centres of the region; this instance may be among them."""
     by_centre: dict[str, list[Member]] = {}
     for member in membership.region_instances(state, now):
         by_centre.setdefault(member.data_centre, []).append(member)
-    return [member for members in by_centre.values() for member in tellers(members)]
+    return [member for members in by_centre.values() for member in relays_of(members)]
--- a/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
@@ -32,20 +32,20 @@
 _READERS_MIN: Final = 1
 # Time in which an instance that started with all others discovers them.
 _START_PHASE_S: Final = 8.0
-# Interval between two picks of the readers; `is_reader` is called far more often.
+# Interval between two picks of the readers; `is_store_reader` is called far more often.
 _PICK_INTERVAL_S: Final = 0.25
 _NEVER: Final = float("-inf")
 _WEIGHT_RANGE: Final = 2.0**64
 
 
-def readers(state: State, now: float) -> list[Member]:
+def store_readers(state: State, now: float) -> list[Member]:
     """Return the instances that read the store; this one may be among them."""
     live = [member for member in membership.live_instances(state, now) if not member.leaving]
     count = max(_READERS_MIN, len(live) // _INSTANCES_PER_READER)
     return relays.members_for_duty(live, _DUTY, count)
 
 
-def is_reader(state: State, now: float) -> bool:
+def is_store_reader(state: State, now: float) -> bool:
     """Return whether this instance reads for others."""
     if state.registry.is_fallback_reader:
         return True
@@ -56,7 +56,7 @@
     if now >= registry.next_choice_at:
         registry.next_choice_at = now + _PICK_INTERVAL_S
         registry.is_chosen_reader = any(
-            member.name == state.me.name for member in readers(state, now)
+            member.name == state.me.name for member in store_readers(state, now)
         )
     return registry.is_chosen_reader
 
@@ -70,11 +70,11 @@
     These are all peers, or the relays and this instance's relay group, in case its relay has
     failed.
     """
-    if relays.is_direct(state, now):
+    if relays.is_direct_delivery(state, now):
         return _without_self(state, membership.region_instances(state, now))
     local_members = membership.live_instances(state, now, state.me.data_centre)
     receivers = [
-        *relays.all_tellers(state, now),
+        *relays.region_relays(state, now),
         *relays.relay_group(local_members, state.me.name),
     ]
     return _without_self(state, list({member.name: member for member in receivers}.values()))
@@ -83,7 +83,9 @@
 def relay_receivers(state: State, now: float) -> list[Member]:
     """Return the peers to which this instance relays; none unless it is a relay."""
     local_members = membership.live_instances(state, now, state.me.data_centre)
-    if relays.is_direct(state, now) or not _has_self(relays.tellers(local_members), state):
+    if relays.is_direct_delivery(state, now) or not _has_self(
+        relays.relays_of(local_members), state
+    ):
         return []
     return _without_self(state, relays.relay_group(local_members, state.me.name))
 
@@ -91,9 +93,9 @@
 def settings_sources(state: State, now: float) -> list[Member]:
     """Return peers that may have a fresh proof of the settings: local relays, or the readers."""
     local_members = membership.live_instances(state, now, state.me.data_centre)
-    sources = relays.tellers(local_members)
-    if relays.is_direct(state, now) or _has_self(sources, state):
-        sources = readers(state, now)
+    sources = relays.relays_of(local_members)
+    if relays.is_direct_delivery(state, now) or _has_self(sources, state):
+        sources = store_readers(state, now)
     return _without_self(state, sources)
 
 
@@ -119,7 +121,7 @@
 
 def note_reader(state: State, now: float, reader: InstanceName) -> None:
     """Stop being a fallback reader if the announcing peer is picked or has the higher weight."""
-    is_picked = reader in {member.name for member in readers(state, now)}
+    is_picked = reader in {member.name for member in store_readers(state, now)}
     if is_picked or rendezvous_weight(_DUTY, reader) > rendezvous_weight(_DUTY, state.me.name):
         state.registry.is_fallback_reader = False
 
@@ -133,15 +135,15 @@
     return now - state.registry.read_at > overdue_s
 
 
-def reads_registry(state: State, now: float) -> bool:
+def is_registry_read_due(state: State, now: float) -> bool:
     """Return whether this instance should read the servers' entries now."""
-    return is_reader(state, now) or is_registry_overdue(state, now)
+    return is_store_reader(state, now) or is_registry_overdue(state, now)
 
 
-def reads_document(state: State, now: float) -> bool:
+def is_document_read_due(state: State, now: float) -> bool:
     """Return whether this instance should read the settings now."""
     document = state.document
-    if document is None or is_reader(state, now):
+    if document is None or is_store_reader(state, now):
         return True
     times = state.options.store
     overdue_s = times.settings_fallback_s + times.settings_fallback_spread_s * _fallback_position(
--- a/packages/turmericweir-core/turmericweir_core/membership/subset.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/subset.py
@@ -81,7 +81,7 @@
     return [server for server in servers if server.unreachable_until == 0.0] or servers
 
 
-def sharing_instances(state: State, target: Target) -> int:
+def instances_per_server(state: State, target: Target) -> int:
     """Return the estimated number of instances that use the same server of a target."""
     subset = target_subset(state, target)
     if not subset.total:
--- a/packages/turmericweir-core/turmericweir_core/placement/admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/admission.py
@@ -68,7 +68,7 @@
 def _decide_predicted(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
     # Counts refused requests too. Prevents a kind of request with too few engines from keeping too
     # few, because most of its requests are refused.
-    engine_pools.note_demand(state, now, req, open_servers(state, now, req.target))
+    engine_pools.record_demand(state, now, req, open_servers(state, now, req.target))
     wait_s = predicted_admission.wait_s(state, now, req, pool)
     if predicted_admission.can_answer_in_time(state, now, req, wait_s) and not _is_queue_full(
         state, req
--- a/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
@@ -19,7 +19,7 @@
 from turmericweir_core.base.config import PlacementPolicy
 from turmericweir_core.base.ids import ServerName
 from turmericweir_core.base.request import Attempt, CancelReason, Request
-from turmericweir_core.credits.credit_holder import goes_by_counts
+from turmericweir_core.credits.credit_holder import uses_local_counts
 from turmericweir_core.membership.subset import open_servers
 from turmericweir_core.messages.effects import Count, Effect, Log
 from turmericweir_core.placement.dispatch import cancel
@@ -132,4 +132,4 @@
     if straggler.server_weight(state.stragglers, server.entry.name) < 1.0:
         return False
     credit = state.credits.held_by_server.get(server.entry.name)
-    return (credit is None or not credit.is_contended) and not goes_by_counts(state, now, server)
+    return (credit is None or not credit.is_contended) and not uses_local_counts(state, now, server)
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
@@ -214,20 +214,20 @@
             del state.predicted_work[name]
 
 
-def note_report(state: State, now: float, report: ServerReport) -> None:
+def reset_if_restarted(state: State, now: float, report: ServerReport) -> None:
     """Reset a server's state where its report shows a restart under the same name."""
     name = report.server
     server = state.servers.by_name.get(name)
     if server is None or server.report is None:
         return
     if server.report.incarnation != report.incarnation:
-        judge_afresh(state, now, name)
+        reset_server_state(state, now, name)
 
 
-def judge_afresh(state: State, now: float, name: ServerName) -> None:
+def reset_server_state(state: State, now: float, name: ServerName) -> None:
     """Forget the state of a server that restarted; its cache is empty."""
     straggler.forget_server(state.stragglers, name)
     concurrency.forget_server(state.server_limits, name)
     prefix.forget_server(state.prefixes, now, name)
     reliability.forget(state.reliability, name)
-    engine_model.forget(state, name)
+    engine_model.reset_engine(state, name)
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -61,7 +61,7 @@
     # Local lower work is displaced before other instances are asked to displace theirs.
     effects += make_room(state, now, pool)
     grants_before = state.credits.grants_taken
-    effects += credit.ask(state, now, pool)
+    effects += credit.request_credit(state, now, pool)
     if state.credits.grants_taken != grants_before:
         # This instance may be the dispatcher itself; its grant then takes effect at once.
         effects += _bind_waiting(state, now, pool)
@@ -202,7 +202,7 @@
     if server is None:
         return []
     server.in_flight.pop(attempt.attempt_id, None)
-    return credit.note_freed(state, now, server)
+    return credit.report_freed_slot(state, now, server)
 
 
 # --- making room -----------------------------------------------------------------------------
@@ -255,7 +255,7 @@
     state: State, now: float, sender: InstanceName, message: CreditDemand | CreditGrant
 ) -> list[Effect]:
     """Handle a credit message, and dispatch or displace accordingly."""
-    effects = credit.on_peer(state, now, sender, message)
+    effects = credit.on_credit_message(state, now, sender, message)
     server = state.servers.by_name.get(ServerName(message.server))
     if server is not None:
         targets = state.queues.pools.get(server.service.name, ())
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -17,10 +17,10 @@
 from turmericweir_core.base.config import PlacementPolicy, ServiceKind
 from turmericweir_core.base.ids import Target, request_id_of
 from turmericweir_core.base.request import CancelReason, Request
-from turmericweir_core.credits.credit_holder import excess, is_assured
+from turmericweir_core.credits.credit_holder import excess_attempts, is_assured
 from turmericweir_core.membership.subset import open_servers
 from turmericweir_core.placement.placement import headroom
-from turmericweir_core.queueing.displacement_delay import count_ripe
+from turmericweir_core.queueing.displacement_delay import count_ready_to_displace
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.pool_load import is_lower_tier_running, pool_load
 from turmericweir_core.state.server_table import Server, preferred_servers
@@ -39,7 +39,7 @@
     queues = queue_state.pool_queues(state.queues, pool)
     for queue in sorted(queues, key=lambda queue: queue.service_class.priority):
         tier = queue.service_class.priority
-        waiting_count += count_ripe(state.options, now, queue, load.displacing + 1)
+        waiting_count += count_ready_to_displace(state.options, now, queue, load.displacing + 1)
         # At most one attempt for each waiting request; displaced attempts that still run count.
         if waiting_count <= load.displacing or not is_lower_tier_running(load, tier):
             continue
@@ -103,7 +103,7 @@
 def requests_on_recalled_credit(state: State, server: Server) -> list[Request]:
     """List what to displace on a server because its dispatcher recalled credit."""
     credit = state.credits.held_by_server.get(server.entry.name)
-    excess_slots = excess(state, server)
+    excess_slots = excess_attempts(state, server)
     if credit is None or excess_slots <= 0:
         return []
     ending_slots = sum(1 for _ in _ending_requests(state, server))
--- a/packages/turmericweir-core/turmericweir_core/placement/placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/placement.py
@@ -26,8 +26,8 @@
 from turmericweir_core.base.request import Request
 from turmericweir_core.base.tiers import most_urgent_configured_tier
 from turmericweir_core.credits import credit
-from turmericweir_core.credits.credit_holder import covered_room, goes_by_counts
-from turmericweir_core.membership.subset import open_servers, sharing_instances
+from turmericweir_core.credits.credit_holder import covered_room, uses_local_counts
+from turmericweir_core.membership.subset import instances_per_server, open_servers
 from turmericweir_core.placement import predicted_placement
 from turmericweir_core.state import straggler
 from turmericweir_core.state.concurrency import limited_slots
@@ -94,7 +94,7 @@
 
 def _remaining_share(state: State, now: float, server: Server) -> int:
     """Count the requests left of this instance's share of a server."""
-    instance_count = sharing_instances(state, any_target(server))
+    instance_count = instances_per_server(state, any_target(server))
     own_requests_at_report = server.in_flight_at_report
     free_slots = (
         usable_slots(state, server) - own_requests_at_report - others_load(state, now, server)
@@ -154,7 +154,7 @@
         case PlacementPolicy.COUNTS | PlacementPolicy.PREDICTED:
             return _counts_headroom(state, now, server, tier)
         case PlacementPolicy.CREDITS:
-            if goes_by_counts(state, now, server):
+            if uses_local_counts(state, now, server):
                 return _cautious_headroom(state, now, server, tier)
             return covered_room(state, now, server, tier)
         case unreachable:
@@ -180,7 +180,7 @@
         max(0.0, usable_slots(state, server) - estimated_load(state, now, server))
         for server in open_servers(state, now, target)
     )
-    return idle_slots / sharing_instances(state, target)
+    return idle_slots / instances_per_server(state, target)
 
 
 def estimated_load(state: State, now: float, server: Server) -> float:
@@ -279,7 +279,7 @@
 # --- probes ----------------------------------------------------------------------------------
 
 
-def must_probe(state: State, now: float, server: Server) -> bool:
+def is_probe_needed(state: State, now: float, server: Server) -> bool:
     """Return whether a server should be asked for its load."""
     if state.config.policy is PlacementPolicy.CREDITS:
         return credit.must_probe(state, now, server)
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
@@ -49,7 +49,7 @@
 
 
 def _queued_ms(state: State, servers: list[Server], queue: queue_state.ClassQueue) -> float:
-    record = engine_model.book_of(state, servers[0].entry.name)
+    record = engine_model.engine_info_of(state, servers[0].entry.name)
     return sum(
         engine_model.own_work_ms(state, record, waiting_request)
         for waiting_request in queue.waiting()
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
@@ -135,7 +135,7 @@
 ) -> _EngineChoice:
     """Predict the effect of sending a request to an engine."""
     options = state.options
-    record = engine_model.book_of(state, server.entry.name)
+    record = engine_model.engine_info_of(state, server.entry.name)
     saved_tokens = engine_model.pending_prefill_tokens(record, now, req)
     is_held_back = saved_tokens > 0
     fetched_tokens = 0
@@ -184,7 +184,7 @@
 
 def _can_take(state: State, now: float, req: Request, server: Server) -> bool:
     """Return whether an engine can take a request now."""
-    record = engine_model.book_of(state, server.entry.name)
+    record = engine_model.engine_info_of(state, server.entry.name)
     requests = engine_model.request_count(record, now)
     if not requests:
         # An idle engine takes a request of any size.
@@ -194,7 +194,7 @@
     memory_tokens = server.service.kv_tokens * state.options.engine_memory_share
     if (
         memory_tokens
-        and engine_model.tokens_at(record, now) + engine_model.final_tokens(req) > memory_tokens
+        and engine_model.tokens_in_use(record, now) + engine_model.final_tokens(req) > memory_tokens
     ):
         return False
     wait_ms = engine_model.waiting_ms(record, now, scheduling_rank(req.service_class))
@@ -230,7 +230,7 @@
 def explain(state: State, now: float, req: Request, server: Server) -> dict[str, object]:
     """Return the inputs of a placement for its log line."""
     name = server.entry.name
-    record = engine_model.book_of(state, name)
+    record = engine_model.engine_info_of(state, name)
     update_ages_s = [now - each.last_receipt.received_at for each in record.peers.values()]
     fields: dict[str, object] = {
         "requests_there": engine_model.request_count(record, now),
@@ -244,7 +244,7 @@
     if server.service.kind is ServiceKind.MODEL:
         fields["read_tokens"] = engine_model.uncached_tokens(record, req)
         fields["least_read"] = min(
-            engine_model.uncached_tokens(engine_model.book_of(state, each.entry.name), req)
+            engine_model.uncached_tokens(engine_model.engine_info_of(state, each.entry.name), req)
             for each in open_servers(state, now, req.target)
         )
         fields["prompt_tokens"] = req.prompt_tokens
@@ -258,13 +258,13 @@
         fields["begin_ms"] = round(choice.begin_ms)
         fields["fetch_tokens"] = round(choice.fetched_tokens)
         fields["pace"] = round(record.pace, 2)
-        fields["tokens_there"] = engine_model.tokens_at(record, now)
+        fields["tokens_there"] = engine_model.tokens_in_use(record, now)
     return fields
 
 
 def shortest_wait_ms(state: State, now: float, candidates: list[Server]) -> float:
     """Return the shortest wait at any engine in milliseconds; 0.0 where there is none."""
-    records = (engine_model.book_of(state, server.entry.name) for server in candidates)
+    records = (engine_model.engine_info_of(state, server.entry.name) for server in candidates)
     return min(
         (engine_model.waiting_ms(record, now, _LAST_RANK) for record in records), default=0.0
     )
@@ -278,7 +278,7 @@
     best_cost = 0.0
     for server in candidates:
         name = server.entry.name
-        requests = engine_model.request_count(engine_model.book_of(state, name), now)
+        requests = engine_model.request_count(engine_model.engine_info_of(state, name), now)
         if requests >= state.options.plain_fill * server.slots:
             continue
         load = requests / server.slots
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
@@ -93,7 +93,7 @@
     """Apply one event at time `now` of the runtime's clock, seconds; return the effects."""
     effects = _apply(state, now, event)
     if state.claims.keys_to_evaluate:
-        effects += claim_flow.settle_due(state, now)
+        effects += claim_flow.settle_changed_keys(state, now)
     return effects
 
 
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
@@ -95,7 +95,7 @@
             return lifecycle.on_caller_left(state, now, event)
         case ServerReport():
             quarantine.note_report(state, now, event)
-            attempt_accounting.note_report(state, now, event)
+            attempt_accounting.reset_if_restarted(state, now, event)
             server_table.note_report(state.servers, state.options, now, event)
             answered = lifecycle.on_server_answered(state, now, event)
             return answered + dispatch.dispatch_all(state, now)
@@ -109,7 +109,7 @@
             server_table.apply_server_list(state.servers, state.config, servers)
             server_list.note_list_read(state, now)
             membership_reducer.on_list(state, now, instances)
-            return leaving.mark_leavers(state, now) + dispatch.dispatch_all(state, now)
+            return leaving.create_leaving_notices(state, now) + dispatch.dispatch_all(state, now)
         case SeedsGiven(addresses):
             membership_reducer.on_seeds(state, addresses)
             return []
@@ -144,10 +144,10 @@
         case (CreditDemand() | CreditGrant()) as message:
             return dispatch.on_credit(state, now, sender, message)
         case LoadNews() as news:
-            load_updates.on_news(state, now, sender, news)
+            load_updates.on_load_update(state, now, sender, news)
             return dispatch.dispatch_all(state, now)
         case LoadBundle() as bundle:
-            load_updates.on_bundle(state, now, sender, bundle)
+            load_updates.on_load_bundle(state, now, sender, bundle)
             return dispatch.dispatch_all(state, now)
         case _:
             # The message is for a concern that this process does not have.
@@ -172,7 +172,7 @@
     effects: list[Effect] = []
     if state.options.probe_servers:
         for server in server_table.servers_to_probe(state.servers, state.options, now):
-            if placement.must_probe(state, now, server):
+            if placement.is_probe_needed(state, now, server):
                 effects.append(ProbeServer(server.entry.name, server.entry.address))
     else:
         for server in server_table.servers_to_retry(state.servers, state.options, now):
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
@@ -35,9 +35,9 @@
         case Tick():
             return reducer_store.reduce(state, now, event) + _on_tick(state, now)
         case StopRequested():
-            return reducer_store.reduce(state, now, event) + usage.tell(state, now)
+            return reducer_store.reduce(state, now, event) + usage.send_counts(state, now)
         case PeerReceived(sender, UsageCounts() as message):
-            usage.on_told(state, now, sender, message)
+            usage.on_counts(state, now, sender, message)
             return []
         case PeerReceived(sender, DutyStatus() as status):
             election.on_status(state, now, sender, status)
@@ -49,7 +49,7 @@
         case LogRead() | LogNewest() | LogExpired() | LogFailed():
             _note_store_result(state, now, works=not isinstance(event, LogFailed))
             effects = lease_flow.on_log(state, now, event)
-            election.note_ledger(state, now)
+            election.note_lease_holder(state, now)
             return effects
         case AppendDone() | AppendFailed():
             _note_store_result(state, now, works=isinstance(event, AppendDone))
@@ -66,10 +66,10 @@
         return []
     effects: list[Effect] = []
     if duties.settings.reports_usage:
-        effects += usage.tell(state, now)
-        usage.forget(state, now)
+        effects += usage.send_counts(state, now)
+        usage.drop_old_windows(state, now)
     effects += election.on_tick(state, now)
-    if lease_flow.is_own(state, election.SCOPE) and now >= duties.barred_until:
+    if lease_flow.is_own_lease(state, election.SCOPE) and now >= duties.barred_until:
         effects += _run_duties(state, now)
     return effects + lease_flow.on_tick(state, now)
 
@@ -77,7 +77,7 @@
 def _run_duties(state: State, now: float) -> list[Effect]:
     duties = state.duties
     assert duties is not None
-    lease_flow.rest(state, election.SCOPE, resting=True)
+    lease_flow.set_resting(state, election.SCOPE, resting=True)
     effects: list[Effect] = []
     has_work = False
     if duties.settings.orders_servers:
@@ -87,19 +87,19 @@
         effects += usage.on_tick(state, now)
         has_work = has_work or usage.has_work(state)
     if has_work:
-        lease_flow.rest(state, election.SCOPE, resting=False)
+        lease_flow.set_resting(state, election.SCOPE, resting=False)
     return effects
 
 
 def _note_store_result(state: State, now: float, *, works: bool) -> None:
     if state.duties is not None:
-        election.note_result(state, now, works=works)
+        election.note_call_outcome(state, now, works=works)
 
 
 def _on_answered(state: State, now: float, event: DutyAnswered) -> list[Effect]:
     effects = usage.on_answered(state, now, event) + capacity.on_answered(state, now, event)
     if event.outcome is DutyOutcome.STALE:
-        effects += lease_flow.drop(state, now, election.SCOPE)
+        effects += lease_flow.drop_lease(state, now, election.SCOPE)
     works = event.outcome in (DutyOutcome.DONE, DutyOutcome.NONE_LEFT, DutyOutcome.STALE)
-    election.note_result(state, now, works=works)
+    election.note_call_outcome(state, now, works=works)
     return effects
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_store.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_store.py
@@ -70,7 +70,7 @@
 def reduce(state: State, now: float, event: Event) -> list[Effect]:
     """Apply one event at time `now` of the runtime's clock, seconds; return the effects."""
     effects = _apply(state, now, event)
-    return effects + load_updates.due_news(state, now)
+    return effects + load_updates.send_due_update(state, now)
 
 
 def _apply(state: State, now: float, event: Event) -> list[Effect]:
@@ -86,7 +86,7 @@
             return document.on_unreadable(event)
         case RegistryRead():
             effects = registry.on_read(state, now, event)
-            effects += leaving.mark_leavers(state, now)
+            effects += leaving.create_leaving_notices(state, now)
             return effects + dispatch.dispatch_all(state, now)
         case EntryUnreadable():
             return registry.on_unreadable(event)
@@ -111,13 +111,13 @@
                 return effects
             return effects + dead_server.on_unreachable(state, now, attempt.server)
         case PeerReceived(sender, RegistryNews() as news):
-            effects = registry.on_news(state, now, sender, news)
-            effects += leaving.mark_leavers(state, now)
+            effects = registry.on_registry_update(state, now, sender, news)
+            effects += leaving.create_leaving_notices(state, now)
             return effects + dispatch.dispatch_all(state, now)
         case PeerReceived(sender, CachesAsk()):
-            return cache_handover.on_ask(state, now, sender)
+            return cache_handover.on_caches_request(state, now, sender)
         case PeerReceived(sender, CachesSend() as message):
-            return cache_handover.on_told(state, sender, message)
+            return cache_handover.on_caches_received(state, sender, message)
         case (
             RequestArrived()
             | CallerLeft()
@@ -159,6 +159,6 @@
     effects += dead_server.on_tick(state, now)
     effects += document.on_tick(state, now)
     effects += cache_handover.on_tick(state, now)
-    load_updates.forget_silent(state, now)
+    load_updates.forget_stale_origins(state, now)
     effects += tick_others(state, now)
     return effects + exit_when_done(state, now, flushed=True)
--- a/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
@@ -82,7 +82,7 @@
     attempt.first_token_at = now
     predicted_ms = engine_model.predicted_ms(state, attempt)
     attempt_accounting.record_first_token(state, now, req, attempt)
-    lost_connections.note_begun(state, now, attempt)
+    lost_connections.record_first_wait(state, now, attempt)
     effects: list[Effect] = [
         Timing(f"attempt.first_token.{attempt.server}", now - attempt.started_at)
     ]
@@ -157,7 +157,7 @@
     match end:
         case EndComplete(status, answer):
             if attempt.first_token_at is None:
-                lost_connections.note_begun(state, now, attempt)
+                lost_connections.record_first_wait(state, now, attempt)
             learning_effects = attempt_accounting.record_completed(state, now, req, attempt)
             finish_effects = finish(
                 state,
@@ -194,7 +194,7 @@
             req.may_have_run = True
             if not server_alive:
                 note_unreachable(state.servers, state.options, now, attempt.server)
-            quarantine.note_broken(state, now, req, attempt, server_alive)
+            quarantine.record_broken_connection(state, now, req, attempt, server_alive)
             log = _failure_log(req, attempt, "broken", error)
             if attempt.cancelled is not None:
                 # It broke while being cancelled; the reason for that still applies.
@@ -266,7 +266,7 @@
             req.failed_servers.add(attempt.server)
             return _requeue_stopped(state, now, req)
         case CancelReason.SERVER_DEAD:
-            quarantine.note_broken(state, now, req, attempt, alive=False)
+            quarantine.record_broken_connection(state, now, req, attempt, alive=False)
             note_unreachable(state.servers, state.options, now, attempt.server)
             return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST)
         case CancelReason.QUARANTINED:
@@ -274,7 +274,7 @@
         case CancelReason.UNRESPONSIVE | None if not attempt.sent:
             return _retry_or_finish(state, now, req, attempt, Reason.NO_SERVER, uses_budget=False)
         case CancelReason.UNRESPONSIVE:
-            quarantine.note_silent(state, now, req, attempt)
+            quarantine.record_unresponsive_connection(state, now, req, attempt)
             # The retry was paid for when the attempt was suspected.
             return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST, uses_budget=False)
         case None:
@@ -314,7 +314,7 @@
 def _requeue(state: State, now: float, req: Request) -> None:
     """Put a request back into its queue, or hold it if it is a suspect."""
     req.phase = RequestPhase.WAITING
-    if isolated_runs.must_wait(state, now, req):
+    if isolated_runs.must_wait_outside_queue(state, now, req):
         isolated_runs.hold_after_crash(state, now, req)
     else:
         wait_for_server(state, req, front=True)
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_agreement.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_agreement.py
@@ -10,7 +10,7 @@
 from turmericweir_core.base.ids import InstanceName, RequestId
 from turmericweir_core.base.reasons import Reason
 from turmericweir_core.base.request import Request
-from turmericweir_core.claims.claim_outbox import is_in_doubt, put_claim, writer_of
+from turmericweir_core.claims.claim_outbox import has_competing_claim, queue_claim, writer_of
 from turmericweir_core.claims.claim_vote import agree, release, voting_view
 from turmericweir_core.membership.membership import live_instances
 from turmericweir_core.messages.effects import Count, Effect, SendPeer, Timing
@@ -108,7 +108,7 @@
     claims = state.claims
     drop_wait(claims, wait.request_id)
     claims.held_keys[wait.request_id] = wait.key
-    put_claim(
+    queue_claim(
         claims.outbox,
         wait.request_id,
         NewClaim(wait.key, req.fingerprint, req.request_id),
@@ -123,7 +123,11 @@
     """Follow the request that a member prefers, or leave the claim to the log."""
     claims = state.claims
     claims.keys_to_evaluate.add(wait.key)
-    if not vote.holder or wait.is_claim_sent or is_in_doubt(claims, wait.key, wait.request_id):
+    if (
+        not vote.holder
+        or wait.is_claim_sent
+        or has_competing_claim(claims, wait.key, wait.request_id)
+    ):
         # This claim may be in the log already, so it cannot yield to another.
         wait.is_denied = True
         return []
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
@@ -20,21 +20,26 @@
 from turmericweir_core.base.reasons import Reason
 from turmericweir_core.base.request import Request, RequestPhase
 from turmericweir_core.claims.claim_outbox import (
+    count_append_time,
+    fail_overdue_append,
     flush,
-    give_up_late,
-    is_claim_out,
+    is_claim_in_progress,
     is_log_down,
     is_log_slow,
-    note_read_back,
-    note_tick,
     on_done,
     on_failed,
-    put_claim,
-    read_on,
+    queue_claim,
+    read_claims_stream,
+    remove_read_back,
     writer_of,
 )
-from turmericweir_core.claims.claim_peer import ask_holder, end_told, on_ask
-from turmericweir_core.claims.claim_vote import known_holder, note_folded, on_release, on_vote_ask
+from turmericweir_core.claims.claim_peer import ask_holder, end_from_message, on_ask
+from turmericweir_core.claims.claim_vote import (
+    apply_folded_record,
+    known_holder,
+    on_release,
+    on_vote_ask,
+)
 from turmericweir_core.messages.effects import Count, Effect, Log, ReplayAnswer, Timing
 from turmericweir_core.messages.events import (
     AppendDone,
@@ -92,7 +97,7 @@
 # --- who holds the key -----------------------------------------------------------------------
 
 
-def settle_due(state: State, now: float) -> list[Effect]:
+def settle_changed_keys(state: State, now: float) -> list[Effect]:
     """Settle the requests whose keys changed."""
     claims = state.claims
     if not claims.keys_to_evaluate:
@@ -125,7 +130,7 @@
     """Claim a key that has no holder, by the log or by the members' agreement."""
     claims = state.claims
     outbox = claims.outbox
-    is_written = is_claim_out(outbox, wait.request_id)
+    is_written = is_claim_in_progress(outbox, wait.request_id)
     if (
         not is_written
         and len(claims.ledger.claims) + len(claims.votes) >= state.options.claim_live_max
@@ -137,7 +142,7 @@
     if is_log_down(outbox, state.options, now):
         return refuse_unclaimable(state, now, req)
     if not is_written and _can_write_claim(state):
-        put_claim(outbox, wait.request_id, NewClaim(wait.key, req.fingerprint, req.request_id))
+        queue_claim(outbox, wait.request_id, NewClaim(wait.key, req.fingerprint, req.request_id))
     return []
 
 
@@ -250,7 +255,7 @@
 
 def _on_kept_end(state: State, now: float, message: ClaimKept) -> list[Effect]:
     wait = _find_wait(state, message.waiter, message.holder)
-    kept_end = end_told(message)
+    kept_end = end_from_message(message)
     if wait is None or kept_end is None:
         return []
     return _finish_with_end(state, now, state.requests[wait.request_id], kept_end)
@@ -262,7 +267,7 @@
         return []
     if state.claims.ledger.offset < message.offset:
         # The claim may be withdrawn in records that this instance has not read yet.
-        return read_on(state, now)
+        return read_claims_stream(state, now)
     wait.lost_holder = message.holder
     state.claims.keys_to_evaluate.add(wait.key)
     return []
@@ -298,7 +303,7 @@
         effects += _apply_record(state, now, LogRecord(event.first_offset, encode(batch)))
     elif batch is not None:
         # Its meaning depends on earlier records of other instances.
-        effects += read_on(state, now)
+        effects += read_claims_stream(state, now)
     # Pending decisions go first, as they may leave less to write.
     return effects if state.claims.keys_to_evaluate else effects + flush(state, now)
 
@@ -329,7 +334,7 @@
         if record.offset == claims.ledger.offset:
             effects += _apply_record(state, now, record)
     if claims.ledger.offset < event.end_offset:
-        effects += read_on(state, now)
+        effects += read_claims_stream(state, now)
     if claims.read_failed:
         # The log responds again, so an append need not wait for its retry time.
         claims.outbox.retry_at = min(claims.outbox.retry_at, now)
@@ -346,7 +351,7 @@
     was_whole = claims.ledger.has_all_claims
     folded = fold(claims.ledger, state.options, record.offset, record.value)
     claims.keys_to_evaluate |= folded.touched_keys
-    note_folded(state, now, record.offset, folded)
+    apply_folded_record(state, now, record.offset, folded)
     if claims.ledger.has_all_claims and not was_whole:
         claims.keys_to_evaluate |= set(claims.waiting)
     return _record_own_batch(state, folded) + _report_bad_record(folded, record)
@@ -357,7 +362,7 @@
     batch = folded.batch
     if batch is None or batch.writer.incarnation != state.me.incarnation:
         return []
-    note_read_back(state.claims.outbox, batch, valid=folded.is_valid)
+    remove_read_back(state.claims.outbox, batch, valid=folded.is_valid)
     if folded.is_valid:
         state.claims.withdrawing.difference_update(each.request_id for each in batch.withdrawn)
     state.claims.keys_to_evaluate.update(claim.key for claim in batch.claims)
@@ -382,7 +387,7 @@
     claims.outbox.acknowledged_appends.clear()
     claims.keys_to_evaluate |= set(claims.waiting)
     fields = {"stream": CLAIMS_STREAM, "oldest": event.oldest_offset}
-    return [Log("claims_gap", fields), *read_on(state, now)]
+    return [Log("claims_gap", fields), *read_claims_stream(state, now)]
 
 
 def on_read_failed(state: State, now: float, event: LogFailed) -> list[Effect]:
@@ -397,7 +402,7 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Give up expired requests; ask, read and write what is due."""
-    note_tick(state.claims.outbox, state.options)
+    count_append_time(state.claims.outbox, state.options)
     effects: list[Effect] = []
     for wait in list(state.claims.waits.values()):
         req = state.requests[wait.request_id]
@@ -407,8 +412,8 @@
             # Without a holder, the log may have become slow meanwhile.
             state.claims.keys_to_evaluate.add(wait.key)
     if now >= state.claims.next_read_at:
-        effects += read_on(state, now)
-    effects += give_up_late(state, now)
+        effects += read_claims_stream(state, now)
+    effects += fail_overdue_append(state, now)
     return effects + flush(state, now)
 
 
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -15,7 +15,7 @@
 from turmericweir_core.base.ids import RequestId, ServerName
 from turmericweir_core.base.reasons import MESSAGES, Reason
 from turmericweir_core.base.request import Attempt, CancelReason, Request, RequestPhase
-from turmericweir_core.claims.claim_end import follows_holder, note_finished
+from turmericweir_core.claims.claim_end import note_finished, waits_for_holder
 from turmericweir_core.limits import limit
 from turmericweir_core.messages.effects import (
     Count,
@@ -53,7 +53,7 @@
     state.requests[req.request_id] = req
     refusal = instance_refusal.reason_to_refuse(state, now, req)
     if refusal is not None:
-        retry_after_s = instance_refusal.come_back_s(state, now, refusal)
+        retry_after_s = instance_refusal.refusal_retry_after_s(state, now, refusal)
         return finish(state, now, req, Outcome.NOT_RUN, refusal, retry_after_s=retry_after_s)
     if req.kind is ServiceKind.MODEL:
         req.predicted_tokens = predict_tokens(state.predictor, state.options, req)
@@ -73,7 +73,7 @@
 
 def _refuse_barred(state: State, now: float, req: Request) -> list[Effect]:
     """Refuse a request that crashes servers, or whose customer or team is over a limit."""
-    retry_after_s = quarantine.refused_for(state, now, req.fingerprint)
+    retry_after_s = quarantine.refusal_remaining_s(state, now, req.fingerprint)
     if retry_after_s is not None:
         # Another request with the same content has run: `not_run` would invite a retry.
         return finish(
@@ -119,8 +119,8 @@
 def admit(state: State, now: float, req: Request) -> list[Effect]:
     """Queue a request that passed every check, and dispatch."""
     req.phase = RequestPhase.WAITING
-    if isolated_runs.must_wait(state, now, req):
-        isolated_runs.hold(state, req)
+    if isolated_runs.must_wait_outside_queue(state, now, req):
+        isolated_runs.hold_suspect(state, req)
         return []
     admission.record_admitted(state, now, req, pool_name(state, req.target))
     wait_for_server(state, req)
@@ -138,7 +138,7 @@
     req.caller_left = True
     if req.attempt is None:
         queue_state.remove(state.queues, req)
-        outcome = Outcome.UNKNOWN if follows_holder(state, req) else unanswered_outcome(req)
+        outcome = Outcome.UNKNOWN if waits_for_holder(state, req) else unanswered_outcome(req)
         return finish(state, now, req, outcome, Reason.CALLER_LEFT)
     if not req.repeatable and req.kind is ServiceKind.PLAIN:
         # It cannot be undone, and its account is useful to callers that ask for it later.
@@ -197,7 +197,7 @@
 
 def _finish_unproven(state: State, now: float) -> list[Effect]:
     """End waiting requests whose API key may have been revoked meanwhile."""
-    if document.proof_age(state, now) <= state.options.key_proof_s:
+    if document.proof_age_s(state, now) <= state.options.key_proof_s:
         return []
     effects: list[Effect] = []
     for request_id in queue_state.waiting_ids(state.queues):
@@ -205,7 +205,7 @@
         if req.keyed:
             queue_state.remove(state.queues, req)
             reason = Reason.KEY_UNPROVEN
-            pause_s = instance_refusal.come_back_s(state, now, reason)
+            pause_s = instance_refusal.refusal_retry_after_s(state, now, reason)
             effects += finish(
                 state, now, req, unanswered_outcome(req), reason, retry_after_s=pause_s
             )
@@ -221,7 +221,9 @@
     if req.end_by is not None and now >= req.end_by:
         # The operator's limit also ends answers that have begun.
         return cancel(req, CancelReason.DEADLINE)
-    if attempt.cancelled is not None or not lost_connections.is_doubtful(state, now, req, attempt):
+    if attempt.cancelled is not None or not lost_connections.is_suspected_lost(
+        state, now, req, attempt
+    ):
         return []
     req.had_unresponsive_attempt = True
     effects: list[Effect] = [Count(f"silence.doubted.{attempt.server}")]
@@ -258,8 +260,8 @@
     """Create a request's account and remove the request."""
     req.phase = RequestPhase.DONE
     state.requests.pop(RequestId(req.request_id), None)
-    isolated_runs.let_go(state, req.request_id)
-    limit.settle(state, now, req, outcome)
+    isolated_runs.remove_suspect(state, req.request_id)
+    limit.settle_charge(state, now, req, outcome)
     if outcome is Outcome.COMPLETED:
         quarantine.note_cleared(state, now, req.fingerprint)
     account = Account(
--- a/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
@@ -25,17 +25,24 @@
 from turmericweir_core.state import queue_state
 from turmericweir_core.state.state import State
 from turmericweir_core.trust import isolated_runs, quarantine
-from turmericweir_core.trust.isolated_runs import Decision, GiveUp, Refuse, Release, RunAlone, Send
+from turmericweir_core.trust.isolated_runs import (
+    Decision,
+    EndAtDeadline,
+    MoveToQueue,
+    RefuseQuarantined,
+    SendTrialMessage,
+    StartIsolatedRun,
+)
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Issue the verdicts that are due and move the suspects on."""
     effects = quarantine.on_tick(state, now)
-    effects += isolated_runs.review_running(state, now)
+    effects += isolated_runs.review_isolated_runs(state, now)
     if state.quarantine.needs_check:
         state.quarantine.needs_check = False
         effects += _review_requests(state, now)
-    return effects + _apply_decisions(state, now, isolated_runs.step(state, now))
+    return effects + _apply_decisions(state, now, isolated_runs.decide_on_suspects(state, now))
 
 
 def on_message(
@@ -47,9 +54,9 @@
     """Process a message of another instance."""
     match message:
         case CrashNews():
-            return quarantine.on_news(state, now, message)
+            return quarantine.on_crash_update(state, now, message)
         case CrashesAsk():
-            return quarantine.on_asked(state, now, sender, message)
+            return quarantine.on_crash_records_request(state, now, sender, message)
         case TrialAsk():
             return isolated_runs.on_ask(state, now, sender, message)
         case TrialAnswer():
@@ -68,12 +75,12 @@
     effects: list[Effect] = []
     for req in list(state.requests.values()):
         if req.attempt is not None:
-            if quarantine.refused_for(state, now, req.fingerprint) is not None:
+            if quarantine.refusal_remaining_s(state, now, req.fingerprint) is not None:
                 # Prevents a crash of this server and everything else that runs there.
                 effects += dispatch.cancel(req, CancelReason.QUARANTINED)
         elif req.phase is RequestPhase.WAITING and _is_new_suspect(state, req):
             queue_state.remove(state.queues, req)
-            isolated_runs.hold(state, req)
+            isolated_runs.hold_suspect(state, req)
     return effects
 
 
@@ -95,20 +102,20 @@
 def _apply_decision(state: State, now: float, decision: Decision) -> list[Effect]:
     """Carry out one decision."""
     match decision:
-        case RunAlone(req, server, _):
+        case StartIsolatedRun(req, server, _):
             effects = dispatch.start_attempt(state, now, req, server)
             if req.attempt is not None:
                 isolated_runs.note_started(state, now, decision, req.attempt)
             return [Count("quarantine.trial"), *effects]
-        case Release(req):
+        case MoveToQueue(req):
             dispatch.wait_for_server(state, req, front=True)
             return dispatch.dispatch(state, now, req.target)
-        case Refuse(req):
+        case RefuseQuarantined(req):
             return lifecycle.finish(state, now, req, Outcome.FAILED, Reason.QUARANTINED)
-        case GiveUp(req):
+        case EndAtDeadline(req):
             outcome = lifecycle.unanswered_outcome(req)
             return lifecycle.finish(state, now, req, outcome, Reason.DEADLINE)
-        case Send(effect):
+        case SendTrialMessage(effect):
             return [effect]
         case unreachable:
             assert_never(unreachable)
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_dry_run.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_dry_run.py
@@ -18,7 +18,7 @@
 
 
 # Any: operators may submit any values, and `apply` validates them.
-def try_changes(state: SettingsState, values: Mapping[str, Any]) -> list[Verdict]:
+def dry_run_changes(state: SettingsState, values: Mapping[str, Any]) -> list[Verdict]:
     """Apply values by path in order, None for a deletion, and return the verdict on each.
 
     A later value may refer to an earlier one. The operator's authority is not checked.
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
@@ -20,7 +20,7 @@
 )
 from turmericweir_core.messages.peer_messages import Heartbeat, SettingsAsk, SettingsSend
 from turmericweir_core.settings import settings_changes, settings_reducer
-from turmericweir_core.settings.settings_reach import CentreReach, in_force
+from turmericweir_core.settings.settings_reach import CentreReach, reach_of_centres
 from turmericweir_core.state import server_table
 from turmericweir_core.state.settings_sync import PeerSettings
 from turmericweir_core.state.state import State
@@ -61,7 +61,7 @@
     sync = state.settings
     match message:
         case SettingsAsk():
-            peer = membership.member(state, sender)
+            peer = membership.find_member(state, sender)
             if peer is None:
                 return []
             address = peer.peer_address
@@ -91,7 +91,7 @@
 
     For another data centre only the lowest offset of its live instances is known, from its relays.
     """
-    centres = membership.data_centres(state, now)
+    centres = membership.data_centre_views(state, now)
     lowest = {centre.name: centre.settings_offset for centre in centres if centre.reachable}
     return [
         PeerSettings(
@@ -104,13 +104,13 @@
     ]
 
 
-def where_in_force(state: State, now: float, offset: int) -> list[CentreReach]:
+def reach_by_data_centre(state: State, now: float, offset: int) -> list[CentreReach]:
     """Return for each data centre whether all settings before an offset are in force there."""
     members = state.members.by_name.values()
-    return in_force(
+    return reach_of_centres(
         now,
         offset,
-        centres=membership.data_centres(state, now),
+        centres=membership.data_centre_views(state, now),
         not_live=[each for each in members if not membership.is_live(state, now, each)],
         # Includes data centres that are known only by their servers.
         named={server.entry.data_centre for server in state.servers.by_name.values()},
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_reach.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_reach.py
@@ -51,7 +51,7 @@
     silent: tuple[UnresponsiveInstance, ...]
 
 
-def in_force(
+def reach_of_centres(
     now: float,
     offset: int,
     centres: Iterable[CentreView],
--- a/packages/turmericweir-core/turmericweir_core/state/membership_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/membership_state.py
@@ -114,7 +114,7 @@
     started_at: float | None = None
     # Time of the last tick. A gap before the next tick means that this process was paused.
     last_tick_at: float | None = None
-    # Heartbeats before this time are no proof of liveness; see `membership_gossip.note_time`.
+    # Heartbeats before this time are no proof of liveness; see `membership_gossip.detect_pause`.
     trust_after: float = NEVER
     # Number of dropped messages, by reason.
     noise: dict[str, int] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/store/document.py
+++ b/packages/turmericweir-core/turmericweir_core/store/document.py
@@ -54,18 +54,18 @@
 _PENDING_REQUESTS_MAX: Final = 16
 
 
-def proof_age(state: State, now: float) -> float:
+def proof_age_s(state: State, now: float) -> float:
     """Return the age in seconds of the proof that the settings here are the newest."""
     return 0.0 if state.document is None else now - state.document.proof_at
 
 
-def may_deny(state: State, now: float) -> bool:
+def can_reject_by_settings(state: State, now: float) -> bool:
     """Return whether the settings are fresh enough to reject a caller because of them.
 
     Prevents a partitioned instance from rejecting requests for a new route or key, which callers
     would not retry.
     """
-    return proof_age(state, now) <= state.options.store.deny_proof_max_age_s
+    return proof_age_s(state, now) <= state.options.store.deny_proof_max_age_s
 
 
 def can_serve_key(state: State, now: float, req: Request) -> bool:
@@ -74,7 +74,7 @@
     Prevents a partitioned instance from serving a revoked key. The bound is shorter than the one
     promised to operators by the time that a request takes to reach its server.
     """
-    return not req.keyed or proof_age(state, now) <= state.options.key_proof_s
+    return not req.keyed or proof_age_s(state, now) <= state.options.key_proof_s
 
 
 # --- the store -------------------------------------------------------------------------------
@@ -209,7 +209,7 @@
         or now - registry.updated_at > state.options.store.servers_read_s + _ANNOUNCER_EXTRA_S
     ):
         return None
-    return membership.member(state, registry.updated_by)
+    return membership.find_member(state, registry.updated_by)
 
 
 def _request_proof(state: State, now: float, peer: Member) -> list[Effect]:
@@ -224,7 +224,7 @@
 def on_ask(state: State, now: float, sender: InstanceName, request: DocumentAsk) -> list[Effect]:
     """Send the version and proof to a peer; send the document too if the peer's is older."""
     document = _document(state)
-    peer = membership.member(state, sender)
+    peer = membership.find_member(state, sender)
     if peer is None or document.version == 0:
         return []
     effects: list[Effect] = []
@@ -249,7 +249,7 @@
     """Record a peer's proof of the version in force here."""
     document = _document(state)
     if message.request_number == _NO_REQUEST:
-        peer = membership.member(state, sender)
+        peer = membership.find_member(state, sender)
         return _request_proof(state, now, peer) if peer is not None else []
     asked_at = document.queries_sent_at.pop(message.request_number, None)
     if asked_at is None or message.version > document.version:
--- a/packages/turmericweir-core/turmericweir_core/store/instance_refusal.py
+++ b/packages/turmericweir-core/turmericweir_core/store/instance_refusal.py
@@ -55,7 +55,7 @@
     return req.end_by > stopping_since + options.stop_limit_s - _STOP_MARGIN_S
 
 
-def come_back_s(state: State, now: float, reason: Reason) -> float:
+def refusal_retry_after_s(state: State, now: float, reason: Reason) -> float:
     """Return the retry delay of a refused caller, in seconds."""
     match reason:
         case Reason.STOPPING:
--- a/packages/turmericweir-core/turmericweir_core/store/registry.py
+++ b/packages/turmericweir-core/turmericweir_core/store/registry.py
@@ -70,7 +70,7 @@
 
 def _send_changes(state: State, now: float, rows: list[RegistryRow]) -> list[Effect]:
     """Send changes to the instances that do not read the store."""
-    if not store_duty.is_reader(state, now):
+    if not store_duty.is_store_reader(state, now):
         return []
     servers_hash = server_list.hash_full_entries(state.servers.listed.values())
     # Receivers that lack an entry detect it by the hash and request the whole list.
@@ -90,7 +90,9 @@
     return [SendDatagram(peer.name, peer.peer_address, relayed) for peer in peers]
 
 
-def on_news(state: State, now: float, sender: InstanceName, update: RegistryNews) -> list[Effect]:
+def on_registry_update(
+    state: State, now: float, sender: InstanceName, update: RegistryNews
+) -> list[Effect]:
     """Apply a reader's update, or request the whole list if the hash does not match."""
     state.registry.updated_by, state.registry.updated_at = sender, now
     store_duty.note_reader(state, now, InstanceName(update.reader or sender))
@@ -109,7 +111,7 @@
         state.registry.read_at = now
         state.registry.missing_until.clear()
         return effects
-    peer = membership.member(state, sender)
+    peer = membership.find_member(state, sender)
     if peer is None or now < state.members.next_servers_request_at:
         return effects
     state.members.next_servers_request_at = now + _LIST_REQUEST_INTERVAL_S
@@ -189,7 +191,7 @@
     server_table.rebuild_table(table, state.config)
     for name, entry in listed.items():
         if name in before and before[name].incarnation != entry.incarnation:
-            attempt_accounting.judge_afresh(state, now, name)
+            attempt_accounting.reset_server_state(state, now, name)
     table.listed_hash = server_list.hash_entries(state)
 
 
--- a/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
@@ -34,7 +34,7 @@
 _HOME_KEY: Final = "trials"
 
 
-class RunAlone(Struct, frozen=True):
+class StartIsolatedRun(Struct, frozen=True):
     """Start a suspect, which is no longer held, on this server."""
 
     req: Request
@@ -43,43 +43,45 @@
     home: InstanceName
 
 
-class Release(Struct, frozen=True):
+class MoveToQueue(Struct, frozen=True):
     """Move a request that is no longer a suspect to its queue."""
 
     req: Request
 
 
-class Refuse(Struct, frozen=True):
+class RefuseQuarantined(Struct, frozen=True):
     """End a request whose fingerprint is in quarantine."""
 
     req: Request
 
 
-class GiveUp(Struct, frozen=True):
+class EndAtDeadline(Struct, frozen=True):
     """End a request whose deadline has passed while it waited for an isolated run."""
 
     req: Request
 
 
-class Send(Struct, frozen=True):
+class SendTrialMessage(Struct, frozen=True):
     """Send a message of this module."""
 
     effect: Effect
 
 
-Decision: TypeAlias = RunAlone | Release | Refuse | GiveUp | Send
+Decision: TypeAlias = (
+    StartIsolatedRun | MoveToQueue | RefuseQuarantined | EndAtDeadline | SendTrialMessage
+)
 
 
 # --- suspects that wait ----------------------------------------------------------------------
 
 
-def must_wait(state: State, now: float, req: Request) -> bool:
+def must_wait_outside_queue(state: State, now: float, req: Request) -> bool:
     """Return whether a request is or may become a suspect and must wait outside its queue."""
     is_suspect = quarantine.is_suspect(state, req.fingerprint)
     return is_suspect or quarantine.may_have_crashed(state, now, req)
 
 
-def hold(state: State, req: Request) -> None:
+def hold_suspect(state: State, req: Request) -> None:
     """Hold a request outside the queues."""
     state.quarantine.waiting_suspects[req.request_id] = WaitingSuspect(req)
 
@@ -99,12 +101,12 @@
     return request_id in state.quarantine.waiting_suspects
 
 
-def let_go(state: State, request_id: RequestId) -> None:
+def remove_suspect(state: State, request_id: RequestId) -> None:
     """Remove a request from the held ones."""
     state.quarantine.waiting_suspects.pop(request_id, None)
 
 
-def step(state: State, now: float) -> list[Decision]:
+def decide_on_suspects(state: State, now: float) -> list[Decision]:
     """Return the decisions on all held suspects, the most urgent first."""
     suspects = state.quarantine.waiting_suspects
     if not suspects:
@@ -121,7 +123,7 @@
     req = suspect.req
     decision = _decide_without_run(state, now, req)
     if decision is not None:
-        let_go(state, req.request_id)
+        remove_suspect(state, req.request_id)
         return [decision]
     if quarantine.may_have_crashed(state, now, req):
         # Waits also if it is a suspect already, as this may be its second crash, and then for the
@@ -140,13 +142,13 @@
 
 
 def _decide_without_run(state: State, now: float, req: Request) -> Decision | None:
-    if quarantine.refused_for(state, now, req.fingerprint) is not None:
-        return Refuse(req)
+    if quarantine.refusal_remaining_s(state, now, req.fingerprint) is not None:
+        return RefuseQuarantined(req)
     if now >= req.deadline and req.first_token_at is None:
-        return GiveUp(req)
+        return EndAtDeadline(req)
     if quarantine.is_suspect(state, req.fingerprint):
         return None
-    return None if quarantine.may_have_crashed(state, now, req) else Release(req)
+    return None if quarantine.may_have_crashed(state, now, req) else MoveToQueue(req)
 
 
 def _await_answer(
@@ -201,7 +203,7 @@
     suspect.asked_server = name
     suspect.asked_at = now
     ask = TrialAsk(name, fingerprint)
-    return [Send(SendDatagram(home.name, home.peer_address, ask))]
+    return [SendTrialMessage(SendDatagram(home.name, home.peer_address, ask))]
 
 
 def _start_run(
@@ -210,8 +212,8 @@
     server = state.servers.by_name.get(name)
     if server is None or not can_take_work(server, now):
         return _end_run(state, now, home, TrialEnd(name, suspect.req.fingerprint))
-    let_go(state, suspect.req.request_id)
-    return [RunAlone(suspect.req, server, home)]
+    remove_suspect(state, suspect.req.request_id)
+    return [StartIsolatedRun(suspect.req, server, home)]
 
 
 def _record_denial(state: State, now: float, suspect: WaitingSuspect, name: ServerName) -> None:
@@ -222,7 +224,7 @@
 # --- suspects that run -----------------------------------------------------------------------
 
 
-def note_started(state: State, now: float, run: RunAlone, attempt: Attempt) -> None:
+def note_started(state: State, now: float, run: StartIsolatedRun, attempt: Attempt) -> None:
     """Record the isolated run of a suspect that was started."""
     state.quarantine.isolated_runs[attempt.attempt_id] = IsolatedRun(
         request_id=run.req.request_id,
@@ -242,10 +244,10 @@
         return []
     end = TrialEnd(run.server, run.fingerprint, broken)
     decisions = _end_run(state, now, run.home, end)
-    return [each.effect for each in decisions if isinstance(each, Send)]
+    return [each.effect for each in decisions if isinstance(each, SendTrialMessage)]
 
 
-def review_running(state: State, now: float) -> list[Effect]:
+def review_isolated_runs(state: State, now: float) -> list[Effect]:
     """End the isolated runs that have lasted long enough, and renew the others."""
     effects: list[Effect] = []
     for attempt_id, run in list(state.quarantine.isolated_runs.items()):
@@ -282,11 +284,11 @@
     if home == state.me.name:
         on_end(state, now, home, end)
         return []
-    return [Send(each) for each in _send_to_home(state, home, end)]
+    return [SendTrialMessage(each) for each in _send_to_home(state, home, end)]
 
 
 def _send_to_home(state: State, home: InstanceName, message: TrialAsk | TrialEnd) -> list[Effect]:
-    peer = membership.member(state, home) if home else None
+    peer = membership.find_member(state, home) if home else None
     return [] if peer is None else [SendDatagram(home, peer.peer_address, message)]
 
 
@@ -305,7 +307,7 @@
 
     Prevents a copy of a suspect from starting while the verdict on a run that broke is pending.
     """
-    if quarantine.refused_for(state, now, fingerprint) is not None:
+    if quarantine.refusal_remaining_s(state, now, fingerprint) is not None:
         return False
     if quarantine.awaits_verdict(state, fingerprint):
         return False
@@ -329,13 +331,13 @@
 
 
 def _is_live(state: State, now: float, name: InstanceName) -> bool:
-    member = membership.member(state, name)
+    member = membership.find_member(state, name)
     return member is not None and membership.is_live(state, now, member)
 
 
 def on_ask(state: State, now: float, sender: InstanceName, ask: TrialAsk) -> list[Effect]:
     """Answer a request for an isolated run on a server."""
-    peer = membership.member(state, sender)
+    peer = membership.find_member(state, sender)
     if peer is None:
         return []
     server = ServerName(ask.server)
--- a/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
@@ -26,14 +26,14 @@
 _MS_PER_S: Final = 1000.0
 
 
-def note_begun(state: State, now: float, attempt: Attempt) -> None:
+def record_first_wait(state: State, now: float, attempt: Attempt) -> None:
     """Record the wait for the first token or for a whole plain answer."""
     waits = state.silence.longest_first_wait_s
     decayed = waits.get(attempt.server, 0.0) * state.options.first_wait_decay
     waits[attempt.server] = max(decayed, now - attempt.started_at)
 
 
-def is_doubtful(state: State, now: float, req: Request, attempt: Attempt) -> bool:
+def is_suspected_lost(state: State, now: float, req: Request, attempt: Attempt) -> bool:
     """Return whether the connection of an attempt is suspected to be lost, and take its retry.
 
     `liveness_evidence` detects most lost connections early; the limits here are for all others.
--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -62,7 +62,7 @@
 # --- questions of other reducers -------------------------------------------------------------
 
 
-def refused_for(state: State, now: float, fingerprint: str) -> float | None:
+def refusal_remaining_s(state: State, now: float, fingerprint: str) -> float | None:
     """Return the remaining time for which a fingerprint is refused, or None."""
     until = state.quarantine.refused.get(fingerprint)
     return None if until is None or now >= until else until - now
@@ -89,7 +89,9 @@
 # --- evidence --------------------------------------------------------------------------------
 
 
-def note_broken(state: State, now: float, req: Request, attempt: Attempt, alive: bool) -> None:
+def record_broken_connection(
+    state: State, now: float, req: Request, attempt: Attempt, alive: bool
+) -> None:
     """Record a connection that broke after the request was sent."""
     if not req.fingerprint or _has_streamed_long(state, attempt):
         return
@@ -110,7 +112,9 @@
     return first is not None and last is not None and last - first >= state.options.harmless_s
 
 
-def note_silent(state: State, now: float, req: Request, attempt: Attempt) -> None:
+def record_unresponsive_connection(
+    state: State, now: float, req: Request, attempt: Attempt
+) -> None:
     """Record a connection that was given up as unresponsive.
 
     The next report shows whether the server restarted. Prevents a crash from being missed if the
@@ -348,18 +352,20 @@
 # --- messages --------------------------------------------------------------------------------
 
 
-def on_asked(state: State, now: float, sender: InstanceName, ask: CrashesAsk) -> list[Effect]:
+def on_crash_records_request(
+    state: State, now: float, sender: InstanceName, ask: CrashesAsk
+) -> list[Effect]:
     """Send all crash records to a peer whose records differ."""
     if ask.crashes_hash == _crashes_hash(state) or not state.quarantine.crashes:
         return []
-    peer = membership.member(state, sender)
+    peer = membership.find_member(state, sender)
     if peer is None:
         return []
     update = CrashNews(_records(state, now, state.quarantine.crashes))
     return [SendPeer(sender, peer.peer_address, update)]
 
 
-def on_news(state: State, now: float, news: CrashNews) -> list[Effect]:
+def on_crash_update(state: State, now: float, news: CrashNews) -> list[Effect]:
     """Merge the crash records of another instance, without sending them on."""
     for record in news.crashes:
         if record.age_s > state.options.quarantine_s:
--- a/packages/turmericweir-core/turmericweir_core/trust/retry.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/retry.py
@@ -47,10 +47,10 @@
 
 def may_retry(state: State, now: float, req: Request) -> bool:
     """Return whether the budget allows a retry now, without taking it."""
-    return left(state, now, req.target) >= 1.0
+    return retries_left(state, now, req.target) >= 1.0
 
 
-def left(state: State, now: float, target: Target) -> float:
+def retries_left(state: State, now: float, target: Target) -> float:
     """Return the number of retries that are left for a target now."""
     budget, options = state.retries, state.options
     if not options.retry_window_s:
--- a/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
@@ -223,7 +223,7 @@
     def _finish(self, state: State, req: Request, tokens: int) -> None:
         req.delivered = tokens
         self.tallies[req.customer].tokens.append((self.now, tokens))
-        limit.settle(state, self.now, req, Outcome.COMPLETED)
+        limit.settle_charge(state, self.now, req, Outcome.COMPLETED)
 
     def offer(
         self,
--- a/packages/turmericweir/turmericweir/callers/forward_app.py
+++ b/packages/turmericweir/turmericweir/callers/forward_app.py
@@ -109,7 +109,7 @@
         try:
             parsed = self._wire.read(state.config, state.rng, head, body, request_id)
         except RefusedError as exc:
-            if exc.reason in _SETTINGS_DENIALS and not document.may_deny(
+            if exc.reason in _SETTINGS_DENIALS and not document.can_reject_by_settings(
                 state, anyio.current_time()
             ):
                 raise RefusedError(Reason.SETTINGS_IN_DOUBT) from exc
--- a/packages/turmericweir/turmericweir/entry_daemon.py
+++ b/packages/turmericweir/turmericweir/entry_daemon.py
@@ -54,7 +54,7 @@
 from turmericweir_core.state.duty_state import DutySettings, DutyState
 from turmericweir_core.state.state import Identity, State
 from turmericweir_core.state.usage_meter import UsageMeter
-from turmericweir_core.store.document import proof_age
+from turmericweir_core.store.document import proof_age_s
 
 if TYPE_CHECKING:
     from uvicorn._types import ASGI3Application
@@ -362,7 +362,7 @@
     state = node.state
     if not node.ready or state.servers.listed_at is None:
         return False
-    return proof_age(state, anyio.current_time()) <= state.options.key_proof_s
+    return proof_age_s(state, anyio.current_time()) <= state.options.key_proof_s
 
 
 async def _serve(
--- a/packages/turmericweir/turmericweir/operations/entry_admin.py
+++ b/packages/turmericweir/turmericweir/operations/entry_admin.py
@@ -20,7 +20,7 @@
 from turmericweir.process.node import Node
 from turmericweir_core.membership import membership, store_duty
 from turmericweir_core.membership.instance_versions import instance_versions
-from turmericweir_core.settings.settings_reach import in_force
+from turmericweir_core.settings.settings_reach import reach_of_centres
 from turmericweir_core.store import document
 from turmericweir_core.trust import retry
 
@@ -108,12 +108,14 @@
         assert isinstance(dumped, dict)
         derived = {
             "settings_version": state.settings_offset(),
-            "key_proof_age_s": document.proof_age(state, now),
+            "key_proof_age_s": document.proof_age_s(state, now),
             "servers_read_age_s": now - state.registry.read_at,
-            "reads_the_store": store_duty.is_reader(state, now),
-            "store_readers": [instance.name for instance in store_duty.readers(state, now)],
+            "reads_the_store": store_duty.is_store_reader(state, now),
+            "store_readers": [instance.name for instance in store_duty.store_readers(state, now)],
             "live_instances": [instance.name for instance in membership.live_instances(state, now)],
-            "retries_left": {name: retry.left(state, now, name) for name in state.queues.targets},
+            "retries_left": {
+                name: retry.retries_left(state, now, name) for name in state.queues.targets
+            },
         }
         views = {name: dump(view()) for name, view in self._views.items()}
         return {**dumped, "beliefs": dump(derived), "process": views}
@@ -122,10 +124,10 @@
         state = self._node.state
         now = anyio.current_time()
         offset = request.number("offset", state.settings_offset(), float("inf"))
-        centres = in_force(
+        centres = reach_of_centres(
             now,
             int(offset),
-            centres=membership.data_centres(state, now),
+            centres=membership.data_centre_views(state, now),
             not_live=[
                 item
                 for item in state.members.by_name.values()
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -48,8 +48,8 @@
     VerdictKind,
     verdict_json,
 )
-from turmericweir_core.settings.settings_dry_run import try_changes
-from turmericweir_core.settings.settings_flow import where_in_force
+from turmericweir_core.settings.settings_dry_run import dry_run_changes
+from turmericweir_core.settings.settings_flow import reach_by_data_centre
 from turmericweir_core.state.settings_state import state_digest
 from turmericweir_core.state.settings_sync import SettingsSync
 
@@ -187,7 +187,7 @@
 
     async def _in_force(self, request: OperatorRequest) -> None:
         offset = int(request.number("offset", self._sync.settings.offset, OFFSET_MAX))
-        centres = where_in_force(self._node.state, anyio.current_time(), offset)
+        centres = reach_by_data_centre(self._node.state, anyio.current_time(), offset)
         value = {"offset": offset, "data_centres": [asdict(centre) for centre in centres]}
         await request.answer(HTTPStatus.OK, value)
 
@@ -208,7 +208,7 @@
     async def _validate(self, request: OperatorRequest) -> None:
         body = _read_body(DryRunBody, await request.json())
         verdicts = [
-            verdict_json(verdict) for verdict in try_changes(self._sync.settings, body.settings)
+            verdict_json(verdict) for verdict in dry_run_changes(self._sync.settings, body.settings)
         ]
         is_valid = all(verdict["verdict"] == VerdictKind.ACCEPTED.value for verdict in verdicts)
         result_keys = ("verdict", "path", "problems")
--- a/packages/turmericweir/turmericweir/platform_client.py
+++ b/packages/turmericweir/turmericweir/platform_client.py
@@ -20,7 +20,7 @@
 from turmericweir.servers.backend_pool import BackendPool
 from turmericweir_core.base.config import ServerEntry
 from turmericweir_core.base.ids import InstanceName, ServerName
-from turmericweir_core.membership.membership import list_period
+from turmericweir_core.membership.membership import list_period_s
 from turmericweir_core.messages.effects import AppendRecords, ReadLog, RequestLoadPermit
 from turmericweir_core.messages.events import (
     AppendDone,
@@ -287,7 +287,7 @@
                 await backoff.wait()
             else:
                 backoff.reset()
-                await anyio.sleep(list_period(self._node.state))
+                await anyio.sleep(list_period_s(self._node.state))
 
     async def _read_list(self) -> ListRead:
         answer = await self._call(b"GET", "/instances", timeout_s=_CALL_TIMEOUT_S)
--- a/tests/core/credits/test_credit.py
+++ b/tests/core/credits/test_credit.py
@@ -144,7 +144,7 @@
         for running in list(world.running.values()):
             world.end(running)
     assert world.messages == before
-    assert world.told["counter"].count(Outcome.COMPLETED) == 200
+    assert world.accounts_by_class["counter"].count(Outcome.COMPLETED) == 200
 
 
 def test_renewals_are_few() -> None:
@@ -205,7 +205,7 @@
         holdings = world.states[dispatcher].credits.granted_by_server[S0].holdings
         idle_holders = [name for name, each in holdings.items() if each.total()]
         oldest = min(idle_holders, key=lambda name: holdings[name].received_at)
-        world.lose = lambda sender, receiver: receiver == oldest
+        world.is_message_lost = lambda sender, receiver: receiver == oldest
     asker = next(n for n in world.states if not usable_credit(world, world.states[n], S0))
     world.arrive("fitting", instance=index_of(world, asker), name="next")
     assert ("next" in world.running_ids()) is not lost
@@ -248,7 +248,7 @@
     call_from_each(world, 2)
     # This takes 33 s, with one renewal and its answer per instance every 6 s at most.
     assert call_from_each(world, 10) <= 2 * 11 * 6
-    assert world.told["fitting"].count(Outcome.COMPLETED) == 12 * 11
+    assert world.accounts_by_class["fitting"].count(Outcome.COMPLETED) == 12 * 11
 
 
 def test_instances_stay_when_all_servers_are_full() -> None:
@@ -276,7 +276,7 @@
         return world.messages - before > 1000
 
     # Stops an endless exchange of messages.
-    world.lose = is_endless
+    world.is_message_lost = is_endless
     for _ in range(60):
         before = world.messages
         world.arrive("fitting", instance=drawn.randrange(9))
@@ -294,7 +294,7 @@
     dispatcher = agreed_dispatcher(world)
     one, two = (name for name in world.states if name != dispatcher)
     ledger = world.states[dispatcher].credits.granted_by_server.setdefault(S0, CreditLedger())
-    world.keep_late()
+    world.delay_messages()
     for seq in range(1, 16):
         for sender, wanted in ((one, 5), (two, 3)):
             tier = TierDemand(1, 0, wanted) if seq == 1 else TierDemand(1, 1, seq % 2)
@@ -327,7 +327,7 @@
     for _ in range(80):
         world.end(world.oldest()) if world.running else None
         world.advance(0.1)
-    assert world.told["quote"].count(Outcome.COMPLETED) == 6
+    assert world.accounts_by_class["quote"].count(Outcome.COMPLETED) == 6
     resumed = [each for each in world.started if each.request_id == displaced[0]]
     assert [each.resume_from for each in resumed] == [0, 5]
     assert running.attempt_id not in world.running
@@ -355,10 +355,10 @@
     dispatcher = agreed_dispatcher(world)
     other = next(number for number, name in enumerate(world.states) if name != dispatcher)
     world.arrive("quote", instance=other)
-    world.keep_late()
+    world.delay_messages()
     world.arrive("counter", instance=other, name="c")
     assert not world.cancelled
-    for receiver, event in world.take_late():
+    for receiver, event in world.take_delayed_messages():
         world.event(receiver, event)
     assert "c" in world.running_ids()
     assert not world.cancelled
@@ -405,12 +405,12 @@
     dispatcher = agreed_dispatcher(world)
     one, two = (name for name in world.states if name != dispatcher)
     grants: dict[InstanceName, int] = {}
-    world.keep_late()
+    world.delay_messages()
     for sender, tier in ((one, TierDemand(2, 0, 4)), (two, TierDemand(0, 1, 0))):
         world.event(dispatcher, PeerReceived(sender, CreditDemand(S0, 1, 0, 3, [tier])))
         world.now += 0.01
     world.event(dispatcher, Tick())
-    for receiver, event in world.take_late():
+    for receiver, event in world.take_delayed_messages():
         assert isinstance(event, PeerReceived)
         if isinstance(event.message, CreditGrant):
             total = sum(each.slots for each in event.message.tiers)
@@ -434,7 +434,7 @@
     sent = sum(state.credits.demands_sent for state in world.states.values()) - before
     # Answers that dispatchers wait for are exempt from the budget.
     assert sent / 4 <= 1.5 * (options.credit_demands_burst + 30.0 * options.credit_demands_s)
-    assert all(told.count(Outcome.COMPLETED) for told in world.told.values())
+    assert all(told.count(Outcome.COMPLETED) for told in world.accounts_by_class.values())
 
 
 def test_displacement_is_requested_while_the_budget_is_low() -> None:
@@ -486,7 +486,7 @@
     # dispatcher's ledger exceed the slots and the slack.
     world = make_world(instances=4, slots=3)
     rng = Random(seed)
-    world.lose = lambda sender, receiver: rng.random() < loss
+    world.is_message_lost = lambda sender, receiver: rng.random() < loss
     room = world.slots + world.options.slack_slots
     dispatcher = agreed_dispatcher(world)
     for step, class_name, number in steps:
@@ -580,13 +580,13 @@
     world = make_world(instances=4, slots=2)
     names = list(world.states)
     halves = {name: number // 2 for number, name in enumerate(names)}
-    world.lose = lambda sender, receiver: halves[sender] != halves[receiver]
+    world.is_message_lost = lambda sender, receiver: halves[sender] != halves[receiver]
     for name, state in world.states.items():
         for other, member in list(state.members.by_name.items()):
             if halves[name] != halves[other]:
                 del state.members.by_name[other]
                 assert member.data_centre == DATA_CENTRE
-    world.see = lambda one, other: halves[one] == halves[other]
+    world.can_see = lambda one, other: halves[one] == halves[other]
     world.advance(0.5)
     dispatchers = {
         dispatcher_selection.dispatcher_of(state, world.now, state.servers.by_name[S0])
@@ -601,7 +601,7 @@
         if world.running:
             world.end(world.oldest())
         world.advance(0.1)
-    assert world.told["fitting"].count(Outcome.COMPLETED) == 24
+    assert world.accounts_by_class["fitting"].count(Outcome.COMPLETED) == 24
     assert len(world.started) == 24 + len(world.cancelled)
 
 
@@ -611,13 +611,13 @@
     world = make_world(slots=2)
     dispatcher = agreed_dispatcher(world)
     one, two = (name for name in world.states if name != dispatcher)
-    world.keep_late()
+    world.delay_messages()
     world.arrive("quote", instance=index_of(world, one), deadline_s=1e6)
-    demands = world.take_late()
-    world.keep_late()
+    demands = world.take_delayed_messages()
+    world.delay_messages()
     for receiver, event in demands:
         world.event(receiver, event)
-    grants = world.take_late()
+    grants = world.take_delayed_messages()
     assert [receiver for receiver, _ in grants] == [one]
     world.cut.add(one)
     world.advance(world.options.credit_ttl_s + 1.0)
@@ -626,7 +626,7 @@
         world.advance(0.2)
     world.cut.discard(one)
     # Delivered before any newer message.
-    world.keep_late()
+    world.delay_messages()
     for receiver, event in grants:
         world.event(receiver, event)
     assert usable_credit(world, world.states[one], S0) == 0
--- a/tests/core/duties/test_usage.py
+++ b/tests/core/duties/test_usage.py
@@ -161,7 +161,7 @@
     names = network.start(COUNT)
     holder = network.holder() or ""
     state = network.nodes[holder].state
-    usage.on_told(
+    usage.on_counts(
         state,
         network.now,
         InstanceName("stranger"),
@@ -246,7 +246,7 @@
         names = network.start(6)
         with monkeypatch.context() as patched:
             patched.setattr(lease_flow, "free_at", lambda *args: float("-inf"))
-            patched.setattr(lease_flow, "held", _held_for_ever)
+            patched.setattr(lease_flow, "current_lease", _held_for_ever)
             random_faults(network, names, 8)
         violations += network.broken_rules()
     assert violations
--- a/tests/core/engines/test_engine_pools.py
+++ b/tests/core/engines/test_engine_pools.py
@@ -132,11 +132,11 @@
     """Guards against planning engines by estimates that long answers exceed."""
     req = request(world, CONFIRM, 1_400)
     req.expected_tokens = 50
-    engine_pools.note_demand(world.state, world.now, req, servers(world))
+    engine_pools.record_demand(world.state, world.now, req, servers(world))
     (estimated,) = engine_pools.demand_rows(world.state, world.now)
     world.state.pools.own.clear()
     engine_pools.record_generated(world.state, req, 6.4)
-    engine_pools.note_demand(world.state, world.now, req, servers(world))
+    engine_pools.record_demand(world.state, world.now, req, servers(world))
     (learnt,) = engine_pools.demand_rows(world.state, world.now)
     slots = servers(world)[0].slots
     assert learnt.short_prompt_ms_s - estimated.short_prompt_ms_s == pytest.approx(
--- a/tests/core/engines/test_load_relay.py
+++ b/tests/core/engines/test_load_relay.py
@@ -32,7 +32,7 @@
 def send_prompt(network: StoreNetwork, name: str, number: int = 1) -> None:
     """Record a prompt that an instance sends to the engine."""
     state = network.nodes[name].state
-    record = engine_model.book_of(state, ENGINE)
+    record = engine_model.engine_info_of(state, ENGINE)
     attempt = f"{name}.{number}"
     record.prefills[attempt] = Prefill(WORK_MS, 1, 1_000, WORK_MS, network.now, None)  # type: ignore[index]
     state.engines.has_unsent_load = True
@@ -41,14 +41,14 @@
 def finish_prompts(network: StoreNetwork, name: str) -> None:
     """End all prompts of an instance at the engine."""
     state = network.nodes[name].state
-    engine_model.book_of(state, ENGINE).prefills.clear()
+    engine_model.engine_info_of(state, ENGINE).prefills.clear()
     state.engines.has_unsent_load = True
 
 
 def known_request_counts(network: StoreNetwork) -> set[int]:
     """Return the request counts that the running instances have for the engine."""
     return {
-        engine_model.request_count(engine_model.book_of(node.state, ENGINE), network.now)
+        engine_model.request_count(engine_model.engine_info_of(node.state, ENGINE), network.now)
         for node in network.nodes.values()
         if not node.down
     }
@@ -65,13 +65,13 @@
     network.run(12.0)
     for name in names[::7]:
         state = network.nodes[name].state
-        assert {each.name for each in relays.all_tellers(state, network.now)} == set(names[:6])
+        assert {each.name for each in relays.region_relays(state, network.now)} == set(names[:6])
 
 
 def relay_names(network: StoreNetwork) -> list[str]:
     """Return the names of the region's relay instances."""
     state = network.nodes["i000"].state
-    return [each.name for each in relays.all_tellers(state, network.now)]
+    return [each.name for each in relays.region_relays(state, network.now)]
 
 
 def test_all_load_is_known_within_half_a_second(network: StoreNetwork) -> None:
@@ -118,7 +118,7 @@
         relay = network.nodes[name].state.load_updates.plan.own_relay
         assert relay is None or relay.name != frozen
     counts = {
-        engine_model.request_count(engine_model.book_of(node.state, ENGINE), network.now)
+        engine_model.request_count(engine_model.engine_info_of(node.state, ENGINE), network.now)
         for name, node in network.nodes.items()
         if name != frozen
     }
--- a/tests/core/lease_world.py
+++ b/tests/core/lease_world.py
@@ -115,7 +115,7 @@
         return [
             instance
             for instance in self.instances
-            if lease_flow.held(instance.state, self.clock(instance), scope) is not None
+            if lease_flow.current_lease(instance.state, self.clock(instance), scope) is not None
         ]
 
     def check(self) -> None:
@@ -123,7 +123,7 @@
         holders = self.holders()
         assert len(holders) <= 1, [instance.state.me.name for instance in holders]
         for instance in holders:
-            lease = lease_flow.held(instance.state, self.clock(instance), SCOPE)
+            lease = lease_flow.current_lease(instance.state, self.clock(instance), SCOPE)
             if lease is not None and not instance.paused:
                 self.given.append(SentOrder(instance.state.me.name, lease.fence))
 
--- a/tests/core/leases/test_lease.py
+++ b/tests/core/leases/test_lease.py
@@ -32,7 +32,7 @@
 
 
 def fence_of(world: World, instance: Instance) -> int | None:
-    lease = lease_flow.held(instance.state, world.clock(instance), SCOPE)
+    lease = lease_flow.current_lease(instance.state, world.clock(instance), SCOPE)
     return None if lease is None else lease.fence
 
 
@@ -80,7 +80,7 @@
     fence_after = fence_of(world, successor)
     assert fence_after is not None
     assert fence_after > fence_before
-    lease = lease_flow.held(successor.state, world.clock(successor), SCOPE)
+    lease = lease_flow.current_lease(successor.state, world.clock(successor), SCOPE)
     assert lease is not None
     assert not lease.is_taken_over
 
@@ -98,7 +98,7 @@
         world.run(0.1)
         assert world.now < paused_at + 3 * WAIT_S
     assert fence_of(world, holder) is None
-    lease = lease_flow.held(successor.state, world.clock(successor), SCOPE)
+    lease = lease_flow.current_lease(successor.state, world.clock(successor), SCOPE)
     assert lease is not None
     assert lease.is_taken_over
 
@@ -145,7 +145,7 @@
     sent_at = world.clock(holder)
     world.perform(holder, EffectOutcome.UNACKNOWLEDGED)
     world.run(0.5)
-    lease = lease_flow.held(holder.state, world.clock(holder), SCOPE)
+    lease = lease_flow.current_lease(holder.state, world.clock(holder), SCOPE)
     assert lease is not None
     # The lease counts from the send time.
     assert lease.expires_at == pytest.approx(sent_at + OPTIONS.lease_s)
@@ -168,7 +168,7 @@
     holder = start_wanting(world, 1)[0]
     world.run(1.0)
     assert fence_of(world, holder) == 0
-    lease_flow.drop(holder.state, world.clock(holder), SCOPE)
+    lease_flow.drop_lease(holder.state, world.clock(holder), SCOPE)
     assert fence_of(world, holder) is None
     world.run(2 * WAIT_S)
     fence = fence_of(world, holder)
@@ -379,7 +379,7 @@
         case "unwant" if not instance.paused:
             lease_flow.release_lease(instance.state, SCOPE)
         case "drop" if not instance.paused:
-            lease_flow.drop(instance.state, world.clock(instance), SCOPE)
+            lease_flow.drop_lease(instance.state, world.clock(instance), SCOPE)
         case "kill":
             kill(world, instance)
         case _:
--- a/tests/core/leases/test_model_placement.py
+++ b/tests/core/leases/test_model_placement.py
@@ -256,7 +256,7 @@
     world.run(7.0)
     world.log_up = False
     world.run(OPTIONS.lease_s + 1)
-    assert lease_flow.held(state, world.now, SCOPE) is None
+    assert lease_flow.current_lease(state, world.now, SCOPE) is None
     order_count = len(world.orders())
     world.run(600.0)
     assert len(world.orders()) == order_count
@@ -293,9 +293,9 @@
     world.run(30.0)
     world.want(ModelReplicas("big", "2", min_servers=2))
     world.run(6.0)
-    holders = [state for state in world.states if lease_flow.held(state, world.now, SCOPE)]
+    holders = [state for state in world.states if lease_flow.current_lease(state, world.now, SCOPE)]
     assert len(holders) == 1
-    old_lease = lease_flow.held(holders[0], world.now, SCOPE)
+    old_lease = lease_flow.current_lease(holders[0], world.now, SCOPE)
     assert old_lease is not None
     world.paused.add(holders[0].me.name)
     world.run(SETTLE_S)
@@ -319,14 +319,16 @@
     world.run(30.0)
     world.want(ModelReplicas("big", "2", min_servers=2))
     world.run(6.0)
-    holder = next(state for state in world.states if lease_flow.held(state, world.now, SCOPE))
+    holder = next(
+        state for state in world.states if lease_flow.current_lease(state, world.now, SCOPE)
+    )
     successor = next(state for state in world.states if state is not holder)
     world.paused.add(holder.me.name)
     orders_before = len(world.orders())
     while len(world.orders()) == orders_before:
         world.run(0.5)
         assert world.now < 600
-    lease = lease_flow.held(successor, world.now, SCOPE)
+    lease = lease_flow.current_lease(successor, world.now, SCOPE)
     assert lease is not None
     assert world.orders()[-1].at - lease.since >= OPTIONS.order_longest_s
 
--- a/tests/core/limits/test_limit.py
+++ b/tests/core/limits/test_limit.py
@@ -211,7 +211,7 @@
     assert tokens is not None
     level = tokens.bucket.level
     req.delivered = 80
-    limit.settle(state, world.now, req, Outcome.COMPLETED)
+    limit.settle_charge(state, world.now, req, Outcome.COMPLETED)
     assert tokens.bucket.level == pytest.approx(level + 50.0 - 80)
     assert not state.rate_limits.charges
 
@@ -225,7 +225,7 @@
     holding = state.rate_limits.held[customer_key(CUSTOMER)]
     assert holding.requests is not None
     level = holding.requests.bucket.level
-    limit.settle(state, world.now, req, Outcome.NOT_RUN)
+    limit.settle_charge(state, world.now, req, Outcome.NOT_RUN)
     assert holding.requests.bucket.level == pytest.approx(level + 1.0)
 
 
--- a/tests/core/load_world.py
+++ b/tests/core/load_world.py
@@ -113,18 +113,20 @@
         # All started attempts, and all cancellations, in order.
         self.started: list[Running] = []
         self.cancelled: list[tuple[str, CancelReason]] = []
-        self.told: dict[str, Outcomes] = {name: Outcomes() for name in self.classes}
+        self.accounts_by_class: dict[str, Outcomes] = {name: Outcomes() for name in self.classes}
         self.events: list[str] = []
         # Number of messages sent between instances.
         self.messages = 0
         # Instances that are cut off from all others.
         self.cut: set[InstanceName] = set()
         # Returns whether a message is lost, by its sender and receiver.
-        self.lose: Callable[[InstanceName, InstanceName], bool] = lambda sender, receiver: False
+        self.is_message_lost: Callable[[InstanceName, InstanceName], bool] = (
+            lambda sender, receiver: False
+        )
         # Returns whether the first instance receives heartbeats of the second.
-        self.see: Callable[[InstanceName, InstanceName], bool] = lambda one, other: True
+        self.can_see: Callable[[InstanceName, InstanceName], bool] = lambda one, other: True
         # While set, collects messages instead of delivering them.
-        self.late: list[tuple[InstanceName, Event]] | None = None
+        self.delayed_messages: list[tuple[InstanceName, Event]] | None = None
         # While set, cancelled attempts do not end.
         self.hold_cancelled = False
         self.probes: list[tuple[InstanceName, ServerName]] = []
@@ -153,13 +155,13 @@
         """Return the state of the first instance."""
         return next(iter(self.states.values()))
 
-    def _see_each_other(self) -> None:
+    def _deliver_heartbeats(self) -> None:
         """Deliver heartbeats between all instances that are not cut off."""
         for name, state in self.states.items():
             for other in self.states:
                 if other == name or other in self.cut or name in self.cut:
                     continue
-                if not self.see(name, other):
+                if not self.can_see(name, other):
                     continue
                 member = state.members.by_name.setdefault(
                     other, Member(other, DATA_CENTRE, f"127.0.0.1:{other}", region="khomas")
@@ -183,7 +185,7 @@
                 case CancelAttempt():
                     self._cancel(instance, effect)
                 case FinishRequest(account):
-                    self.told[account.service_class].accounts.append(account)
+                    self.accounts_by_class[account.service_class].accounts.append(account)
                     self.events.append(f"{account.request_id} {account.outcome} {account.reason}")
                 case SendPeer(peer, _, message):
                     self.messages += 1
@@ -194,21 +196,21 @@
                     pass
 
     def _post(self, sender: InstanceName, receiver: InstanceName, event: Event) -> None:
-        if sender in self.cut or receiver in self.cut or self.lose(sender, receiver):
+        if sender in self.cut or receiver in self.cut or self.is_message_lost(sender, receiver):
             return
-        if self.late is not None:
-            self.late.append((receiver, event))
+        if self.delayed_messages is not None:
+            self.delayed_messages.append((receiver, event))
         else:
             self._mail.append((receiver, event))
 
-    def keep_late(self) -> None:
+    def delay_messages(self) -> None:
         """Delay the messages between instances from here on."""
-        self.late = []
+        self.delayed_messages = []
 
-    def take_late(self) -> list[tuple[InstanceName, Event]]:
+    def take_delayed_messages(self) -> list[tuple[InstanceName, Event]]:
         """Return the delayed messages and stop delaying."""
-        late = self.late or []
-        self.late = None
+        late = self.delayed_messages or []
+        self.delayed_messages = None
         return late
 
     def restart(self, name: InstanceName) -> None:
@@ -304,7 +306,7 @@
         until = self.now + seconds
         while self.now < until - 1e-9:
             self.now = min(until, self.now + self.options.tick_s)
-            self._see_each_other()
+            self._deliver_heartbeats()
             if self.report_s is not None and self.now - self._reported >= self.report_s - 1e-9:
                 self._reported = self.now
                 self.report()
--- a/tests/core/membership/test_membership.py
+++ b/tests/core/membership/test_membership.py
@@ -12,8 +12,8 @@
 from turmericweir_core.base.ids import InstanceName, ServerName
 from turmericweir_core.base.options import Options
 from turmericweir_core.membership.membership import (
-    data_centres,
-    member,
+    data_centre_views,
+    find_member,
     pause_since_last_tick_s,
     region_tag,
 )
@@ -172,7 +172,8 @@
 
         assert network.agree(rest, rest)
     assert all(
-        member(network.nodes[peer_name].state, InstanceName(gone)) is None for peer_name in rest
+        find_member(network.nodes[peer_name].state, InstanceName(gone)) is None
+        for peer_name in rest
     )
 
 
@@ -205,7 +206,7 @@
     delayed_beat = replace(former_beat, seq=10_000, leaving=False, entries=[])
     network.give(names[1], PeerReceived(InstanceName(names[0]), delayed_beat))
 
-    restored = member(network.nodes[names[1]].state, InstanceName(names[0]))
+    restored = find_member(network.nodes[names[1]].state, InstanceName(names[0]))
     assert restored is not None
     assert restored.incarnation == "a"
     assert restored.leaving
@@ -227,7 +228,8 @@
 
     def is_replaced() -> bool:
         records = [
-            member(network.nodes[peer_name].state, InstanceName(names[0])) for peer_name in names
+            find_member(network.nodes[peer_name].state, InstanceName(names[0]))
+            for peer_name in names
         ]
         return all(record is not None and record.incarnation == "b" for record in records)
 
@@ -248,7 +250,7 @@
 
     network.give(names[1], PeerReceived(InstanceName(names[0]), delayed_beat))
 
-    record = member(state, InstanceName(names[0]))
+    record = find_member(state, InstanceName(names[0]))
     assert record is not None
     assert record.incarnation == "b"
     assert state.members.noise["retired"] == 1
@@ -306,7 +308,7 @@
 
 
 def is_seen_leaving(network: Network, name: str, leaving_name: str) -> bool:
-    record = member(network.nodes[name].state, InstanceName(leaving_name))
+    record = find_member(network.nodes[name].state, InstanceName(leaving_name))
     return record is not None and record.leaving
 
 
@@ -355,7 +357,7 @@
 
 
 def reachable_centres(network: Network, name: str) -> list[str]:
-    views = data_centres(network.nodes[name].state, network.now)
+    views = data_centre_views(network.nodes[name].state, network.now)
     return [view.name for view in views if view.reachable]
 
 
@@ -430,7 +432,8 @@
 
     def offsets(name: str) -> list[int]:
         return [
-            view.settings_offset for view in data_centres(network.nodes[name].state, network.now)
+            view.settings_offset
+            for view in data_centre_views(network.nodes[name].state, network.now)
         ]
 
     # In the order of names: coast, hill, mid, north, south.
--- a/tests/core/placement/test_admission.py
+++ b/tests/core/placement/test_admission.py
@@ -27,7 +27,7 @@
 
 def shed_accounts(world: LoadWorld) -> Iterable[Account]:
     """Yield the accounts of requests that were refused or dropped for lack of capacity."""
-    for outcomes in world.told.values():
+    for outcomes in world.accounts_by_class.values():
         for account in outcomes.accounts:
             if account.reason in (Reason.OVERLOAD, Reason.DISPLACED):
                 yield account
@@ -75,7 +75,9 @@
     world.end(world.run_of("q"), EndBroken("reset", server_alive=True))
     world.advance(world.options.crash_doubt_s + 0.2)
     world.end(world.run_of("q"))
-    assert [each.outcome for each in world.told["quote"].accounts] == [Outcome.COMPLETED]
+    assert [each.outcome for each in world.accounts_by_class["quote"].accounts] == [
+        Outcome.COMPLETED
+    ]
 
 
 STEPS = st.lists(
@@ -105,16 +107,20 @@
     world = LoadWorld(servers=1, slots=2, policy=policy, kind=kind, options=options)
     world.advance(0.2)
     for step, class_name in steps:
-        account_counts = {name: len(each.accounts) for name, each in world.told.items()}
+        account_counts = {
+            name: len(each.accounts) for name, each in world.accounts_by_class.items()
+        }
         cancelled_count = len(world.cancelled)
         if step == "arrive":
             tier = CLASSES[class_name].priority
             displaceable = displaceable_work_below(world, tier)
             world.arrive(class_name, deadline_s=1.5)
-            new_accounts = world.told[class_name].accounts[account_counts[class_name] :]
+            new_accounts = world.accounts_by_class[class_name].accounts[
+                account_counts[class_name] :
+            ]
             if any(each.reason is Reason.OVERLOAD for each in new_accounts):
                 assert not displaceable, f"{class_name} was refused before {displaceable}"
-            for name, each in world.told.items():
+            for name, each in world.accounts_by_class.items():
                 if CLASSES[name].priority <= tier:
                     dropped = each.accounts[account_counts[name] :]
                     assert all(it.reason is not Reason.DISPLACED for it in dropped)
@@ -125,7 +131,7 @@
             world.end(running)
         else:
             world.advance(0.3)
-            for name, each in world.told.items():
+            for name, each in world.accounts_by_class.items():
                 # Late requests that would expire are refused on ticks.
                 new_accounts = each.accounts[account_counts[name] :]
                 if any(it.reason is Reason.OVERLOAD for it in new_accounts):
@@ -153,13 +159,13 @@
         world.progress(running, 100)
         world.end(running)
     world.advance(12.0)
-    world.keep_late()
+    world.delay_messages()
 
     for _ in range(32):
         world.arrive("counter", deadline_s=4.0)
 
     assert list(shed_accounts(world)) == []
-    for instance, event in world.take_late():
+    for instance, event in world.take_delayed_messages():
         world.event(instance, event)
     world.advance(0.5)
     assert world.waiting() == []
@@ -187,7 +193,7 @@
         if world.running:
             world.end(world.oldest())
         world.advance(0.1)
-    accounts = [account for each in world.told.values() for account in each.accounts]
+    accounts = [account for each in world.accounts_by_class.values() for account in each.accounts]
     assert len({each.request_id for each in accounts}) == len(accounts) == arrived
     started_ids = {each.request_id for each in world.started}
     for account in accounts:
--- a/tests/core/placement/test_straggler.py
+++ b/tests/core/placement/test_straggler.py
@@ -334,7 +334,7 @@
     bench.arrive("late-comer", case)
     assert world.run_of("late-comer").server != "s0"
     world.end(resumed)
-    assert world.told[PROMISED].count(Outcome.COMPLETED) == 1
+    assert world.accounts_by_class[PROMISED].count(Outcome.COMPLETED) == 1
 
 
 def test_moved_answer_does_not_probe_its_old_server() -> None:
@@ -379,7 +379,9 @@
     world.event(victim.instance, CallerLeft(victim.request_id))
     world.end(victim, EndCancelled(0))
     assert len(world.started) == started
-    assert [each.reason for each in world.told[PROMISED].accounts] == [Reason.CALLER_LEFT]
+    assert [each.reason for each in world.accounts_by_class[PROMISED].accounts] == [
+        Reason.CALLER_LEFT
+    ]
 
 
 def test_move_asks_for_credit() -> None:
--- a/tests/core/queueing/test_queue.py
+++ b/tests/core/queueing/test_queue.py
@@ -51,7 +51,7 @@
     for number in range(instances):
         world.arrive("quote", instance=number, deadline_s=1e6)
     overload_with(world, ("counter", "fitting"), 500)
-    assert world.told["quote"].count(Outcome.COMPLETED) == instances
+    assert world.accounts_by_class["quote"].count(Outcome.COMPLETED) == instances
     upper_ids = {each for each, _ in world.cancelled if not each.startswith("quote")}
     assert not {each for each in upper_ids if each.startswith("counter")}
 
@@ -75,7 +75,7 @@
         world.progress(running, 256)
         world.end(running)
         world.advance(0.1)
-    assert world.told["quote"].count(Outcome.COMPLETED) == 1
+    assert world.accounts_by_class["quote"].count(Outcome.COMPLETED) == 1
 
 
 @settings(max_examples=40, deadline=None)
@@ -100,7 +100,7 @@
         tiers = [classes[each.rstrip("0123456789")].priority for each in waiting]
         for each in started:
             assert classes[each.service_class].priority == min(tiers)
-    completed = sum(each.count(Outcome.COMPLETED) for each in world.told.values())
+    completed = sum(each.count(Outcome.COMPLETED) for each in world.accounts_by_class.values())
     assert completed == len(names)
     assert len(world.started) == len(names) + len(world.cancelled)
 
@@ -135,7 +135,10 @@
                 assert all(is_late(world, other) for other in same_class)
     while world.running:
         world.end(world.oldest())
-    assert sum(each.count(Outcome.COMPLETED) for each in world.told.values()) == arrived_count
+    assert (
+        sum(each.count(Outcome.COMPLETED) for each in world.accounts_by_class.values())
+        == arrived_count
+    )
 
 
 def is_late(world: LoadWorld, req: Request) -> bool:
--- a/tests/core/settings/test_settings_inforce.py
+++ b/tests/core/settings/test_settings_inforce.py
@@ -7,7 +7,7 @@
 import pytest
 
 from turmericweir_core.base.ids import InstanceName
-from turmericweir_core.settings.settings_reach import Reach, in_force
+from turmericweir_core.settings.settings_reach import Reach, reach_of_centres
 from turmericweir_core.state.membership_state import NEVER, CentreView, Member
 
 NOW: Final = 100.0
@@ -51,12 +51,12 @@
 
 @pytest.mark.parametrize(("view", "not_live", "reach"), CASES.values(), ids=CASES)
 def test_reach(view: CentreView, not_live: list[Member], reach: Reach) -> None:
-    (centre_reach,) = in_force(NOW, OFFSET, [view], not_live, named=[])
+    (centre_reach,) = reach_of_centres(NOW, OFFSET, [view], not_live, named=[])
     assert centre_reach.reach is reach
 
 
 def test_data_centre_known_by_name_only_is_out_of_reach() -> None:
-    reaches = in_force(NOW, OFFSET, [centre(7)], [unresponsive(0)], named=["c", "b", ""])
+    reaches = reach_of_centres(NOW, OFFSET, [centre(7)], [unresponsive(0)], named=["c", "b", ""])
     assert [(it.data_centre, it.reach) for it in reaches] == [
         ("b", Reach.OUT_OF_REACH),
         ("c", Reach.OUT_OF_REACH),
@@ -65,5 +65,7 @@
 
 
 def test_unresponsive_instance_is_listed_with_its_last_report() -> None:
-    (centre_reach,) = in_force(NOW, OFFSET, [centre(7)], [unresponsive(3, heard_at=60.0)], named=[])
+    (centre_reach,) = reach_of_centres(
+        NOW, OFFSET, [centre(7)], [unresponsive(3, heard_at=60.0)], named=[]
+    )
     assert [(it.name, it.offset, it.age_s) for it in centre_reach.silent] == [("b-9", 3, 40.0)]
--- a/tests/core/store/test_document.py
+++ b/tests/core/store/test_document.py
@@ -77,7 +77,7 @@
     world.give_document(7)
     world.now += 4.0
     world.give_document(3)
-    assert document.proof_age(world.state, world.now) == 4.0
+    assert document.proof_age_s(world.state, world.now) == 4.0
 
 
 def test_proof_of_a_peer_counts_from_the_request() -> None:
@@ -91,7 +91,7 @@
     asked_at = world.now
     world.now += 0.5
     world.peer(peer, DocumentProof(1, ask.request_number, 0.2))
-    age_s = document.proof_age(world.state, world.now)
+    age_s = document.proof_age_s(world.state, world.now)
     assert 0.7 <= age_s <= 0.7 + (world.now - asked_at)
 
 
@@ -101,7 +101,7 @@
     world = StoreWorld()
     for number in range(1, 9):
         world.know(f"b-{number}")
-    picked = store_duty.readers(world.state, world.now)
+    picked = store_duty.store_readers(world.state, world.now)
     announcer = next(
         f"b-{number_}"
         for number_ in range(1, 9)
--- a/tests/core/store/test_registry.py
+++ b/tests/core/store/test_registry.py
@@ -95,12 +95,12 @@
     world = StoreWorld()
     for number in range(2, 8):
         world.know(f"a-{number}")
-    readers = {member.name for member in store_duty.readers(world.state, world.now)}
+    readers = {member.name for member in store_duty.store_readers(world.state, world.now)}
     assert len(readers) == 1
     world.state.registry.read_at = world.now
-    reads = store_duty.reads_registry(world.state, world.now + 0.5)
+    reads = store_duty.is_registry_read_due(world.state, world.now + 0.5)
     assert reads == (world.state.me.name in readers)
-    assert store_duty.reads_registry(world.state, world.now + 1.5)
+    assert store_duty.is_registry_read_due(world.state, world.now + 1.5)
 
 
 class Readers:
@@ -128,9 +128,9 @@
         return reads
 
     def _is_due(self, name: str, world: StoreWorld) -> bool:
-        if store_duty.is_reader(world.state, self.now):
+        if store_duty.is_store_reader(world.state, self.now):
             return self.now - self.last_read.get(name, 0.0) >= 0.9
-        return store_duty.reads_registry(world.state, self.now)
+        return store_duty.is_registry_read_due(world.state, self.now)
 
     def _read(self, name: str, world: StoreWorld, away: str) -> None:
         self.last_read[name] = self.now
@@ -245,9 +245,9 @@
     world.begin(first)
     world.end(first, EndComplete(200))
     request = world.request("2", prompt_tokens=17_000, parts=(shared_part, ("other", 3_700)))
-    engine = engine_model.book_of(world.state, first.server)
+    engine = engine_model.engine_info_of(world.state, first.server)
     assert engine_model.uncached_tokens(engine, request) == 3_700
     new_entry = world.entry(first.server, "lm", incarnation="1700000000000")
     world.give(RegistryRead(((new_entry, 2),)))
-    engine = engine_model.book_of(world.state, first.server)
+    engine = engine_model.engine_info_of(world.state, first.server)
     assert engine_model.uncached_tokens(engine, request) == 17_000
--- a/tests/core/store_network.py
+++ b/tests/core/store_network.py
@@ -106,7 +106,7 @@
             return
         state = node.state
         is_settings = part == "settings"
-        is_due = store_duty.reads_document if is_settings else store_duty.reads_registry
+        is_due = store_duty.is_document_read_due if is_settings else store_duty.is_registry_read_due
         if not is_due(state, self.now):
             self._schedule_check(self.now + CHECK_INTERVAL_S, name, part)
             return
@@ -115,7 +115,7 @@
             self._read_settings(name) if is_settings else self._read_servers(name)
         times = self.options.store
         period_s = times.settings_read_s if is_settings else times.servers_read_s
-        is_reader = store_duty.is_reader(state, self.now)
+        is_reader = store_duty.is_store_reader(state, self.now)
         self._schedule_check(
             self.now + (0.95 * period_s if is_reader else CHECK_INTERVAL_S), name, part
         )
@@ -154,5 +154,5 @@
     def reader(self) -> str:
         """Return the name of the one instance that reads for all."""
         live = (node.state for node in self.nodes.values() if not node.down)
-        (reader_name,) = {member.name for member in store_duty.readers(next(live), self.now)}
+        (reader_name,) = {member.name for member in store_duty.store_readers(next(live), self.now)}
         return reader_name
