--- a/packages/turmericweir-standins/turmericweir_standins/bench_overhead.py
+++ b/packages/turmericweir-standins/turmericweir_standins/bench_overhead.py
@@ -28,7 +28,13 @@
 
 from turmericweir_standins.bench_backend import MODEL, SLOTS
 from turmericweir_standins.bench_client import BenchConnection
-from turmericweir_standins.deployment import BackendGroup, Cluster, Deployment, Listed, token_of
+from turmericweir_standins.deployment import (
+    BackendGroup,
+    Cluster,
+    Deployment,
+    ListedProcess,
+    token_of,
+)
 from turmericweir_standins.proc_stat import process_cpu_s
 from turmericweir_standins.procs import Process, standin, wait_until
 
@@ -256,7 +262,7 @@
     for process in backends:
         plain = process.name == SERVICE
         kind, service = ("plain", SERVICE) if plain else ("engine", "bench-model")
-        cluster.list_process(Listed(process.name, kind, service, "one", process.address))
+        cluster.list_process(ListedProcess(process.name, kind, service, "one", process.address))
 
 
 def _start_passthrough(directory: Path, backends: list[Process]) -> Process:
--- a/packages/turmericweir-standins/turmericweir_standins/deployment.py
+++ b/packages/turmericweir-standins/turmericweir_standins/deployment.py
@@ -25,7 +25,7 @@
 OPERATOR_TOKEN: Final = "operator-token"
 
 
-def digest(token: str) -> str:
+def digest_of_token(token: str) -> str:
     """Return the hash of a bearer token that settings contain."""
     return hashlib.sha256(token.encode()).hexdigest()
 
@@ -78,7 +78,7 @@
         for group in self.groups:
             values[f"/services/{group.service}"] = _service_value(group)
         for name, classes in self.customers.items():
-            token = digest(token_of(name))
+            token = digest_of_token(token_of(name))
             values[f"/customers/{name}"] = {"token_sha256": [token], "classes": dict(classes)}
         values["/policy"] = {"policy": self.policy}
         values.update(self.settings)
@@ -110,7 +110,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedProcess:
     """A process of the cluster with its fields of the platform's list."""
 
     name: str
@@ -138,7 +138,7 @@
 class Instance:
     """An entry instance of the cluster."""
 
-    listed: Listed
+    listed: ListedProcess
     admin_address: str
     process: Process
 
@@ -175,7 +175,7 @@
     platform: Process
     # Backend servers by name, with their entries in the list.
     servers: dict[str, Process]
-    listed: dict[str, Listed]
+    listed: dict[str, ListedProcess]
     instances: dict[str, Instance]
 
     def __init__(
@@ -219,7 +219,7 @@
         """Stop all processes in parallel: terminate each one before the first is awaited."""
         instances = [each.process for each in self.instances.values()]
         for process in (*instances, *self.servers.values()):
-            if process.running:
+            if process.is_running:
                 process.resume()
                 process.terminate()
         self._stack.close()
@@ -259,7 +259,9 @@
         records = [settings_record(path, value, f"boot-{path}") for path, value in values.items()]
         call_json(self.platform.address, "POST", "/log/settings/append", {"records": records})
 
-    def list_process(self, listed: Listed, state: str = "live", incarnation: str = "1") -> None:
+    def list_process(
+        self, listed: ListedProcess, state: str = "live", incarnation: str = "1"
+    ) -> None:
         """Put a process into the platform's list, or change its entry."""
         entry = listed.entry(incarnation, state)
         call_json(self.platform.address, "POST", "/_standin/instances", entry)
@@ -301,7 +303,7 @@
         self.servers[name] = process
         kind = "engine" if group.kind == "model" else "plain"
         data_centre = self._data_centre(number)
-        self.listed[name] = Listed(name, kind, group.service, data_centre, address)
+        self.listed[name] = ListedProcess(name, kind, group.service, data_centre, address)
         return process
 
     def restart_server(self, name: str) -> Process:
@@ -335,7 +337,7 @@
 
     def _make_instance(self, number: int) -> Instance:
         name = f"entry-{number + 1}"
-        listed = Listed(
+        listed = ListedProcess(
             name, "entry", "", self._data_centre(number), free_address(), free_address()
         )
         admin_address = free_address()
@@ -345,9 +347,9 @@
         process = Process(argv, name=name, directory=self.directory)
         return Instance(listed, admin_address, process)
 
-    def _process_settings(self, listed: Listed, admin_address: str) -> dict[str, Any]:
+    def _process_settings(self, listed: ListedProcess, admin_address: str) -> dict[str, Any]:
         seeds = [each.listed.peer_address for each in self.instances.values()]
-        token = {"name": OPERATOR, "token_sha256": digest(OPERATOR_TOKEN), "paths": ["/"]}
+        token = {"name": OPERATOR, "token_sha256": digest_of_token(OPERATOR_TOKEN), "paths": ["/"]}
         return {
             "name": listed.name,
             "data_centre": listed.data_centre,
--- a/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
@@ -55,7 +55,7 @@
     tokens: list[tuple[float, float]] = field(default_factory=list)
 
 
-class LimitWorld:
+class LimitSimulation:
     """A simulation of instances that share limits, with delayed messages."""
 
     def __init__(
@@ -79,7 +79,7 @@
         self.messages = 0
         self.sent_bytes: dict[InstanceName, int] = {}
         # Killed instances, and the partitioned data centre.
-        self.dead: set[InstanceName] = set()
+        self.killed: set[InstanceName] = set()
         self.partitioned_centre: str | None = None
         self._ids = itertools.count()
         self._order = itertools.count()
@@ -112,7 +112,7 @@
                 continue
             me = other.me
             member = Member(name, me.data_centre, me.peer_address, region="home")
-            is_reachable = me.data_centre == state.me.data_centre and name not in self.dead
+            is_reachable = me.data_centre == state.me.data_centre and name not in self.killed
             member.last_seen_at = float("inf") if is_reachable else float("-inf")
             state.members.by_name[name] = member
         for centre in self.centres:
@@ -121,7 +121,7 @@
 
     def _describe_centre(self, state: State, centre: str) -> None:
         names = {name for name, each in self.states.items() if each.me.data_centre == centre}
-        roster = frozenset(names - self.dead)
+        roster = frozenset(names - self.killed)
         is_partitioned = self.partitioned_centre is not None and self.partitioned_centre in (
             centre,
             state.me.data_centre,
@@ -135,17 +135,17 @@
 
     def kill(self, name: InstanceName) -> None:
         """Kill an instance; the others remove it after the failure detector's timeout."""
-        self.dead.add(name)
+        self.killed.add(name)
         self.schedule(self.now + self.options.suspect_s, self.update_membership)
 
-    def cut_off(self, centre: str) -> None:
+    def partition_centre(self, centre: str) -> None:
         """Partition a data centre from all others."""
         self.partitioned_centre = centre
         self.update_membership()
 
     def home_of(self, customer: str) -> InstanceName:
         """Return the home of a customer's limit, by the view of the first live instance."""
-        state = next(each for name, each in self.states.items() if name not in self.dead)
+        state = next(each for name, each in self.states.items() if name not in self.killed)
         key = customer_key(customer)
         return state.rate_limits.held[key].home
 
@@ -163,7 +163,7 @@
         self.now = until
 
     def _tick(self, name: InstanceName) -> None:
-        if name in self.dead:
+        if name in self.killed:
             return
         self._execute(name, limit.on_tick(self.states[name], self.now))
         self.schedule(self.now + self.options.tick_s, lambda: self._tick(name))
@@ -176,7 +176,7 @@
     def _send(self, name: InstanceName, effect: SendDatagram) -> None:
         self.messages += 1
         self.sent_bytes[name] += _size(name, effect)
-        if effect.peer in self.dead or self._are_partitioned(name, effect.peer):
+        if effect.peer in self.killed or self._are_partitioned(name, effect.peer):
             return
         delay = DELAY_S + self.rng.random() * JITTER_S
         self.schedule(self.now + delay, lambda: self._receive(name, effect))
@@ -186,7 +186,7 @@
         return self.partitioned_centre in centres and len(centres) > 1
 
     def _receive(self, sender: InstanceName, effect: SendDatagram) -> None:
-        if effect.peer in self.dead:
+        if effect.peer in self.killed:
             return
         state = self.states[effect.peer]
         match effect.message:
@@ -251,7 +251,7 @@
         among: list[InstanceName] | None,
         mean_tokens: int,
     ) -> None:
-        names = [each for each in among or self.states if each not in self.dead]
+        names = [each for each in among or self.states if each not in self.killed]
         tokens = 0
         if mean_tokens:
             tokens = max(1, round(self.rng.lognormvariate(0.0, 0.7) * mean_tokens / 1.28))
@@ -287,7 +287,7 @@
     """Run one scenario and return its figures."""
     limits = Limit(tokens_s=rate) if scenario == "tokens" else Limit(requests_s=rate)
     centres = 2 if scenario == "partition" else 1
-    world = LimitWorld(instances, {CUSTOMER: limits}, centres=centres, seed=seed)
+    world = LimitSimulation(instances, {CUSTOMER: limits}, centres=centres, seed=seed)
     start = world.now
     end = start + RUN_S
     _offer(world, scenario, rate, start, end)
@@ -296,7 +296,7 @@
     return _figures(world, scenario, instances, rate, start, end)
 
 
-def _offer(world: LimitWorld, scenario: str, rate: float, start: float, end: float) -> None:
+def _offer(world: LimitSimulation, scenario: str, rate: float, start: float, end: float) -> None:
     names = list(world.states)
     first_half = names[: max(1, len(names) // 2)]
     second_half = names[len(first_half) :]
@@ -317,16 +317,16 @@
             world.offer(CUSTOMER, 2.0 * rate, start, end)
 
 
-def _schedule_fault(world: LimitWorld, scenario: str, start: float) -> None:
+def _schedule_fault(world: LimitSimulation, scenario: str, start: float) -> None:
     middle_at = start + RUN_S / 2
     if scenario == "home_dies":
         world.schedule(middle_at, lambda: world.kill(world.home_of(CUSTOMER)))
     if scenario == "partition":
-        world.schedule(middle_at, lambda: world.cut_off(world.centres[0]))
+        world.schedule(middle_at, lambda: world.partition_centre(world.centres[0]))
 
 
 def _figures(
-    world: LimitWorld, scenario: str, instances: int, rate: float, start: float, end: float
+    world: LimitSimulation, scenario: str, instances: int, rate: float, start: float, end: float
 ) -> Row:
     tally = world.tallies[CUSTOMER]
     amounts = [(when, 1.0) for when in tally.admitted]
@@ -365,7 +365,9 @@
     names = [f"customer-{number}" for number in range(customers)]
     # Each customer sends at three quarters of its limit, which requires exchanging shares.
     customer_rate = rate_s / customers
-    world = LimitWorld(instances, {name: Limit(requests_s=customer_rate / 0.75) for name in names})
+    world = LimitSimulation(
+        instances, {name: Limit(requests_s=customer_rate / 0.75) for name in names}
+    )
     start = world.now
     for name in names:
         world.offer(name, customer_rate, start, start + run_s)
--- a/packages/turmericweir-standins/turmericweir_standins/measure_run.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_run.py
@@ -21,7 +21,7 @@
 import orjson
 
 from turmericweir_standins.callers_workload import Kind, Traffic, Workload
-from turmericweir_standins.deployment import Cluster, Deployment, Listed, token_of
+from turmericweir_standins.deployment import Cluster, Deployment, ListedProcess, token_of
 from turmericweir_standins.measure_scenarios import (
     CRASH_MARKER,
     REPORT_LAG_MS,
@@ -73,13 +73,15 @@
         self.proxy_address = proxy_address
         self.routes = {}
 
-    def list_process(self, listed: Listed, state: str = "live", incarnation: str = "1") -> None:
+    def list_process(
+        self, listed: ListedProcess, state: str = "live", incarnation: str = "1"
+    ) -> None:
         """Put a process into the list; a backend server gets the address of its route."""
         if self.proxy_address is not None and listed.kind != "entry":
             listed = dataclasses.replace(listed, address=self._route(self.proxy_address, listed))
         super().list_process(listed, state, incarnation)
 
-    def _route(self, proxy: str, listed: Listed) -> str:
+    def _route(self, proxy: str, listed: ListedProcess) -> str:
         if listed.name not in self.routes:
             self.routes[listed.name] = add_route(proxy, listed.address)
         return self.routes[listed.name]
--- a/packages/turmericweir-standins/turmericweir_standins/peer_cluster.py
+++ b/packages/turmericweir-standins/turmericweir_standins/peer_cluster.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection
 from typing import Any
 
-from turmericweir_standins.deployment import Cluster, Instance, Listed
+from turmericweir_standins.deployment import Cluster, Instance, ListedProcess
 from turmericweir_standins.procs import Process, call_json, free_address, set_faults, standin
 
 
@@ -26,7 +26,7 @@
         )
         super()._start()
 
-    def _process_settings(self, listed: Listed, admin_address: str) -> dict[str, Any]:
+    def _process_settings(self, listed: ListedProcess, admin_address: str) -> dict[str, Any]:
         listen_address = free_address(_host(listed.name))
         routes = [
             {"kind": kind, "listen": listed.peer_address, "target": listen_address}
--- a/packages/turmericweir-standins/turmericweir_standins/procs.py
+++ b/packages/turmericweir-standins/turmericweir_standins/procs.py
@@ -170,7 +170,7 @@
         """Stop the child with SIGTERM, and with SIGKILL after the grace period."""
         if self._popen is None:
             return None
-        if self.running:
+        if self.is_running:
             # A paused child would not receive SIGTERM.
             self.resume()
             self.terminate()
@@ -229,7 +229,7 @@
         return self._child("pid").pid
 
     @property
-    def running(self) -> bool:
+    def is_running(self) -> bool:
         """Whether the child was started and has not ended; a paused child counts as running."""
         return self._popen is not None and self._popen.poll() is None
 
--- a/packages/turmericweir/turmericweir/answers/caller_answer.py
+++ b/packages/turmericweir/turmericweir/answers/caller_answer.py
@@ -121,11 +121,11 @@
         self._event_chunks = []
         self._whole_answer = None
 
-    def restart_at(self, tokens: int) -> None:
+    def prepare_resume(self, tokens: int) -> None:
         """Prepare for an attempt that resumes after this number of tokens."""
         raise NotImplementedError
 
-    def keep(self, events: bytes) -> None:
+    def buffer_events(self, events: bytes) -> None:
         """Buffer a chunk of complete events."""
         self._event_chunks.append(events)
 
@@ -133,11 +133,11 @@
         """Write buffered events if the caller wants a stream."""
         raise NotImplementedError
 
-    def text(self, tokens: int) -> str:
+    def first_tokens_text(self, tokens: int) -> str:
         """Return the text of the first tokens."""
         return sse.join_token_texts(self._event_chunks, tokens)
 
-    def whole(self, status: int, content_type: bytes, body: bytes) -> None:
+    def set_whole_answer(self, status: int, content_type: bytes, body: bytes) -> None:
         """Record an answer that is not a stream, for example an error status."""
         self._whole_answer = (status, content_type, body)
 
@@ -168,7 +168,7 @@
         super().__init__(caller)
         self._flushed_chunks = 0
 
-    def restart_at(self, tokens: int) -> None:
+    def prepare_resume(self, tokens: int) -> None:
         """Do nothing, because the caller already has the tokens."""
 
     async def flush(self) -> None:
@@ -217,7 +217,7 @@
         super().__init__(caller)
         self.prompt_tokens = prompt_tokens
 
-    def restart_at(self, tokens: int) -> None:
+    def prepare_resume(self, tokens: int) -> None:
         """Discard the tokens after those from which the next attempt resumes."""
         events = list(sse.data_events(self._event_chunks)) if tokens else []
         self._event_chunks = events[:tokens]
@@ -267,9 +267,9 @@
     def __init__(self, caller: Caller, stored_max_bytes: int = 0) -> None:
         self.caller = caller
         self._stored_max_bytes = stored_max_bytes
-        self.begin(0, ())
+        self.begin_answer(0, ())
 
-    def begin(self, status: int, headers: tuple[tuple[bytes, bytes], ...]) -> None:
+    def begin_answer(self, status: int, headers: tuple[tuple[bytes, bytes], ...]) -> None:
         """Record the status and the headers of an attempt's answer."""
         self._status = status
         if status in _STATUSES_WITHOUT_BODY:
@@ -281,14 +281,14 @@
         self._unsent = b""
         self._stored_body = b""
 
-    def keep(self, data: bytes) -> None:
+    def buffer_body(self, data: bytes) -> None:
         """Buffer a part of the body."""
         self._received_bytes += len(data)
         self._unsent += data
         if self._received_bytes <= self._stored_max_bytes:
             self._stored_body += data
 
-    def kept(self) -> StoredAnswer | None:
+    def answer_to_store(self) -> StoredAnswer | None:
         """Return the complete answer if it should be stored and is small enough."""
         if not self._stored_max_bytes or self._received_bytes > self._stored_max_bytes:
             return None
@@ -296,11 +296,11 @@
 
     def replay(self, effect: ReplayAnswer) -> None:
         """Use the stored answer of an earlier call."""
-        self.begin(effect.status, (*effect.headers, REPLAYED_HEADER))
-        self.keep(effect.body)
+        self.begin_answer(effect.status, (*effect.headers, REPLAYED_HEADER))
+        self.buffer_body(effect.body)
 
     @property
-    def is_whole(self) -> bool:
+    def has_announced_length(self) -> bool:
         """Whether the announced length was received."""
         return self._received_bytes == self._announced_bytes
 
--- a/packages/turmericweir/turmericweir/answers/forward_answer.py
+++ b/packages/turmericweir/turmericweir/answers/forward_answer.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from turmericweir.answers.caller_answer import Caller
-from turmericweir.answers.forward_wire import Headers, Wire
+from turmericweir.answers.forward_wire import Headers, WireAdapter
 from turmericweir_core.base.account import Account, Outcome
 from turmericweir_core.base.reasons import Reason
 
@@ -32,11 +32,11 @@
         "_unsent",
         "_wire",
         "caller",
-        "last_event",
+        "last_event_id",
     )
 
     caller: Caller
-    _wire: Wire
+    _wire: WireAdapter
     # Returns whether this instance is stopping and the caller should reconnect.
     _is_stopping: Callable[[], bool]
     _status: int
@@ -45,14 +45,18 @@
     _unsent: bytes
     # The id of the last complete event that was written or buffered, over all attempts. Initially
     # the id from which the caller resumes the stream.
-    last_event: bytes
+    last_event_id: bytes
     # Whether a part of the body was received, after which the head is fixed.
     _has_body: bool
     # The error answer of a server: status, headers, body.
     _error_answer: tuple[int, Headers, bytes] | None
 
     def __init__(
-        self, caller: Caller, wire: Wire, is_stopping: Callable[[], bool], resume_after: bytes
+        self,
+        caller: Caller,
+        wire: WireAdapter,
+        is_stopping: Callable[[], bool],
+        resume_after: bytes,
     ) -> None:
         self.caller = caller
         self._wire = wire
@@ -60,11 +64,11 @@
         self._status = 0
         self._headers = []
         self._unsent = b""
-        self.last_event = resume_after
+        self.last_event_id = resume_after
         self._has_body = False
         self._error_answer = None
 
-    def begin(self, status: int, headers: Headers) -> None:
+    def begin_answer(self, status: int, headers: Headers) -> None:
         """Record the head of an attempt's answer, except for a resumed stream."""
         if self._has_body:
             return
@@ -72,11 +76,11 @@
         self._headers = self._wire.caller_headers(headers)
         self._unsent = b""
 
-    def fail(self, status: int, headers: Headers, body: bytes) -> None:
+    def store_error_answer(self, status: int, headers: Headers, body: bytes) -> None:
         """Store a server's error answer."""
         self._error_answer = (status, self._wire.caller_headers(headers), body)
 
-    def keep(self, data: bytes) -> None:
+    def buffer_body(self, data: bytes) -> None:
         """Buffer a part of the body."""
         self._unsent += data
         self._has_body = self._has_body or bool(data)
@@ -106,7 +110,7 @@
             await self._write_whole_answer()
             return True
         self.caller.should_close = self._is_stopping()
-        await self.caller.write_problem(self._wire.problem(account))
+        await self.caller.write_problem(self._wire.account_problem(account))
         return True
 
     async def _write_whole_answer(self) -> None:
--- a/packages/turmericweir/turmericweir/answers/forward_events.py
+++ b/packages/turmericweir/turmericweir/answers/forward_events.py
@@ -14,28 +14,28 @@
 EVENT_MAX_BYTES: Final = 1_048_576
 
 
-class EventCutter:
+class EventSplitter:
     """Splits the chunks of one attempt and records the id of the last event."""
 
-    __slots__ = ("_buffer", "_resume_after", "last_event")
+    __slots__ = ("_buffer", "_resume_after", "last_event_id")
 
     # The bytes after the last complete event.
     _buffer: bytes
     # The event id after which this attempt resumes; empty for a new stream.
     _resume_after: bytes
-    last_event: bytes
+    last_event_id: bytes
 
     def __init__(self, resume_after: bytes) -> None:
         self._buffer = b""
         self._resume_after = resume_after
-        self.last_event = resume_after
+        self.last_event_id = resume_after
 
     @property
-    def has_rest(self) -> bool:
+    def has_partial_event(self) -> bool:
         """Whether an event is incomplete."""
         return bool(self._buffer)
 
-    def take(self, chunk: bytes) -> tuple[bytes, int]:
+    def split_chunk(self, chunk: bytes) -> tuple[bytes, int]:
         """Return the events that a chunk completes, and their number."""
         data = self._buffer + chunk
         events_end = data.rfind(_END)
@@ -56,12 +56,12 @@
             if event_id and _is_duplicate(event_id, self._resume_after):
                 continue
             if event_id:
-                self.last_event = event_id
+                self.last_event_id = event_id
             new_events.append(event + _END)
         return b"".join(new_events), len(new_events)
 
 
-def count_events(data: bytes) -> int:
+def count_event_ends(data: bytes) -> int:
     """Return the number of event ends in the data."""
     return data.count(_END)
 
--- a/packages/turmericweir/turmericweir/answers/forward_wire.py
+++ b/packages/turmericweir/turmericweir/answers/forward_wire.py
@@ -33,7 +33,7 @@
     # Names in lower case.
     headers: Headers
     # When the headers were complete, by the event loop's clock.
-    arrived: float
+    arrived_at: float
 
     @property
     def path(self) -> str:
@@ -60,7 +60,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Inquiry:
+class ParsedRequest:
     """A valid request for the core and the call for its servers."""
 
     request: Request
@@ -68,43 +68,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Passable:
+class AnswerAccepted:
     """The answer belongs to this request and may be forwarded."""
 
 
 @dataclass(frozen=True, slots=True)
-class NotRun:
+class AnswerNotRun:
     """The server reports that it did not run the request."""
 
     # Whether the server runs no further requests.
-    leaving: bool
+    is_server_leaving: bool
 
 
 @dataclass(frozen=True, slots=True)
-class Spoiled:
+class AnswerRejected:
     """The answer must not be forwarded; whether the request was run is unknown."""
 
     error: str
 
 
-Verdict: TypeAlias = Passable | NotRun | Spoiled
+AnswerVerdict: TypeAlias = AnswerAccepted | AnswerNotRun | AnswerRejected
 
 
-class Wire(Protocol):
+class WireAdapter(Protocol):
     """Translates between a platform's HTTP headers and the core's types."""
 
-    def identify(self, head: RequestHead) -> RequestId:
+    def request_id_for(self, head: RequestHead) -> RequestId:
         """Return the request id from the caller's headers, or a new one."""
 
-    def read(
+    def parse_request(
         self, config: Config, rng: Random, head: RequestHead, body: bytes, request_id: RequestId
-    ) -> Inquiry:
+    ) -> ParsedRequest:
         """Parse and validate a request; raise `RefusedError` if it is invalid."""
 
-    def refusal(self, request_id: str, error: RefusedError) -> Problem:
+    def refusal_problem(self, request_id: str, error: RefusedError) -> Problem:
         """Return the answer to a request that was refused before it reached the reducer."""
 
-    def problem(self, account: Account) -> Problem:
+    def account_problem(self, account: Account) -> Problem:
         """Return the answer to a request that ended without a server's answer."""
 
     def server_headers(
@@ -112,7 +112,9 @@
     ) -> Headers:
         """Return all headers for one server; `last_event` is empty unless a stream is resumed."""
 
-    def judge(self, call: ForwardCall, status: int, headers: Mapping[bytes, bytes]) -> Verdict:
+    def judge_answer(
+        self, call: ForwardCall, status: int, headers: Mapping[bytes, bytes]
+    ) -> AnswerVerdict:
         """Return how to treat an answer with this status and these headers."""
 
     def caller_headers(self, headers: Headers) -> Headers:
--- a/packages/turmericweir/turmericweir/answers/hop_by_hop.py
+++ b/packages/turmericweir/turmericweir/answers/hop_by_hop.py
@@ -21,7 +21,7 @@
 )
 
 
-def named_by_connection(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
+def connection_header_names(headers: Iterable[tuple[bytes, bytes]]) -> frozenset[bytes]:
     """Return the header names, in lower case, that the `connection` header lists as hop-by-hop."""
     listed_names = b",".join(value for name, value in headers if name == b"connection")
     return frozenset(each.strip().lower() for each in listed_names.split(b",") if each.strip())
--- a/packages/turmericweir/turmericweir/answers/sse.py
+++ b/packages/turmericweir/turmericweir/answers/sse.py
@@ -20,7 +20,7 @@
 _END_AND_DATA: Final = END + DATA
 
 
-def split_whole(buffer: bytes) -> tuple[bytes, bytes]:
+def split_complete_events(buffer: bytes) -> tuple[bytes, bytes]:
     """Return the complete events at the start of the buffer, and the rest."""
     if buffer.endswith(END):
         return buffer, b""
@@ -31,12 +31,12 @@
     return buffer[:events_end], buffer[events_end:]
 
 
-def count_data(events: bytes) -> int:
+def count_data_events(events: bytes) -> int:
     """Return the number of events with data; comments are not counted."""
     return events.count(_END_AND_DATA) + events.startswith(DATA)
 
 
-def cut_at_error(events: bytes) -> bytes | None:
+def events_before_error(events: bytes) -> bytes | None:
     """Return the events before an error event, or None if there is no error event.
 
     Quotes in a token's text are escaped, so no text contains the bytes that are searched for.
--- a/packages/turmericweir/turmericweir/callers/caller_app.py
+++ b/packages/turmericweir/turmericweir/callers/caller_app.py
@@ -28,7 +28,7 @@
     build_completion_request,
     build_plain_request,
 )
-from turmericweir.callers.exchange import Exchange, Job
+from turmericweir.callers.exchange import Exchange, RequestJob
 from turmericweir.callers.exchange_jobs import CompletionJob, PlainJob
 from turmericweir.callers.http_server import CONNECTION_KEY, LimitedProtocol
 from turmericweir.process import logs
@@ -82,7 +82,7 @@
         """Handle one HTTP request."""
         assert scope["type"] == "http"
         caller = Caller(new_request_id(), send, _connection(scope).coalescing_transport)
-        caller.should_close = self._node.stopping
+        caller.should_close = self._node.is_stopping
         try:
             await self._answer(scope, receive, caller)
         except RefusedError as exc:
@@ -168,13 +168,13 @@
             inbound, request, PlainJob(call, PlainAnswer(caller, stored_body_max_bytes))
         )
 
-    async def _run(self, inbound: _InboundRequest, request: Request, job: Job) -> None:
+    async def _run(self, inbound: _InboundRequest, request: Request, job: RequestJob) -> None:
         exchange = Exchange(self._node, self._pool, request, inbound.caller, job)
-        self._node.exchanges[request.request_id] = exchange
+        self._node.active_requests[request.request_id] = exchange
         try:
             is_complete = await exchange.run(_connection(inbound.scope))
         finally:
-            del self._node.exchanges[request.request_id]
+            del self._node.active_requests[request.request_id]
         if not is_complete:
             _connection(inbound.scope).reset_connection()
 
--- a/packages/turmericweir/turmericweir/callers/exchange.py
+++ b/packages/turmericweir/turmericweir/callers/exchange.py
@@ -51,31 +51,31 @@
     """The part of an attempt that an exchange uses."""
 
     @property
-    def sent(self) -> bool:
+    def may_have_started(self) -> bool:
         """Whether the server may have started the request."""
 
     @property
-    def broke(self) -> str:
+    def connection_error(self) -> str:
         """The error that broke the connection; empty if it did not break."""
 
     async def run(self) -> AttemptEnd:
         """Run the attempt and return how it ended."""
 
 
-class Job(Protocol):
+class RequestJob(Protocol):
     """Makes the attempts of one kind of request and owns the answer."""
 
     @property
     def answer(self) -> Answer:
         """The answer that attempts write to."""
 
-    def attempt(self, node: Node, pool: BackendPool, start: StartAttempt) -> RunningAttempt:
+    def make_attempt(self, node: Node, pool: BackendPool, start: StartAttempt) -> RunningAttempt:
         """Return a new attempt."""
 
-    async def cancelled(self, pool: BackendPool, start: StartAttempt) -> None:
+    async def on_attempt_cancelled(self, pool: BackendPool, start: StartAttempt) -> None:
         """Notify the server that an attempt was cancelled."""
 
-    def tokens(self, attempt: RunningAttempt) -> int:
+    def received_tokens(self, attempt: RunningAttempt) -> int:
         """Return the number of tokens that an attempt has received."""
 
 
@@ -102,7 +102,7 @@
     _pool: BackendPool
     request: Request
     caller: Caller
-    job: Job
+    job: RequestJob
     # Decisions of the reducer that were not executed yet.
     _decisions: deque[StartAttempt | FinishRequest]
     # Set when a decision arrives; None while the exchange does not wait for one.
@@ -120,7 +120,7 @@
     account: Account | None
 
     def __init__(
-        self, node: Node, pool: BackendPool, request: Request, caller: Caller, job: Job
+        self, node: Node, pool: BackendPool, request: Request, caller: Caller, job: RequestJob
     ) -> None:
         self._node = node
         self._pool = pool
@@ -138,13 +138,13 @@
 
     # Called by the node.
 
-    def decide(self, decision: StartAttempt | FinishRequest) -> None:
+    def add_decision(self, decision: StartAttempt | FinishRequest) -> None:
         """Queue a decision of the reducer."""
         self._decisions.append(decision)
         if self._decision_event is not None:
             self._decision_event.set()
 
-    def fail(self, fault: BaseException) -> None:
+    def abort_request(self, fault: BaseException) -> None:
         """Abort the request after an internal error."""
         self._fault = fault
         if self._attempt_scope is not None:
@@ -164,7 +164,7 @@
         else:
             self._cancelled_attempts.add(effect.attempt_id)
 
-    def check_caller(self, now: float, unread_s: float) -> None:
+    def check_blocked_caller(self, now: float, unread_s: float) -> None:
         """Report a blocked caller as progress, or as gone after `unread_s` seconds.
 
         Nothing is read from the server while a write to the caller is blocked. Prevents the reducer
@@ -239,13 +239,13 @@
         that was in flight when its server crashed would not be recorded as such. The server counts
         as alive until its next load report, as its state is unknown.
         """
-        if attempt.broke:
-            return EndBroken(attempt.broke, server_alive=True)
-        return EndCancelled(self.job.tokens(attempt))
+        if attempt.connection_error:
+            return EndBroken(attempt.connection_error, server_alive=True)
+        return EndCancelled(self.job.received_tokens(attempt))
 
     async def _run_attempt(self, start: StartAttempt) -> None:
         end: AttemptEnd | None = None
-        attempt = self.job.attempt(self._node, self._pool, start)
+        attempt = self.job.make_attempt(self._node, self._pool, start)
         if start.attempt_id in self._cancelled_attempts:
             # Prevents a request that is repeatedly placed and cancelled from blocking the event
             # loop.
@@ -259,6 +259,6 @@
             self._attempt_scope = None
         if end is None:
             end = self._cancelled_end(attempt)
-            if attempt.sent:
-                self._node.in_background(self.job.cancelled, self._pool, start)
+            if attempt.may_have_started:
+                self._node.in_background(self.job.on_attempt_cancelled, self._pool, start)
         self._node.handle(AttemptEnded(start.request_id, start.attempt_id, end))
--- a/packages/turmericweir/turmericweir/callers/exchange_jobs.py
+++ b/packages/turmericweir/turmericweir/callers/exchange_jobs.py
@@ -26,15 +26,15 @@
         self._body = body
         self.answer = answer
 
-    def attempt(self, node: Node, pool: BackendPool, start: StartAttempt) -> RunningAttempt:
+    def make_attempt(self, node: Node, pool: BackendPool, start: StartAttempt) -> RunningAttempt:
         """Return a new attempt on an engine."""
         return EngineAttempt(node, pool, start, self._body, self.answer)
 
-    async def cancelled(self, pool: BackendPool, start: StartAttempt) -> None:
+    async def on_attempt_cancelled(self, pool: BackendPool, start: StartAttempt) -> None:
         """Ask the engine to stop generating, which frees its batch slot."""
         await cancel_at_engine(pool, start)
 
-    def tokens(self, attempt: RunningAttempt) -> int:
+    def received_tokens(self, attempt: RunningAttempt) -> int:
         """Return the number of tokens that an attempt has received."""
         return attempt.tokens if isinstance(attempt, EngineAttempt) else 0
 
@@ -51,13 +51,13 @@
         self._call = call
         self.answer = answer
 
-    def attempt(self, node: Node, pool: BackendPool, start: StartAttempt) -> RunningAttempt:
+    def make_attempt(self, node: Node, pool: BackendPool, start: StartAttempt) -> RunningAttempt:
         """Return a new attempt on a service."""
         return ServiceAttempt(node, pool, start, self._call, self.answer)
 
-    async def cancelled(self, pool: BackendPool, start: StartAttempt) -> None:
+    async def on_attempt_cancelled(self, pool: BackendPool, start: StartAttempt) -> None:
         """Do nothing: closing the connection is the only way to cancel a plain call."""
 
-    def tokens(self, attempt: RunningAttempt) -> int:
+    def received_tokens(self, attempt: RunningAttempt) -> int:
         """Return zero: a plain call has no tokens."""
         return 0
--- a/packages/turmericweir/turmericweir/callers/forward_app.py
+++ b/packages/turmericweir/turmericweir/callers/forward_app.py
@@ -13,7 +13,7 @@
 from turmericweir.answers.caller_answer import Caller
 from turmericweir.answers.caller_refusal import RefusedError
 from turmericweir.answers.forward_answer import ForwardAnswer
-from turmericweir.answers.forward_wire import RequestHead, Wire
+from turmericweir.answers.forward_wire import RequestHead, WireAdapter
 from turmericweir.callers.exchange import Exchange
 from turmericweir.callers.http_server import CONNECTION_KEY, LimitedProtocol
 from turmericweir.process import logs
@@ -40,10 +40,10 @@
 
     _node: Node
     _pool: BackendPool
-    _wire: Wire
+    _wire: WireAdapter
     _wait_for_settings_until: float
 
-    def __init__(self, node: Node, pool: BackendPool, wire: Wire) -> None:
+    def __init__(self, node: Node, pool: BackendPool, wire: WireAdapter) -> None:
         self._node = node
         self._pool = pool
         self._wire = wire
@@ -57,9 +57,9 @@
         connection = scope["state"][CONNECTION_KEY]
         assert isinstance(connection, LimitedProtocol)
         head = _read_head(scope, connection)
-        request_id = self._unique_id(self._wire.identify(head))
+        request_id = self._unique_id(self._wire.request_id_for(head))
         caller = Caller(request_id, send, connection.coalescing_transport)
-        caller.should_close = self._node.stopping
+        caller.should_close = self._node.is_stopping
         try:
             await self._answer(connection, head, receive, caller)
         except RefusedError as exc:
@@ -73,7 +73,7 @@
         """Return the id, with a number appended if a running request has the same id."""
         unique_id = request_id
         number = 1
-        while unique_id in self._node.exchanges:
+        while unique_id in self._node.active_requests:
             number += 1
             unique_id = RequestId(f"{request_id}~{number}")
         return unique_id
@@ -89,7 +89,7 @@
             settings_version=state.settings_offset(),
         )
         caller.should_close = caller.should_close or exc.reason in _BODY_UNREAD_REASONS
-        await caller.write_problem(self._wire.refusal(caller.request_id, exc))
+        await caller.write_problem(self._wire.refusal_problem(caller.request_id, exc))
 
     async def _answer(
         self,
@@ -102,12 +102,12 @@
         body = await self._read_body(head, receive)
         if not state.has_settings:
             with anyio.CancelScope(deadline=self._wait_for_settings_until):
-                await self._node.settings_known.wait()
+                await self._node.settings_available.wait()
         if not state.has_settings:
             raise RefusedError(Reason.NO_SETTINGS)
         request_id = RequestId(caller.request_id)
         try:
-            parsed = self._wire.read(state.config, state.rng, head, body, request_id)
+            parsed = self._wire.parse_request(state.config, state.rng, head, body, request_id)
         except RefusedError as exc:
             if exc.reason in _SETTINGS_DENIALS and not document.can_reject_by_settings(
                 state, anyio.current_time()
@@ -115,15 +115,15 @@
                 raise RefusedError(Reason.SETTINGS_IN_DOUBT) from exc
             raise
         answer = ForwardAnswer(
-            caller, self._wire, lambda: self._node.stopping, parsed.call.resume_after
+            caller, self._wire, lambda: self._node.is_stopping, parsed.call.resume_after
         )
         job = ForwardJob(parsed.call, parsed.request, self._wire, answer)
         exchange = Exchange(self._node, self._pool, parsed.request, caller, job)
-        self._node.exchanges[request_id] = exchange
+        self._node.active_requests[request_id] = exchange
         try:
             is_complete = await exchange.run(connection)
         finally:
-            del self._node.exchanges[request_id]
+            del self._node.active_requests[request_id]
         if exchange.account is not None:
             self._log_end(exchange.account, head)
         if not is_complete:
@@ -182,5 +182,5 @@
         method=scope["method"].encode("ascii"),
         target=connection.url,
         headers=list(scope["headers"]),
-        arrived=anyio.current_time(),
+        arrived_at=anyio.current_time(),
     )
--- a/packages/turmericweir/turmericweir/callers/http_server.py
+++ b/packages/turmericweir/turmericweir/callers/http_server.py
@@ -24,7 +24,7 @@
 from turmericweir.answers.caller_refusal import new_request_id
 from turmericweir.callers.caller_transport import CoalescingTransport
 from turmericweir.callers.http_limits import HttpLimits
-from turmericweir.process.listening_socket import accept_waiting, take_no_more
+from turmericweir.process.listening_socket import accept_queued, ignore_new_connections
 from turmericweir_core.base.reasons import Reason
 
 if TYPE_CHECKING:
@@ -232,9 +232,9 @@
         accepts the ones in progress, and then waits for the first request on each of them.
         """
         for sock in sockets or []:
-            take_no_more(sock)
+            ignore_new_connections(sock)
         await asyncio.sleep(HANDSHAKE_WAIT_S)
-        accepted = [conn for sock in sockets or [] for conn in accept_waiting(sock)]
+        accepted = [conn for sock in sockets or [] for conn in accept_queued(sock)]
         for server in self.servers:
             server.close()
         loop = asyncio.get_running_loop()
--- a/packages/turmericweir/turmericweir/daemon.py
+++ b/packages/turmericweir/turmericweir/daemon.py
@@ -28,11 +28,11 @@
 from turmericweir.peers.peer_streams import PeerStreams
 from turmericweir.platform_client import PlatformClient
 from turmericweir.process import logs
-from turmericweir.process.listening_socket import address_of, bind
+from turmericweir.process.listening_socket import bind, bound_address
 from turmericweir.process.metrics import Metrics, NullMetrics, StatsdMetrics
 from turmericweir.process.node import Adapters, Node
 from turmericweir.process.process_settings import ProcessSettings
-from turmericweir.process.verdict_waiters import Operators
+from turmericweir.process.verdict_waiters import VerdictWaiters
 from turmericweir.servers.backend_pool import BackendPool
 from turmericweir.servers.server_calls import ServerCalls
 from turmericweir_core.base.ids import InstanceName
@@ -55,7 +55,7 @@
     streams: PeerStreams
     datagrams: PeerDatagrams
     servers: ServerCalls
-    operators: Operators
+    operators: VerdictWaiters
     metrics: Metrics
 
 
@@ -88,7 +88,7 @@
         streams=await stack.enter_async_context(PeerStreams(own_name, peer_address)),
         datagrams=await stack.enter_async_context(PeerDatagrams(own_name, peer_address)),
         servers=ServerCalls(pool),
-        operators=Operators(),
+        operators=VerdictWaiters(),
         metrics=_make_metrics(cfg, stack),
     )
 
@@ -149,7 +149,7 @@
 ) -> int:
     callers = HttpServer(CallerApp(node, parts.pool, cfg.limits), cfg.limits)
     views: dict[str, Callable[[], object]] = {
-        "idle_connections": parts.pool.counts,
+        "idle_connections": parts.pool.idle_counts,
         "pool": lambda: _connection_counts(parts.pool),
         "traffic": lambda: node.traffic,
         "live_instances": lambda: _live_instance_names(node),
@@ -161,7 +161,7 @@
         group.start_soon(_serve_http, admin, admin_socket)
         group.start_soon(_handle_signals, node, forced)
         group.start_soon(_cancel_on_event, forced, group.cancel_scope)
-        addresses = (address_of(caller_socket), address_of(admin_socket))
+        addresses = (bound_address(caller_socket), bound_address(admin_socket))
         group.start_soon(_report_listening, cfg.name, callers, admin, addresses)
         group.start_soon(_stop_callers_on_exit, node, callers)
         await _serve_http(callers, caller_socket)
@@ -176,7 +176,7 @@
 
 
 def _connection_counts(pool: BackendPool) -> dict[str, int]:
-    return {"opened": pool.opened, "reused": pool.reused}
+    return {"opened": pool.opened_count, "reused": pool.reused_count}
 
 
 async def _serve_http(server: HttpServer, sock: socket.socket) -> None:
@@ -198,16 +198,16 @@
 async def _handle_signals(node: Node, forced: anyio.Event) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for signum in signals:
-            if node.stopping and signum == signal.SIGINT:
-                logs.write("forced_stop", signal=signum.name, in_flight=len(node.exchanges))
+            if node.is_stopping and signum == signal.SIGINT:
+                logs.write("forced_stop", signal=signum.name, in_flight=len(node.active_requests))
                 forced.set()
-            elif not node.stopping:
+            elif not node.is_stopping:
                 logs.write("signal", signal=signum.name)
                 node.stop()
 
 
 async def _stop_callers_on_exit(node: Node, callers: HttpServer) -> None:
-    await node.exit_wanted.wait()
+    await node.exit_requested.wait()
     callers.stop()
 
 
--- a/packages/turmericweir/turmericweir/entry_daemon.py
+++ b/packages/turmericweir/turmericweir/entry_daemon.py
@@ -1,7 +1,7 @@
 """The daemon on a platform whose store contains the settings and the entries of the servers.
 
-It has the parts of `daemon`, except for the platform's adapters (`Border`): the HTTP headers, the
-reader of the store and the readiness port. A graceful stop has the same steps.
+It has the parts of `daemon`, except for the platform's adapters (`PlatformAdapters`): the HTTP
+headers, the reader of the store and the readiness port. A graceful stop has the same steps.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 from anyio.abc import TaskGroup
 from returns.pipeline import is_successful
 
-from turmericweir.answers.forward_wire import Wire
+from turmericweir.answers.forward_wire import WireAdapter
 from turmericweir.callers.forward_app import ForwardApp
 from turmericweir.callers.http_limits import HttpLimits
 from turmericweir.callers.http_server import HttpServer
@@ -41,9 +41,9 @@
 from turmericweir.process.listening_socket import bind
 from turmericweir.process.log_pipe import LogPipe
 from turmericweir.process.node import Adapters, DocumentPort, DutyPort, Node, PlatformPort
-from turmericweir.process.prometheus_metrics import MetricsApp, PageMetrics
+from turmericweir.process.prometheus_metrics import MetricsApp, PrometheusMetrics
 from turmericweir.servers.backend_pool import BackendPool
-from turmericweir.servers.connection_probes import EntryCalls
+from turmericweir.servers.connection_probes import ConnectionProbes
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.options import Options
 from turmericweir_core.base.store_times import derive_store_times
@@ -111,7 +111,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Duties:
+class DutyAdapters:
     """The adapters of a platform that has duties with one holder at a time."""
 
     client: DutyClient
@@ -121,16 +121,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Border:
+class PlatformAdapters:
     """The adapters of a platform."""
 
-    wire: Wire
+    wire: WireAdapter
     # Creates the reader of the store.
-    follower: Callable[[BackendPool, EntrySettings], StoreFollower]
+    make_follower: Callable[[BackendPool, EntrySettings], StoreFollower]
     # Creates the readiness application from a function that returns whether the process is ready.
-    readiness: Callable[[Callable[[], bool]], ASGI3Application]
+    make_readiness_app: Callable[[Callable[[], bool]], ASGI3Application]
     # Creates the adapters of the duties; called only if the settings contain duties.
-    duties: Callable[[BackendPool, EntrySettings, DutiesSettings], Duties]
+    make_duty_adapters: Callable[[BackendPool, EntrySettings, DutiesSettings], DutyAdapters]
 
 
 class SettingsHttpLimits:
@@ -227,7 +227,7 @@
     return state
 
 
-def _add_duties(state: State, cfg: DutiesSettings, duties: Duties) -> Reducer:
+def _add_duties(state: State, cfg: DutiesSettings, duties: DutyAdapters) -> Reducer:
     """Add the duties to the state and return the reducer that performs them."""
     from turmericweir_core.reducers import reducer_duties
 
@@ -252,7 +252,7 @@
 async def run(
     path: Path,
     cfg: EntrySettings,
-    border: Border,
+    border: PlatformAdapters,
     callers: socket.socket,
     is_stop_requested: Callable[[], bool],
 ) -> int:
@@ -268,14 +268,14 @@
         pool = await stack.enter_async_context(BackendPool())
         streams = await stack.enter_async_context(PeerStreams(own_name, cfg.peer_address))
         datagrams = await stack.enter_async_context(PeerDatagrams(own_name, cfg.peer_address))
-        servers = EntryCalls(pool)
-        metrics = PageMetrics()
-        follower = border.follower(pool, cfg)
+        servers = ConnectionProbes(pool)
+        metrics = PrometheusMetrics()
+        follower = border.make_follower(pool, cfg)
         state = make_state(cfg)
         reduce: Reducer = reducer_store.reduce
-        duties: Duties | None = None
+        duties: DutyAdapters | None = None
         if cfg.duties is not None:
-            duties = border.duties(pool, cfg, cfg.duties)
+            duties = border.make_duty_adapters(pool, cfg, cfg.duties)
             reduce = _add_duties(state, cfg.duties, duties)
         adapters = Adapters(
             streams,
@@ -295,7 +295,7 @@
                 duties.log.attach(node)
                 group.start_soon(_read_clock_forever, node)
             node.handle(SeedsGiven(cfg.peer_seeds))
-            metrics.watch(
+            metrics.add_gauge(
                 "turmericweir_settings_version",
                 "The version of the settings in force here.",
                 lambda: node.state.settings_offset(),
@@ -307,7 +307,7 @@
             group.start_soon(_handle_signals, node, is_stop_requested)
             await _serve(cfg, node, pool, border, metrics, sockets)
             group.cancel_scope.cancel()
-        logs.write("stopped", in_flight=len(node.exchanges))
+        logs.write("stopped", in_flight=len(node.active_requests))
     return 0
 
 
@@ -360,7 +360,7 @@
 def is_ready(node: Node) -> bool:
     """Return whether the instance can serve callers: it has servers and recent settings."""
     state = node.state
-    if not node.ready or state.servers.listed_at is None:
+    if not node.is_ready or state.servers.listed_at is None:
         return False
     return proof_age_s(state, anyio.current_time()) <= state.options.key_proof_s
 
@@ -369,18 +369,18 @@
     cfg: EntrySettings,
     node: Node,
     pool: BackendPool,
-    border: Border,
-    metrics: PageMetrics,
+    border: PlatformAdapters,
+    metrics: PrometheusMetrics,
     sockets: _Sockets,
 ) -> None:
     limits: HttpLimits = SettingsHttpLimits(node.state)
     callers = HttpServer(ForwardApp(node, pool, border.wire), limits)
-    readiness = HttpServer(border.readiness(lambda: is_ready(node)), limits)
+    readiness = HttpServer(border.make_readiness_app(lambda: is_ready(node)), limits)
     async with anyio.create_task_group() as group:
         group.start_soon(_serve_http, readiness, sockets.readiness)
         if sockets.admin is not None:
             views: dict[str, Callable[[], object]] = {
-                "idle_connections": pool.counts,
+                "idle_connections": pool.idle_counts,
                 "traffic": lambda: node.traffic,
             }
             admin = EntryAdmin(node, views, lambda: is_ready(node), cfg.admin_token_sha256)
@@ -447,23 +447,23 @@
 async def _handle_signals(node: Node, is_stop_requested: Callable[[], bool]) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT, signal.SIGHUP) as signals:
         # Checked after the receiver is open, which prevents the loss of a signal.
-        if is_stop_requested() and not node.stopping:
-            logs.write("signal", signal="SIGTERM", in_flight=len(node.exchanges))
+        if is_stop_requested() and not node.is_stopping:
+            logs.write("signal", signal="SIGTERM", in_flight=len(node.active_requests))
             node.stop()
         async for signum in signals:
-            logs.write("signal", signal=signum.name, in_flight=len(node.exchanges))
-            if signum != signal.SIGHUP and not node.stopping:
+            logs.write("signal", signal=signum.name, in_flight=len(node.active_requests))
+            if signum != signal.SIGHUP and not node.is_stopping:
                 node.stop()
 
 
 async def _stop_on_exit(node: Node, callers: HttpServer, scope: anyio.CancelScope) -> None:
-    await node.exit_wanted.wait()
-    if node.exchanges:
+    await node.exit_requested.wait()
+    if node.active_requests:
         # The stop limit has passed. Resets the connections of running requests, which prevents
         # callers from treating partial answers as complete.
-        for exchange in list(node.exchanges.values()):
+        for exchange in list(node.active_requests.values()):
             with contextlib.suppress(Exception):
-                exchange.fail(TimeoutError("the stop time limit has passed"))
+                exchange.abort_request(TimeoutError("the stop time limit has passed"))
         scope.cancel()
         return
     callers.stop()
--- a/packages/turmericweir/turmericweir/operations/admin_app.py
+++ b/packages/turmericweir/turmericweir/operations/admin_app.py
@@ -66,7 +66,7 @@
         elif path == "/healthz":
             await send_json(send, 200, {"healthy": True})
         elif path == "/readyz":
-            await send_json(send, 200 if self._node.ready else 503, self._readiness())
+            await send_json(send, 200 if self._node.is_ready else 503, self._readiness())
         elif path == "/state":
             await serve_operator(scope, receive, send, self._answer_state)
         elif path == "/instances":
@@ -86,9 +86,9 @@
 
     def _readiness(self) -> dict[str, bool]:
         return {
-            "ready": self._node.ready,
+            "ready": self._node.is_ready,
             "has_settings": self._node.state.has_settings,
-            "stopping": self._node.stopping,
+            "stopping": self._node.is_stopping,
         }
 
     def _state(self) -> dict[str, Any]:
--- a/packages/turmericweir/turmericweir/operations/entry_admin.py
+++ b/packages/turmericweir/turmericweir/operations/entry_admin.py
@@ -89,7 +89,7 @@
         return {
             "ready": self._is_ready(),
             "has_settings": self._node.state.has_settings,
-            "stopping": self._node.stopping,
+            "stopping": self._node.is_stopping,
         }
 
     def _duties(self) -> dict[str, Any]:
--- a/packages/turmericweir/turmericweir/operations/operator_port.py
+++ b/packages/turmericweir/turmericweir/operations/operator_port.py
@@ -12,7 +12,7 @@
 from turmericweir.operations.settings_app import SettingsApp
 from turmericweir.process.node import Node
 from turmericweir.process.process_settings import AdminToken
-from turmericweir.process.verdict_waiters import Operators
+from turmericweir.process.verdict_waiters import VerdictWaiters
 
 if TYPE_CHECKING:
     from uvicorn._types import ASGIReceiveCallable, ASGISendCallable, Scope
@@ -28,7 +28,7 @@
         self,
         node: Node,
         views: Mapping[str, Callable[[], object]],
-        operators: Operators,
+        operators: VerdictWaiters,
         tokens: Iterable[AdminToken],
     ) -> None:
         auth = OperatorAuth(tokens)
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -29,7 +29,7 @@
 from turmericweir.operations.operator_auth import TOKEN_EXPECTED, OperatorAuth, Principal
 from turmericweir.operations.operator_http import OperatorRequest, ProblemError, serve_operator
 from turmericweir.process.node import Node
-from turmericweir.process.verdict_waiters import Operators
+from turmericweir.process.verdict_waiters import VerdictWaiters
 from turmericweir_core.messages.events import ChangeSubmitted
 from turmericweir_core.records.settings_model import SettingsEntry, read_value, validation_text
 from turmericweir_core.records.settings_path import SettingsError, is_in_subtree, parse_path
@@ -101,10 +101,10 @@
     """Answers requests to read or change settings."""
 
     _node: Node
-    _operators: Operators
+    _operators: VerdictWaiters
     _auth: OperatorAuth
 
-    def __init__(self, node: Node, operators: Operators, auth: OperatorAuth) -> None:
+    def __init__(self, node: Node, operators: VerdictWaiters, auth: OperatorAuth) -> None:
         self._node = node
         self._operators = operators
         self._auth = auth
--- a/packages/turmericweir/turmericweir/platform_client.py
+++ b/packages/turmericweir/turmericweir/platform_client.py
@@ -300,7 +300,7 @@
 
     # The weight store.
 
-    def ask_weights(self, effect: RequestLoadPermit) -> None:
+    def request_load_permit(self, effect: RequestLoadPermit) -> None:
         """Request a permit to load a model, in the background."""
         self._node.in_background(self._request_load_permit, effect)
 
--- a/packages/turmericweir/turmericweir/process/listening_socket.py
+++ b/packages/turmericweir/turmericweir/process/listening_socket.py
@@ -44,13 +44,13 @@
     return sock
 
 
-def address_of(sock: socket.socket) -> str:
+def bound_address(sock: socket.socket) -> str:
     """Return the address that a socket is bound to, with the port that the system chose."""
     host, port = sock.getsockname()[:2]
     return f"{host}:{port}"
 
 
-def take_no_more(sock: socket.socket) -> None:
+def ignore_new_connections(sock: socket.socket) -> None:
     """Make the system ignore new connections until the socket is closed.
 
     Prevents connections from being reset between the last `accept` and the close. An ignored client
@@ -64,7 +64,7 @@
         sock.setsockopt(socket.SOL_SOCKET, _SO_ATTACH_FILTER, program)
 
 
-def accept_waiting(sock: socket.socket) -> list[socket.socket]:
+def accept_queued(sock: socket.socket) -> list[socket.socket]:
     """Accept and return the connections that are queued in the system."""
     accepted: list[socket.socket] = []
     while True:
--- a/packages/turmericweir/turmericweir/process/node.py
+++ b/packages/turmericweir/turmericweir/process/node.py
@@ -66,7 +66,7 @@
 class ActiveRequest(Protocol):
     """The interface for effects on a request that runs in its caller's task."""
 
-    def decide(self, decision: StartAttempt | FinishRequest) -> None:
+    def add_decision(self, decision: StartAttempt | FinishRequest) -> None:
         """Apply a decision of the reducer."""
 
     def replay(self, effect: ReplayAnswer) -> None:
@@ -75,10 +75,10 @@
     def cancel(self, effect: CancelAttempt) -> None:
         """Stop an attempt."""
 
-    def fail(self, fault: BaseException) -> None:
+    def abort_request(self, fault: BaseException) -> None:
         """End the request after an unexpected exception."""
 
-    def check_caller(self, now: float, unread_s: float) -> None:
+    def check_blocked_caller(self, now: float, unread_s: float) -> None:
         """End the request if the caller has stopped reading."""
 
 
@@ -91,7 +91,7 @@
     def read(self, effect: ReadLog) -> None:
         """Read a stream immediately."""
 
-    def ask_weights(self, effect: RequestLoadPermit) -> None:
+    def request_load_permit(self, effect: RequestLoadPermit) -> None:
         """Request the loading of model weights."""
 
 
@@ -166,11 +166,11 @@
 
     state: State
     # Active requests, each of which runs in its caller's task.
-    exchanges: dict[RequestId, ActiveRequest]
+    active_requests: dict[RequestId, ActiveRequest]
     # Set when all requests have ended after a stop.
-    exit_wanted: anyio.Event
+    exit_requested: anyio.Event
     # Set when the instance has settings.
-    settings_known: anyio.Event
+    settings_available: anyio.Event
     _reduce: Reducer
     _adapters: Adapters
     # Runs background tasks.
@@ -194,9 +194,9 @@
     ) -> None:
         self.state = state
         self._reduce = reduce
-        self.exchanges = {}
-        self.exit_wanted = anyio.Event()
-        self.settings_known = anyio.Event()
+        self.active_requests = {}
+        self.exit_requested = anyio.Event()
+        self.settings_available = anyio.Event()
         self._adapters = adapters
         self._background_tasks = group
         self._pending_events = deque()
@@ -226,8 +226,8 @@
             logs.write_fault("reduce", type(event).__name__, exc)
             self._adapters.metrics.count("fault.reduce")
             self._fail_request(event, exc)
-        if self.state.has_settings and not self.settings_known.is_set():
-            self.settings_known.set()
+        if self.state.has_settings and not self.settings_available.is_set():
+            self.settings_available.set()
 
     def _fail_request(self, event: Event, fault: Exception) -> None:
         match event:
@@ -237,9 +237,9 @@
                 request_id = event.request_id
             case _:
                 return
-        exchange = self.exchanges.get(request_id)
+        exchange = self.active_requests.get(request_id)
         if exchange is not None:
-            exchange.fail(fault)
+            exchange.abort_request(fault)
 
     def _perform(self, effect: Effect) -> None:
         match effect:
@@ -248,11 +248,11 @@
             case FinishRequest():
                 self._pass_decision(RequestId(effect.account.request_id), effect)
             case ReplayAnswer():
-                exchange = self.exchanges.get(effect.request_id)
+                exchange = self.active_requests.get(effect.request_id)
                 if exchange is not None:
                     exchange.replay(effect)
             case CancelAttempt():
-                exchange = self.exchanges.get(effect.request_id)
+                exchange = self.active_requests.get(effect.request_id)
                 if exchange is not None:
                     exchange.cancel(effect)
             case Count():
@@ -276,7 +276,7 @@
             case ReadLog():
                 _require_adapter(self._adapters.platform).read(effect)
             case RequestLoadPermit():
-                _require_adapter(self._adapters.platform).ask_weights(effect)
+                _require_adapter(self._adapters.platform).request_load_permit(effect)
             case ReportVerdict():
                 _require_adapter(self._adapters.operators).settle(effect)
             case DecodeDocument():
@@ -286,14 +286,14 @@
             case OrderServers():
                 _require_adapter(self._adapters.duties).order(effect)
             case Exit():
-                self.exit_wanted.set()
+                self.exit_requested.set()
             case unreachable:
                 assert_never(unreachable)
 
     def _pass_decision(self, request_id: RequestId, decision: StartAttempt | FinishRequest) -> None:
-        exchange = self.exchanges.get(request_id)
+        exchange = self.active_requests.get(request_id)
         if exchange is not None:
-            exchange.decide(decision)
+            exchange.add_decision(decision)
 
     def count(self, name: str, by: int = 1) -> None:
         """Add to a counter, for an adapter."""
@@ -306,12 +306,12 @@
         self._background_tasks.start_soon(_run_logged, work, args)
 
     @property
-    def ready(self) -> bool:
+    def is_ready(self) -> bool:
         """Return whether the balancer should send callers to this instance."""
         return self.state.has_settings and self.state.stopping_since is None
 
     @property
-    def stopping(self) -> bool:
+    def is_stopping(self) -> bool:
         """Return whether a graceful stop was requested."""
         return self.state.stopping_since is not None
 
@@ -326,8 +326,8 @@
             await anyio.sleep(self.state.options.tick_s)
             now = anyio.current_time()
             self.handle(Tick())
-            for exchange in list(self.exchanges.values()):
-                exchange.check_caller(now, self._unread_s)
+            for exchange in list(self.active_requests.values()):
+                exchange.check_blocked_caller(now, self._unread_s)
             if now >= next_flush_at:
                 next_flush_at = now + _FLUSH_INTERVAL_S
                 self._adapters.metrics.flush()
--- a/packages/turmericweir/turmericweir/process/prometheus_metrics.py
+++ b/packages/turmericweir/turmericweir/process/prometheus_metrics.py
@@ -15,7 +15,7 @@
 _CONTENT_TYPE: Final = b"text/plain; version=0.0.4; charset=utf-8"
 
 
-class PageMetrics:
+class PrometheusMetrics:
     """Stores the metrics of this process until a collector fetches them."""
 
     _registry: CollectorRegistry
@@ -38,7 +38,7 @@
             registry=self._registry,
         )
 
-    def watch(self, name: str, help_text: str, value: Callable[[], float]) -> None:
+    def add_gauge(self, name: str, help_text: str, value: Callable[[], float]) -> None:
         """Add a gauge whose value is computed for each page."""
         Gauge(name, help_text, registry=self._registry).set_function(value)
 
@@ -61,7 +61,7 @@
 class MetricsApp:
     """Answers requests of the collector at any path."""
 
-    def __init__(self, metrics: PageMetrics) -> None:
+    def __init__(self, metrics: PrometheusMetrics) -> None:
         self._metrics = metrics
 
     async def __call__(
--- a/packages/turmericweir/turmericweir/process/verdict_waiters.py
+++ b/packages/turmericweir/turmericweir/process/verdict_waiters.py
@@ -13,7 +13,7 @@
 from turmericweir_core.messages.effects import ReportVerdict
 
 
-class Operators:
+class VerdictWaiters:
     """The requests that wait for a verdict on a change."""
 
     # By change id.
--- a/packages/turmericweir/turmericweir/servers/backend_attempt.py
+++ b/packages/turmericweir/turmericweir/servers/backend_attempt.py
@@ -53,13 +53,21 @@
 class Attempt:
     """Sends one request, passes the answer to a consumer and classifies the end."""
 
-    __slots__ = ("_check_alive", "_first_byte", "_is_reused", "broke", "node", "pool", "start")
+    __slots__ = (
+        "_check_alive",
+        "_first_byte",
+        "_is_reused",
+        "connection_error",
+        "node",
+        "pool",
+        "start",
+    )
 
     node: Node
     pool: BackendPool
     start: StartAttempt
     # The connection error that occurred after the first byte was written; empty without one.
-    broke: str
+    connection_error: str
     _first_byte: FirstByteCallback
     # The connection has carried an earlier request.
     _is_reused: bool
@@ -76,12 +84,12 @@
         self.node = node
         self.pool = pool
         self.start = start
-        self.broke = ""
+        self.connection_error = ""
         self._first_byte = FirstByteCallback(self._report_sent)
         self._is_reused = False
 
     @property
-    def sent(self) -> bool:
+    def may_have_started(self) -> bool:
         """Return whether the server may have started."""
         return self._first_byte.sent
 
@@ -111,9 +119,9 @@
 
     async def classify_loss(self, error: str) -> AttemptEnd:
         """Classify a connection error by whether anything had been written."""
-        if not self.sent:
+        if not self.may_have_started:
             return EndUnsent(error)
-        self.broke = error
+        self.connection_error = error
         return EndBroken(error, await self._check_alive(self.pool, self.start.address))
 
     async def read_refusal(
--- a/packages/turmericweir/turmericweir/servers/backend_engine.py
+++ b/packages/turmericweir/turmericweir/servers/backend_engine.py
@@ -78,22 +78,24 @@
         self.tokens = 0
 
     @property
-    def sent(self) -> bool:
+    def may_have_started(self) -> bool:
         """Return whether the engine may have started."""
-        return self._attempt.sent
+        return self._attempt.may_have_started
 
     @property
-    def broke(self) -> str:
+    def connection_error(self) -> str:
         """Return the error that broke the connection; empty without one."""
-        return self._attempt.broke
+        return self._attempt.connection_error
 
     async def run(self) -> AttemptEnd:
         """Run the attempt to its end."""
         start = self._start
-        self._answer.restart_at(start.resume_from)
+        self._answer.prepare_resume(start.resume_from)
         body = self._body
         if start.resume_from > 0:
-            body = _with_resume(body, start.resume_from, self._answer.text(start.resume_from))
+            body = _with_resume(
+                body, start.resume_from, self._answer.first_tokens_text(start.resume_from)
+            )
         headers = [*_HEADERS, *attempt_headers(start), (PRIORITY, b"%d" % start.priority)]
         request = make_request(b"POST", start.address, _PATH, headers, body)
         return await self._attempt.run(lambda: request, self._consume)
@@ -113,16 +115,18 @@
             return EndBroken("the answer belongs to another attempt", server_alive=True)
         if is_stream:
             return await self._stream(response)
-        self._answer.whole(status, content_type, await read_body(response, _BODY_MAX_BYTES))
+        self._answer.set_whole_answer(
+            status, content_type, await read_body(response, _BODY_MAX_BYTES)
+        )
         return EndComplete(status)
 
     async def _stream(self, response: httpcore.Response) -> AttemptEnd:
         partial = b""
         chunks = body_of(response)
         async for chunk in chunks:
-            events, partial = sse.split_whole(partial + chunk if partial else chunk)
+            events, partial = sse.split_complete_events(partial + chunk if partial else chunk)
             if events:
-                before_error = sse.cut_at_error(events)
+                before_error = sse.events_before_error(events)
                 if before_error is not None:
                     await self._deliver(before_error)
                     return EndBroken("the engine reported an error", server_alive=True)
@@ -136,13 +140,13 @@
         return await self._attempt.classify_loss("the stream ended without [DONE]")
 
     async def _deliver(self, events: bytes) -> None:
-        tokens = sse.count_data(events)
+        tokens = sse.count_data_events(events)
         if tokens:
             self.tokens += tokens
             start = self._start
             # Stored before the reducer counts the tokens as delivered. Prevents a retry that
             # resumes after these tokens from missing them.
-            self._answer.keep(events)
+            self._answer.buffer_events(events)
             self._node.handle(AttemptProgress(start.request_id, start.attempt_id, tokens))
             await self._answer.flush()
 
--- a/packages/turmericweir/turmericweir/servers/backend_pool.py
+++ b/packages/turmericweir/turmericweir/servers/backend_pool.py
@@ -99,14 +99,14 @@
     # By address: connections opened up to this time are not reused.
     _distrusted_at: dict[str, float]
     # Counts of opened and reused connections, for the state dump.
-    opened: int
-    reused: int
+    opened_count: int
+    reused_count: int
 
     def __init__(self) -> None:
         self._idle = defaultdict(list)
         self._distrusted_at = {}
-        self.opened = 0
-        self.reused = 0
+        self.opened_count = 0
+        self.reused_count = 0
 
     async def __aenter__(self) -> Self:
         return self
@@ -132,12 +132,12 @@
         while idle and anyio.current_time() - idle[-1][0] < idle_max_s:
             _, conn = idle.pop()
             if self._can_reuse(address, conn):
-                self.reused += 1
+                self.reused_count += 1
                 conn.is_reused = True
                 return conn
             await conn.close()
         stream = await connect(address)
-        self.opened += 1
+        self.opened_count += 1
         return BackendConnection(address, stream)
 
     async def release(self, address: str, conn: BackendConnection) -> None:
@@ -158,7 +158,7 @@
     def _can_reuse(self, address: str, conn: BackendConnection) -> bool:
         return self._is_trusted(address, conn) and not conn.is_closed_by_server
 
-    def counts(self) -> dict[str, int]:
+    def idle_counts(self) -> dict[str, int]:
         """Return the number of idle connections by address, for the state dump."""
         return {address: len(idle) for address, idle in self._idle.items() if idle}
 
--- a/packages/turmericweir/turmericweir/servers/backend_service.py
+++ b/packages/turmericweir/turmericweir/servers/backend_service.py
@@ -12,7 +12,7 @@
 
 import httpcore
 
-from turmericweir.answers.hop_by_hop import HOP_BY_HOP, named_by_connection
+from turmericweir.answers.hop_by_hop import HOP_BY_HOP, connection_header_names
 from turmericweir.servers.backend_attempt import (
     ATTEMPT_ID,
     LEAVING,
@@ -62,7 +62,7 @@
 def _end_to_end_headers(
     headers: list[tuple[bytes, bytes]], dropped: frozenset[bytes]
 ) -> tuple[tuple[bytes, bytes], ...]:
-    connection_headers = named_by_connection(headers)
+    connection_headers = connection_header_names(headers)
     return tuple(
         (name, value)
         for name, value in headers
@@ -103,14 +103,14 @@
         self._answer = answer
 
     @property
-    def sent(self) -> bool:
+    def may_have_started(self) -> bool:
         """Return whether the service may have started."""
-        return self._attempt.sent
+        return self._attempt.may_have_started
 
     @property
-    def broke(self) -> str:
+    def connection_error(self) -> str:
         """Return the error that broke the connection; empty without one."""
-        return self._attempt.broke
+        return self._attempt.connection_error
 
     async def run(self) -> AttemptEnd:
         """Run the attempt to its end."""
@@ -130,12 +130,12 @@
             return EndBroken("the answer belongs to another attempt", server_alive=True)
         response_headers = [(name.lower(), value) for name, value in response.headers]
         answer = self._answer
-        answer.begin(response.status, _end_to_end_headers(response_headers, _NOT_RETURNED))
+        answer.begin_answer(response.status, _end_to_end_headers(response_headers, _NOT_RETURNED))
         async for chunk in body_of(response):
-            answer.keep(chunk)
-            if not answer.is_whole:
+            answer.buffer_body(chunk)
+            if not answer.has_announced_length:
                 # Reports that the caller receives a part, which rules out a retry.
                 start = self._start
                 self._node.handle(AttemptProgress(start.request_id, start.attempt_id, 1))
                 await answer.flush()
-        return EndComplete(response.status, answer.kept())
+        return EndComplete(response.status, answer.answer_to_store())
--- a/packages/turmericweir/turmericweir/servers/connection_probes.py
+++ b/packages/turmericweir/turmericweir/servers/connection_probes.py
@@ -19,7 +19,7 @@
 _MAX_CONCURRENT_PROBES: Final = 2
 
 
-class EntryCalls:
+class ConnectionProbes:
     """Checks whether a server that failed accepts connections again."""
 
     _node: Node
--- a/packages/turmericweir/turmericweir/servers/forward.py
+++ b/packages/turmericweir/turmericweir/servers/forward.py
@@ -1,8 +1,8 @@
 """Forward a caller's request to a server and return the server's answer, both unchanged.
 
-The `Wire` translates the headers; method, path and body stay the same. The end of an attempt is one
-of four: nothing was written, the server reported that it did not run the request, the complete
-answer was received, or the outcome is unknown.
+The `WireAdapter` translates the headers; method, path and body stay the same. The end of an attempt
+is one of four: nothing was written, the server reported that it did not run the request, the
+complete answer was received, or the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -13,8 +13,15 @@
 import httpcore
 
 from turmericweir.answers.forward_answer import ForwardAnswer
-from turmericweir.answers.forward_events import EventCutter, count_events
-from turmericweir.answers.forward_wire import ForwardCall, Headers, NotRun, Passable, Spoiled, Wire
+from turmericweir.answers.forward_events import EventSplitter, count_event_ends
+from turmericweir.answers.forward_wire import (
+    AnswerAccepted,
+    AnswerNotRun,
+    AnswerRejected,
+    ForwardCall,
+    Headers,
+    WireAdapter,
+)
 from turmericweir.servers.backend_attempt import Attempt, can_connect, read_tail
 from turmericweir.servers.backend_call import body_of, lower_headers
 from turmericweir_core.base.request import Request
@@ -47,24 +54,24 @@
     answer: ForwardAnswer
     _call: ForwardCall
     _request: Request
-    _wire: Wire
+    _wire: WireAdapter
 
     def __init__(
-        self, call: ForwardCall, request: Request, wire: Wire, answer: ForwardAnswer
+        self, call: ForwardCall, request: Request, wire: WireAdapter, answer: ForwardAnswer
     ) -> None:
         self._call = call
         self._request = request
         self._wire = wire
         self.answer = answer
 
-    def attempt(self, node: Node, pool: BackendPool, start: StartAttempt) -> ForwardAttempt:
+    def make_attempt(self, node: Node, pool: BackendPool, start: StartAttempt) -> ForwardAttempt:
         """Return a new attempt on a server."""
         return ForwardAttempt(node, pool, start, self)
 
-    async def cancelled(self, pool: BackendPool, start: StartAttempt) -> None:
+    async def on_attempt_cancelled(self, pool: BackendPool, start: StartAttempt) -> None:
         """Do nothing, since closing the connection cancels the request at the server."""
 
-    def tokens(self, attempt: object) -> int:
+    def received_tokens(self, attempt: object) -> int:
         """Return the number of events that an attempt has received."""
         return attempt.events if isinstance(attempt, ForwardAttempt) else 0
 
@@ -91,14 +98,14 @@
         self.events = 0
 
     @property
-    def sent(self) -> bool:
+    def may_have_started(self) -> bool:
         """Return whether the server may have started."""
-        return self._attempt.sent
+        return self._attempt.may_have_started
 
     @property
-    def broke(self) -> str:
+    def connection_error(self) -> str:
         """Return the error that broke the connection; empty without one."""
-        return self._attempt.broke
+        return self._attempt.connection_error
 
     async def run(self) -> AttemptEnd:
         """Run the attempt to its end."""
@@ -108,7 +115,7 @@
         call = self._call
         job = self._job
         remaining_s = max(0.001, job._request.deadline - anyio.current_time())
-        headers = job._wire.server_headers(call, self._start, remaining_s, job.answer.last_event)
+        headers = job._wire.server_headers(call, self._start, remaining_s, job.answer.last_event_id)
         if call.body:
             headers.append((b"content-length", b"%d" % len(call.body)))
         host, _, port = self._start.address.rpartition(":")
@@ -122,15 +129,15 @@
 
     async def _consume(self, response: httpcore.Response) -> AttemptEnd:
         headers = lower_headers(response)
-        verdict = self._job._wire.judge(self._call, response.status, headers)
+        verdict = self._job._wire.judge_answer(self._call, response.status, headers)
         match verdict:
-            case NotRun(leaving):
+            case AnswerNotRun(leaving):
                 await read_tail(response)
                 return EndRefused(response.status, leaving)
-            case Spoiled(error):
+            case AnswerRejected(error):
                 self._node.count("attempt.spoiled")
                 return EndBroken(error, server_alive=True)
-            case Passable():
+            case AnswerAccepted():
                 response_headers = [(name.lower(), value) for name, value in response.headers]
                 if self._call.streamed and response.status in _SUCCESS:
                     return await self._deliver_stream(response, response_headers)
@@ -140,22 +147,22 @@
 
     async def _deliver_stream(self, response: httpcore.Response, headers: Headers) -> AttemptEnd:
         answer = self._job.answer
-        answer.begin(response.status, headers)
-        cutter = EventCutter(answer.last_event) if self._call.resumable else None
+        answer.begin_answer(response.status, headers)
+        cutter = EventSplitter(answer.last_event_id) if self._call.resumable else None
         async for chunk in body_of(response):
             if cutter is None:
-                data, events = chunk, count_events(chunk)
+                data, events = chunk, count_event_ends(chunk)
             else:
                 try:
-                    data, events = cutter.take(chunk)
+                    data, events = cutter.split_chunk(chunk)
                 except ValueError as exc:
                     return EndBroken(str(exc), server_alive=True)
-                answer.last_event = cutter.last_event
-            answer.keep(data)
+                answer.last_event_id = cutter.last_event_id
+            answer.buffer_body(data)
             if events:
                 self._report_progress(events)
             await answer.flush()
-        if cutter is not None and cutter.has_rest:
+        if cutter is not None and cutter.has_partial_event:
             return EndBroken("the stream ended within an event", server_alive=True)
         return EndComplete(response.status)
 
@@ -166,18 +173,18 @@
 
     async def _deliver_body(self, response: httpcore.Response, headers: Headers) -> AttemptEnd:
         answer = self._job.answer
-        answer.begin(response.status, headers)
+        answer.begin_answer(response.status, headers)
         body = b""
         async for chunk in body_of(response):
             body += chunk
             if len(body) > BUFFER_MAX_BYTES:
                 # Reports that the caller receives a part, which rules out a retry.
                 self._report_progress(1)
-                answer.keep(body)
+                answer.buffer_body(body)
                 body = b""
                 await answer.flush()
         if response.status >= _SERVER_ERROR and self._job._request.repeatable:
-            answer.fail(response.status, headers, body)
+            answer.store_error_answer(response.status, headers, body)
             return EndServerError(response.status)
-        answer.keep(body)
+        answer.buffer_body(body)
         return EndComplete(response.status)
--- a/tests/core/limits/test_limit.py
+++ b/tests/core/limits/test_limit.py
@@ -18,26 +18,26 @@
 from turmericweir_core.limits.limit_home import Division, on_demand, rebalance
 from turmericweir_core.messages.peer_messages import LimitDemand
 from turmericweir_core.state.limit_state import Bucket, QuantityGrant, customer_key
-from turmericweir_standins.measure_limits import CUSTOMER, LimitWorld
+from turmericweir_standins.measure_limits import CUSTOMER, LimitSimulation
 
 RATE: Final = 40.0
 CLASS: Final = ServiceClass("any", 0, target_s=1.0)
 
 
-def count_admitted(world: LimitWorld, start: float, end: float) -> int:
+def count_admitted(world: LimitSimulation, start: float, end: float) -> int:
     """Return the number of requests admitted in an interval."""
     return sum(1 for admitted_at in world.tallies[CUSTOMER].admitted if start <= admitted_at < end)
 
 
-def overloaded_world(instances: int, *, centres: int = 1) -> LimitWorld:
+def overloaded_world(instances: int, *, centres: int = 1) -> LimitSimulation:
     """Return a world whose callers request twice their limit, with settled shares."""
-    world = LimitWorld(instances, {CUSTOMER: Limit(requests_s=RATE)}, centres=centres)
+    world = LimitSimulation(instances, {CUSTOMER: Limit(requests_s=RATE)}, centres=centres)
     world.offer(CUSTOMER, 2 * RATE, world.now, world.now + 300.0)
     world.run_until(world.now + 20.0)
     return world
 
 
-def max_admitted(world: LimitWorld, seconds: float) -> float:
+def max_admitted(world: LimitSimulation, seconds: float) -> float:
     """Return the most that may be admitted in an interval: the limit and each full bucket."""
     depth = sum(
         quantity.bucket.depth + 1
@@ -61,7 +61,7 @@
 
 def test_shares_follow_demand() -> None:
     # Shares follow requests that move to other instances, and the limit holds meanwhile.
-    world = LimitWorld(8, {CUSTOMER: Limit(requests_s=RATE)})
+    world = LimitSimulation(8, {CUSTOMER: Limit(requests_s=RATE)})
     names = list(world.states)
     middle = world.now + 30.0
     world.offer(CUSTOMER, 2 * RATE, world.now, middle, among=names[:2])
@@ -76,7 +76,7 @@
 def test_few_requests_below_the_limit_are_refused() -> None:
     # A customer below its limit is hardly refused although each instance receives few requests in
     # small bursts.
-    world = LimitWorld(8, {CUSTOMER: Limit(requests_s=RATE)})
+    world = LimitSimulation(8, {CUSTOMER: Limit(requests_s=RATE)})
     world.offer(CUSTOMER, 0.6 * RATE, world.now, world.now + 120.0)
     world.run_until(world.now + 120.0)
     tally = world.tallies[CUSTOMER]
@@ -97,7 +97,7 @@
 def test_new_home_grants_no_more_than_was_held() -> None:
     # The first instance that contacts a new home gets no more than it holds, and the rest once the
     # others had time to send requests.
-    world = LimitWorld(4, {CUSTOMER: Limit(requests_s=RATE)})
+    world = LimitSimulation(4, {CUSTOMER: Limit(requests_s=RATE)})
     first, second, *_ = world.states
     state = world.states[first]
     # Updates the live instances.
@@ -116,7 +116,7 @@
     # Each side of a partition grants only its part. Prevents both from admitting the whole limit.
     world = overloaded_world(8, centres=2)
     start = world.now
-    world.cut_off(world.centres[0])
+    world.partition_centre(world.centres[0])
     world.run_until(start + 60.0)
     assert count_admitted(world, start, world.now) <= max_admitted(world, 60.0)
     # Each side still admits its part once its home knows the demands.
@@ -134,9 +134,9 @@
     assert world.messages - sent < 20 * 8
 
 
-def one_instance(customer_limit: Limit, *, team: Limit | None = None) -> LimitWorld:
+def one_instance(customer_limit: Limit, *, team: Limit | None = None) -> LimitSimulation:
     """Return a world of one instance, with a limit of the customer and optionally of its team."""
-    world = LimitWorld(1, {CUSTOMER: customer_limit})
+    world = LimitSimulation(1, {CUSTOMER: customer_limit})
     if team is not None:
         world.config = Config(
             customers={CUSTOMER: Customer(CUSTOMER, team="herons", limit=customer_limit)},
@@ -147,7 +147,7 @@
     return world
 
 
-def request_of(world: LimitWorld, name: str, *, predicted: float = 0.0) -> Request:
+def request_of(world: LimitSimulation, name: str, *, predicted: float = 0.0) -> Request:
     """Return a request of the customer, whose team is `herons`."""
     return Request(
         request_id=RequestId(name),
@@ -246,7 +246,7 @@
     # Without an answer until its lease ends, a share shrinks to an even split, as others may hold
     # it.
     options = Options(rate_lease_s=5.0, rate_renew_s=3.0)
-    world = LimitWorld(4, {CUSTOMER: Limit(requests_s=RATE)}, options=options)
+    world = LimitSimulation(4, {CUSTOMER: Limit(requests_s=RATE)}, options=options)
     names = list(world.states)
     world.offer(CUSTOMER, 2 * RATE, world.now, world.now + 60.0, among=names[:1])
     world.run_until(world.now + 10.0)
@@ -254,7 +254,7 @@
     asker_name = next(name for name in names[:1])
     # The instance must not be its own home, which is always reachable.
     assert home != asker_name
-    world.dead.add(InstanceName(home))
+    world.killed.add(InstanceName(home))
     world.run_until(world.now + 10.0)
     holding = world.states[asker_name].rate_limits.held[customer_key(CUSTOMER)]
     assert holding.requests is not None
--- a/tests/ctl/fake_daemon.py
+++ b/tests/ctl/fake_daemon.py
@@ -18,11 +18,11 @@
 
 from turmericweir.callers.http_server import HttpServer
 from turmericweir.operations.operator_port import OperatorPort
-from turmericweir.process.listening_socket import address_of, bind
+from turmericweir.process.listening_socket import bind, bound_address
 from turmericweir.process.metrics import NullMetrics
 from turmericweir.process.node import Adapters, Node
 from turmericweir.process.process_settings import AdminToken, Limits
-from turmericweir.process.verdict_waiters import Operators
+from turmericweir.process.verdict_waiters import VerdictWaiters
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.base.options import Options
 from turmericweir_core.messages.effects import (
@@ -110,7 +110,7 @@
         """Deliver new records when the reducer requests a read."""
         self.deliver()
 
-    def ask_weights(self, effect: RequestLoadPermit) -> None:
+    def request_load_permit(self, effect: RequestLoadPermit) -> None:
         """Ignore the weight store."""
 
 
@@ -175,7 +175,7 @@
     stop: anyio.Event,
     portal: BlockingPortal,
 ) -> None:
-    operators, null_adapter = Operators(), NullAdapter()
+    operators, null_adapter = VerdictWaiters(), NullAdapter()
     adapters = Adapters(
         null_adapter, null_adapter, null_adapter, NullMetrics(), platform=log, operators=operators
     )
@@ -191,7 +191,7 @@
         group.start_soon(node.tick_forever)
         group.start_soon(server.serve, [sock])
         await server.listening.wait()
-        daemons.append(FakeDaemon(address_of(sock), log, node, portal))
+        daemons.append(FakeDaemon(bound_address(sock), log, node, portal))
         ready.set()
         await stop.wait()
         group.cancel_scope.cancel()
--- a/tests/daemon/single.py
+++ b/tests/daemon/single.py
@@ -20,8 +20,8 @@
     BackendGroup,
     Cluster,
     Deployment,
-    Listed,
-    digest,
+    ListedProcess,
+    digest_of_token,
     token_of,
 )
 from turmericweir_standins.procs import Process, call_json, free_address, wait_until
@@ -120,7 +120,7 @@
             "region": "home",
             "caller_address": self.address,
             "admin_address": self.admin_address,
-            "admin_tokens": [{"name": OPERATOR, "token_sha256": digest(OPERATOR_TOKEN)}],
+            "admin_tokens": [{"name": OPERATOR, "token_sha256": digest_of_token(OPERATOR_TOKEN)}],
             "peer_address": free_address(),
             "platform": {"address": self.cluster.platform.address},
             "stop_grace_s": 0.2,
@@ -145,9 +145,9 @@
         headers = {"Authorization": f"Bearer {OPERATOR_TOKEN}"}
         return call_json(self.admin_address, "GET", "/state", headers=headers).body
 
-    def list_raw(self, name: str, kind: str, service: str, address: str) -> None:
+    def list_test_server(self, name: str, kind: str, service: str, address: str) -> None:
         """Add a server of the test to the list and wait until the instance has read it."""
-        self.cluster.list_process(Listed(name, kind, service, "dc-1", address))
+        self.cluster.list_process(ListedProcess(name, kind, service, "dc-1", address))
         self.wait_server(name)
 
     def wait_report(self, name: str) -> None:
--- a/tests/daemon/test_backend_pool.py
+++ b/tests/daemon/test_backend_pool.py
@@ -49,7 +49,7 @@
             pool.distrust(address)
             await pool.release(address, in_use)
             fresh = await _use(pool, address)
-            assert (pool.opened, pool.reused) == (3, 0)
+            assert (pool.opened_count, pool.reused_count) == (3, 0)
             await pool.release(address, fresh)
             assert await _use(pool, address) is fresh
             assert fresh.is_reused
@@ -79,7 +79,7 @@
             elapsed_s[0] = 1.5 * VERIFIED_IDLE_MAX_S
             assert await pool.acquire(address, idle_max_s=VERIFIED_IDLE_MAX_S) is not first
             assert await pool.acquire(address) is first
-            assert (pool.opened, pool.reused) == (2, 2)
+            assert (pool.opened_count, pool.reused_count) == (2, 2)
             group.cancel_scope.cancel()
 
     anyio.run(scenario)
--- a/tests/daemon/test_codecs.py
+++ b/tests/daemon/test_codecs.py
@@ -81,23 +81,23 @@
     parts: list[bytes] = []
     partial = b""
     for start in range(0, len(stream), step):
-        events, partial = sse.split_whole(partial + stream[start : start + step])
+        events, partial = sse.split_complete_events(partial + stream[start : start + step])
         if events:
             assert events.endswith(b"\n\n")
             # Control sequences within a token's text must be ignored.
             assert not events.endswith(sse.DONE)
-            assert sse.cut_at_error(events) is None
+            assert sse.events_before_error(events) is None
             parts.append(events)
     assert partial == b""
     assert b"".join(parts) == stream
-    assert sum(map(sse.count_data, parts)) == 3
+    assert sum(map(sse.count_data_events, parts)) == 3
     assert sse.join_token_texts(parts, 2) == 'adata: [DONE]\n\n{"error"'
 
 
 def test_error_event_is_not_a_token() -> None:
     error = b'data: {"error": {"type": "cancelled"}}\n\n'
-    assert sse.cut_at_error(token("a") + error) == token("a")
-    assert sse.cut_at_error(error) == b""
+    assert sse.events_before_error(token("a") + error) == token("a")
+    assert sse.events_before_error(error) == b""
 
 
 @dataclass(slots=True)
--- a/tests/daemon/test_metrics.py
+++ b/tests/daemon/test_metrics.py
@@ -107,8 +107,8 @@
         leave_stream(single, "go on")
         pause_engine(single, statsd)
         with RawServer(answer, RAW_MODEL) as raw:
-            single.list_raw("raw-1", "plain", "raw", raw.address)
-            single.list_raw("raw-2", "engine", "raw-model", raw.address)
+            single.list_test_server("raw-1", "plain", "raw", raw.address)
+            single.list_test_server("raw-2", "engine", "raw-model", raw.address)
             # After its first report, an engine receives only requests for models it has loaded.
             single.wait_report("raw-2")
             single.call("POST", "/services/raw/refuse")
@@ -124,7 +124,7 @@
         )
         waiting.start()
         wait_until(lambda: single.state()["requests"] != {}, "a call waits")
-        single.list_raw("gone-1", "plain", "gone", free_address())
+        single.list_test_server("gone-1", "plain", "gone", free_address())
         servers = (f"{MODEL}-1", f"{SERVICE}-1", "raw-1", "raw-2", "gone-1")
 
         def missing() -> set[tuple[str, str]]:
--- a/tests/daemon/test_path.py
+++ b/tests/daemon/test_path.py
@@ -102,7 +102,7 @@
 
     with RawServer(answer) as raw:
         single.cluster.publish({"/services/raw": {"kind": "plain", "slots": 4}})
-        single.list_raw("raw-1", "plain", "raw", raw.address)
+        single.list_test_server("raw-1", "plain", "raw", raw.address)
         headers = {"X-Request-Id": "forged", "X-Colour": "red", "Connection": "X-Colour"}
         reply = single.call("GET", "/services/raw/any?x=1", headers=headers)
 
@@ -121,7 +121,7 @@
 
     with RawServer(answer) as raw:
         single.cluster.publish({"/services/busy": {"kind": "plain", "slots": 4}})
-        single.list_raw("busy-1", "plain", "busy", raw.address)
+        single.list_test_server("busy-1", "plain", "busy", raw.address)
         reply = single.call("POST", "/services/busy/any", b"x")
 
         assert (reply.status, reply.body) == (503, b"busy")
@@ -141,7 +141,7 @@
     with RawServer(answer) as raw:
         name = f"bare-{status}"
         single.cluster.publish({f"/services/{name}": {"kind": "plain", "slots": 4}})
-        single.list_raw(f"{name}-1", "plain", name, raw.address)
+        single.list_test_server(f"{name}-1", "plain", name, raw.address)
         reply = single.call(method, f"/services/{name}/any")
 
     assert (reply.status, reply.body) == (status, b"")
@@ -156,7 +156,7 @@
 
     with RawServer(answer) as raw:
         single.cluster.publish({"/services/cut": {"kind": "plain", "slots": 4}})
-        single.list_raw("cut-1", "plain", "cut", raw.address)
+        single.list_test_server("cut-1", "plain", "cut", raw.address)
         conn, response = single.open("GET", "/services/cut/any")
         with pytest.raises(ConnectionResetError):
             response.read()
@@ -177,7 +177,7 @@
 
     with RawServer(answer) as raw, Single(tmp_path, deployment(engines=1)) as instance:
         instance.wait_server(f"{MODEL}-1")
-        instance.list_raw("mixed-up", "engine", MODEL, raw.address)
+        instance.list_test_server("mixed-up", "engine", MODEL, raw.address)
         replies: list[Reply] = []
         while not raw.requests:
             replies.append(instance.complete(f"question {len(replies)}", 3, stream=True))
--- a/tests/failures/fault_cluster.py
+++ b/tests/failures/fault_cluster.py
@@ -19,7 +19,7 @@
 import orjson
 
 from tests.failures.cluster import SMALL
-from turmericweir_standins.deployment import Cluster, Deployment, Listed, token_of
+from turmericweir_standins.deployment import Cluster, Deployment, ListedProcess, token_of
 from turmericweir_standins.engine_answer import ChatMessage, answer_of
 from turmericweir_standins.procs import (
     Process,
@@ -66,13 +66,15 @@
         )
         super()._start()
 
-    def list_process(self, listed: Listed, state: str = "live", incarnation: str = "1") -> None:
+    def list_process(
+        self, listed: ListedProcess, state: str = "live", incarnation: str = "1"
+    ) -> None:
         """Put a process into the platform's list; a server gets the address of its route."""
         if listed.kind != "entry":
             listed = replace(listed, address=self._route_address(listed))
         super().list_process(listed, state, incarnation)
 
-    def _route_address(self, listed: Listed) -> str:
+    def _route_address(self, listed: ListedProcess) -> str:
         address = self.routes.get(listed.name)
         if address is None:
             address = self.routes[listed.name] = free_address()
--- a/tests/failures/member_cluster.py
+++ b/tests/failures/member_cluster.py
@@ -14,7 +14,7 @@
 from typing import Any, Final, Self
 
 from tests.failures.cluster import SMALL
-from turmericweir_standins.deployment import Instance, Listed, token_of
+from turmericweir_standins.deployment import Instance, ListedProcess, token_of
 from turmericweir_standins.peer_cluster import PeerCluster
 from turmericweir_standins.procs import JsonAnswer, call_json, wait_until
 from turmericweir_standins.record import read_records
@@ -40,7 +40,7 @@
         super().__init__(deployment, directory)
         self._stop_grace_s = stop_grace_s
 
-    def _process_settings(self, listed: Listed, admin_address: str) -> dict[str, Any]:
+    def _process_settings(self, listed: ListedProcess, admin_address: str) -> dict[str, Any]:
         cfg = super()._process_settings(listed, admin_address)
         return {**cfg, "stop_grace_s": self._stop_grace_s}
 
@@ -72,7 +72,7 @@
 
     def wait_all_live(self) -> None:
         """Wait until all running instances list each other as live."""
-        running = {it.name for it in self.instances.values() if it.process.running}
+        running = {it.name for it in self.instances.values() if it.process.is_running}
         for name in running:
             self.wait_live(name, running)
 
@@ -83,7 +83,7 @@
     def wait_flagged(self, server: str, flag: str) -> None:
         """Wait until every running instance has flagged a server as leaving or as drained."""
         for instance in self.instances.values():
-            if instance.process.running:
+            if instance.process.is_running:
                 what = f"{instance.name} has flagged {server} as {flag}"
                 has_flag = partial(self._has_flag, instance.name, server, flag)
                 wait_until(has_flag, what, EVENT_TIMEOUT_S)
--- a/tests/failures/test_limits.py
+++ b/tests/failures/test_limits.py
@@ -11,7 +11,7 @@
 from typing import Any, Final
 
 from tests.failures.fault_cluster import FaultCluster, runs_by_request, small
-from turmericweir_standins.deployment import digest, token_of
+from turmericweir_standins.deployment import digest_of_token, token_of
 from turmericweir_standins.procs import JsonAnswer, call_json, wait_until
 
 LIMITED: Final = "limited"
@@ -90,7 +90,11 @@
 def customer_value(**limit: float) -> dict[str, Any]:
     """Return the settings of the limited customer."""
     classes = {"shop": "counter", "*": "quick"}
-    return {"token_sha256": [digest(token_of(LIMITED))], "classes": classes, "limit": limit}
+    return {
+        "token_sha256": [digest_of_token(token_of(LIMITED))],
+        "classes": classes,
+        "limit": limit,
+    }
 
 
 def test_customer_limit_over_all_instances(tmp_path: Path) -> None:
--- a/tests/failures/test_regions.py
+++ b/tests/failures/test_regions.py
@@ -8,7 +8,7 @@
 from typing import Any, Final
 
 from tests.failures.member_cluster import CUSTOMER, EVENT_TIMEOUT_S, MemberCluster
-from turmericweir_standins.deployment import OPERATOR_TOKEN, Listed, token_of
+from turmericweir_standins.deployment import OPERATOR_TOKEN, ListedProcess, token_of
 from turmericweir_standins.procs import JsonAnswer, call_json, wait_until
 from turmericweir_standins.record import read_records
 
@@ -32,7 +32,7 @@
         self.deployment = replace(self.deployment, policy="credits")
         self.request_ids = {}
 
-    def _process_settings(self, listed: Listed, admin_address: str) -> dict[str, Any]:
+    def _process_settings(self, listed: ListedProcess, admin_address: str) -> dict[str, Any]:
         region = REGIONS[listed.data_centre]
         other_regions = [each for each in REGIONS.values() if each != region]
         cfg = super()._process_settings(listed, admin_address)
--- a/tests/failures/test_settings.py
+++ b/tests/failures/test_settings.py
@@ -20,8 +20,8 @@
 from turmericweir_standins.deployment import (
     OPERATOR_TOKEN,
     Instance,
-    Listed,
-    digest,
+    ListedProcess,
+    digest_of_token,
     settings_record,
     token_of,
 )
@@ -49,7 +49,10 @@
     SMALL,
     policy="counts",
     settings={
-        f"/operators/{name}": {"token_sha256": digest(token_of(name)), "paths": ["/limits"]}
+        f"/operators/{name}": {
+            "token_sha256": digest_of_token(token_of(name)),
+            "paths": ["/limits"],
+        }
         for name in (ANN, BEN)
     },
 )
@@ -61,7 +64,7 @@
     # Address to which the instances send their metrics.
     statsd_address: str | None = None
 
-    def _process_settings(self, listed: Listed, admin_address: str) -> dict[str, Any]:
+    def _process_settings(self, listed: ListedProcess, admin_address: str) -> dict[str, Any]:
         cfg = super()._process_settings(listed, admin_address)
         return {**cfg, "statsd": self.statsd_address, "stop_grace_s": 0.2}
 
--- a/tests/platform/test_duties.py
+++ b/tests/platform/test_duties.py
@@ -17,7 +17,7 @@
 
 def send_and_count_served(world: PlatformWorld, count: int) -> int:
     """Send requests to the running instances in turn; return how many were served."""
-    names = [name for name, instance in world.running.items() if instance.process.running]
+    names = [name for name, instance in world.running.items() if instance.process.is_running]
     statuses = [world.send_safe(instance=names[n % len(names)]).status for n in range(count)]
     return statuses.count(200)
 
@@ -132,5 +132,5 @@
 def test_invalid_duty_settings_prevent_the_start(tmp_path: Path) -> None:
     with PlatformWorld(tmp_path, instances=0, duties={**DUTIES, "window_s": 0}) as world:
         instance = world.add_instance("entry-1", wait=False)
-        until(lambda: not instance.process.running, "the process ends")
+        until(lambda: not instance.process.is_running, "the process ends")
         assert "duties.window_s" in instance.process.stderr_text()
--- a/tests/platform/test_translation.py
+++ b/tests/platform/test_translation.py
@@ -12,7 +12,13 @@
 
 from tests.platform.platform_world import HOST, KEY, document
 from turmericweir.answers.caller_refusal import RefusedError
-from turmericweir.answers.forward_wire import ForwardCall, NotRun, Passable, RequestHead, Spoiled
+from turmericweir.answers.forward_wire import (
+    AnswerAccepted,
+    AnswerNotRun,
+    AnswerRejected,
+    ForwardCall,
+    RequestHead,
+)
 from turmericweir.process.entry_settings import parse_entry_settings
 from turmericweir_core.base.account import Account, Outcome
 from turmericweir_core.base.config import Config, ServiceKind
@@ -113,7 +119,7 @@
 
 def test_no_key_is_required_without_customers() -> None:
     cfg = config(tenants=None)
-    inquiry = WIRE.read(cfg, Random(1), head("/shop/look/"), b"", RequestId("a1"))
+    inquiry = WIRE.parse_request(cfg, Random(1), head("/shop/look/"), b"", RequestId("a1"))
     assert inquiry.request.customer == ""
 
 
@@ -123,11 +129,14 @@
 def test_deadline_is_the_earlier_of_caller_and_route() -> None:
     cfg = config()
     short_wait = head("/shop/look/", (b"x-deadline-ms", b"400"))
-    request = WIRE.read(cfg, Random(1), short_wait, b"", RequestId("a1")).request
+    request = WIRE.parse_request(cfg, Random(1), short_wait, b"", RequestId("a1")).request
     # Leaves time to deliver an error before the deadline.
     assert 100.3 < request.deadline < 100.4
     long_wait = head("/shop/look/", (b"x-deadline-ms", b"90000"))
-    assert WIRE.read(cfg, Random(1), long_wait, b"", RequestId("a1")).request.deadline == 106.0
+    assert (
+        WIRE.parse_request(cfg, Random(1), long_wait, b"", RequestId("a1")).request.deadline
+        == 106.0
+    )
 
 
 @pytest.mark.parametrize(
@@ -146,7 +155,7 @@
     path: str, headers: tuple[tuple[bytes, bytes], ...], reason: Reason
 ) -> None:
     with pytest.raises(RefusedError) as refused:
-        WIRE.read(config(), Random(1), head(path, *headers), b"", RequestId("a1"))
+        WIRE.parse_request(config(), Random(1), head(path, *headers), b"", RequestId("a1"))
     assert refused.value.reason is reason
 
 
@@ -159,7 +168,7 @@
         (b"x-tenant", b"forged"),
         (b"x-own", b"kept"),
     )
-    call = WIRE.read(config(), Random(1), request_head, b"", RequestId("a1")).call
+    call = WIRE.parse_request(config(), Random(1), request_head, b"", RequestId("a1")).call
     names = {name for name, _ in call.headers}
     assert b"x-own" in names
     assert not names & {b"x-hop", b"x-key", b"connection", b"x-expect-instance"}
@@ -172,23 +181,23 @@
 @pytest.mark.parametrize(
     ("status", "headers", "verdict_class"),
     [
-        (200, {b"x-attempt-id": b"a1", b"x-server-signature": b"s"}, Passable),
-        (200, {b"x-attempt-id": b"a1"}, Spoiled),
-        (200, {b"x-attempt-id": b"a2", b"x-server-signature": b"s"}, Spoiled),
-        (200, {b"x-server-signature": b"s"}, Spoiled),
-        (500, {b"x-attempt-id": b"a1"}, Passable),
-        (503, {b"x-attempt-id": b"a1"}, Spoiled),
-        (429, {b"x-attempt-id": b"a1"}, Spoiled),
-        (408, {b"x-attempt-id": b"a1"}, Spoiled),
-        (503, {b"x-attempt-id": b"a1", b"x-not-executed": b"1"}, NotRun),
-        (503, {b"x-attempt-id": b"a2", b"x-not-executed": b"1"}, Spoiled),
-        (421, {}, NotRun),
+        (200, {b"x-attempt-id": b"a1", b"x-server-signature": b"s"}, AnswerAccepted),
+        (200, {b"x-attempt-id": b"a1"}, AnswerRejected),
+        (200, {b"x-attempt-id": b"a2", b"x-server-signature": b"s"}, AnswerRejected),
+        (200, {b"x-server-signature": b"s"}, AnswerRejected),
+        (500, {b"x-attempt-id": b"a1"}, AnswerAccepted),
+        (503, {b"x-attempt-id": b"a1"}, AnswerRejected),
+        (429, {b"x-attempt-id": b"a1"}, AnswerRejected),
+        (408, {b"x-attempt-id": b"a1"}, AnswerRejected),
+        (503, {b"x-attempt-id": b"a1", b"x-not-executed": b"1"}, AnswerNotRun),
+        (503, {b"x-attempt-id": b"a2", b"x-not-executed": b"1"}, AnswerRejected),
+        (421, {}, AnswerNotRun),
     ],
 )
 def test_verdict_on_an_answer_follows_from_status_and_headers(
     status: int, headers: dict[bytes, bytes], verdict_class: type[object]
 ) -> None:
-    assert isinstance(WIRE.judge(CALL, status, headers), verdict_class)
+    assert isinstance(WIRE.judge_answer(CALL, status, headers), verdict_class)
 
 
 # --- refusals ---
@@ -208,7 +217,7 @@
 def test_status_503_is_used_only_for_requests_that_were_not_run(
     outcome: Outcome, reason: Reason, status: int
 ) -> None:
-    problem = WIRE.problem(Account("a1", outcome, reason, "", retry_after_s=0.7))
+    problem = WIRE.account_problem(Account("a1", outcome, reason, "", retry_after_s=0.7))
     headers = dict(problem.headers)
     assert problem.status == status
     assert (b"retry-after" in headers) == (status == 503)
