--- a/packages/turmericweir-core/turmericweir_core/placement/admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/admission.py
@@ -1,4 +1,4 @@
-"""Refuse requests that cannot be answered in time, with a time to retry after.
+"""Refuse requests that cannot be answered in time, and return when to retry.
 
 The wait of a new request is predicted as the work ahead of it, in its own and more urgent tiers,
 over the rate at which this instance's backlog drains. A request whose predicted wait exceeds a
@@ -66,8 +66,8 @@
 
 
 def _decide_predicted(state: State, now: float, req: Request, pool: str) -> Admitted | Refused:
-    # Counts refused requests too. Prevents a kind of request with too few engines from keeping too
-    # few, because most of its requests are refused.
+    # Refused requests count as demand too. Prevents a kind of request from being left with too few
+    # engines because most of its requests are refused.
     engine_pools.record_demand(state, now, req, open_servers(state, now, req.target))
     wait_s = predicted_admission.wait_s(state, now, req, pool)
     if predicted_admission.can_answer_in_time(state, now, req, wait_s) and not _is_queue_full(
@@ -129,7 +129,7 @@
 
 
 def _work_ahead(state: State, req: Request, pool: str) -> float:
-    """Sum the work served before a new request; late work of its own tier does not count."""
+    """Sum the work served before a new request, without overdue work of its own tier."""
     upper_work, own_work = 0.0, 0.0
     for queue in queue_state.pool_queues(state.queues, pool):
         if queue.service_class.priority < req.priority:
@@ -140,17 +140,17 @@
 
 
 class UnservableRequest(Struct, frozen=True):
-    """A late request that would expire before it is served."""
+    """An overdue request that would expire before it is served."""
 
     request: Request
     retry_after_s: float
 
 
 def unservable_requests(state: State, now: float, pool: str) -> list[UnservableRequest]:
-    """List the late requests that are predicted to expire before they are served.
+    """Return the overdue requests that are predicted to expire before they are served.
 
-    Only the two ends of each late queue are checked, which bounds the cost of a tick: the first has
-    the least time left, the last the most work ahead.
+    Only the first and the last overdue request of each queue are checked, which bounds the cost of
+    a tick: the first has the least time left, the last the most work ahead.
     """
     load = pool_load(state.pool_loads, pool)
     unservable: list[UnservableRequest] = []
@@ -168,12 +168,12 @@
         upper_arrival_rate = arrival_rate(
             load, state.options, now, queue.service_class.priority + 1
         )
-        for req, late_work_ahead in queue.overdue_ends():
-            work_ahead = _work_ahead(state, req, pool) + late_work_ahead
+        for req, overdue_work_ahead in queue.overdue_ends():
+            work_ahead = _work_ahead(state, req, pool) + overdue_work_ahead
             wait_s = _drain_time_s(state, req, upper_arrival_rate, work_ahead, rate)
-            is_hopeless = not req.may_have_run and wait_s > req.deadline - now
+            is_unservable = not req.may_have_run and wait_s > req.deadline - now
             # Lower work gives way first, as for a new request.
-            if is_hopeless and _find_lower_work(state, now, req, pool) is None:
+            if is_unservable and _find_lower_work(state, now, req, pool) is None:
                 unservable.append(UnservableRequest(req, retry_after(state, now, req, wait_s)))
     return unservable
 
@@ -184,8 +184,8 @@
     """Return the time in which work drains while more urgent work keeps arriving.
 
     The recent arrival rate of more urgent work is assumed to last for one more averaging window.
-    Prevents a short burst of a middle class from causing refusals of the lowest class after it
-    ended.
+    Prevents a short burst of more urgent work from causing refusals of the lowest class after it
+    has ended.
     """
     rate_in_window = max(
         rate - upper_arrival_rate, rate * req.service_class.assured_share, MIN_DRAIN_RATE
--- a/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
@@ -40,9 +40,9 @@
     The server gets no new work until its pace shows that it has recovered.
     """
     attempt.consecutive_late_gaps += 1
-    was_late_before = straggler.is_repeated_gap(state.stragglers, now, attempt.server, gap_s)
+    had_late_gap_before = straggler.is_repeated_gap(state.stragglers, now, attempt.server, gap_s)
     straggler.note_overdue_token(state.stragglers, now, attempt.server)
-    if attempt.consecutive_late_gaps < state.options.move_late_gaps and not was_late_before:
+    if attempt.consecutive_late_gaps < state.options.move_late_gaps and not had_late_gap_before:
         return []
     if not _can_move(state, req, attempt) or not _would_move_help(state, now, req, attempt, gap_s):
         return []
@@ -81,10 +81,10 @@
 
 
 def _is_service_in_time(state: State, now: float, server: Server) -> bool:
-    """Return whether most other servers with answers of this instance are in time now.
+    """Return whether most other servers that run answers of this instance are in time now.
 
-    Their average pace lags by about a second when all slow down at once, so it is used only where
-    no other server runs an answer.
+    Running answers show this sooner than the average paces, which lag by about a second when all
+    servers slow down at once. True where no other server runs an answer.
     """
     in_time_by_server: dict[ServerName, bool] = {}
     for req in state.requests.values():
@@ -98,8 +98,8 @@
         if req.service_class.token_gap_target_s is None:
             # The engine may pause a lower class in favour of an upper one.
             continue
-        peer = state.servers.by_name.get(running_attempt.server)
-        if peer is not None and peer.service.name == server.service.name:
+        other_server = state.servers.by_name.get(running_attempt.server)
+        if other_server is not None and other_server.service.name == server.service.name:
             is_in_time = now - running_attempt.last_token_at <= running_attempt.late_gap_s
             in_time_by_server[running_attempt.server] = is_in_time or in_time_by_server.get(
                 running_attempt.server, False
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
@@ -33,7 +33,7 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Fewer tokens of an incomplete answer say too little about the pace.
+# Answers with fewer tokens do not count for the pace.
 _PACE_MIN_TOKENS = 8
 # Lowest status that counts as a failure of the server.
 _SERVER_ERROR_STATUS_MIN = 500
@@ -150,12 +150,12 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Sample running attempts, judge servers by them, and adapt their limits."""
+    """Sample running attempts, evaluate servers by them, and adapt their limits."""
     if state.config.policy is PlacementPolicy.BASELINE:
         return []
     if not straggler.begin_sampling(state.stragglers, state.options, now):
         return []
-    urgent = most_urgent_configured_tier(state.config)
+    most_urgent_tier = most_urgent_configured_tier(state.config)
     for req in state.requests.values():
         if req.attempt is not None and req.kind is ServiceKind.MODEL:
             server = state.servers.by_name.get(req.attempt.server)
@@ -166,7 +166,7 @@
                     now,
                     server.service.name,
                     req.attempt,
-                    urgent=req.attempt.tier == urgent,
+                    urgent=req.attempt.tier == most_urgent_tier,
                 )
     _forget_removed_servers(state)
     _adjust_engine_limits(state, now)
@@ -178,12 +178,12 @@
 
 
 def _adjust_engine_limits(state: State, now: float) -> None:
-    target = _most_urgent_gap_target_s(state)
+    gap_target_s = _most_urgent_gap_target_s(state)
     for name, pace in state.stragglers.by_server.items():
         server = state.servers.by_name.get(name)
         if server is not None and server.in_flight:
             concurrency.adjust_engine(
-                state.server_limits, state.options, now, name, pace.gap_s, target
+                state.server_limits, state.options, now, name, pace.gap_s, gap_target_s
             )
 
 
--- a/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
@@ -22,14 +22,14 @@
     from turmericweir_core.state.state import State
 
 # Time without tokens after which an attempt is unresponsive: longer than several engine steps with
-# a chunk, and short enough that a request can go on elsewhere before callers give the stream up.
+# a chunk, and short enough for the request to resume elsewhere before its caller gives up.
 _UNRESPONSIVE_S: Final = 0.6
 # An answer that has not begun is unresponsive only after this multiple of its predicted time.
 _PREDICTED_FACTOR: Final = 3.0
-# Interval between probes of a server that answers, interval between probes of one that does not,
-# and the failures in a row after which it counts as dead: one packet may be lost.
+# Intervals between probes of a server that answered the last one, and of one that did not.
 _ANSWERING_PROBE_INTERVAL_S: Final = 2.0
-_RETRY_INTERVAL_S: Final = 0.15
+_UNANSWERED_PROBE_INTERVAL_S: Final = 0.15
+# Failed probes in a row after which a server counts as dead; one packet may be lost.
 _DEAD_AFTER_FAILURES: Final = 2
 _MS: Final = 1000.0
 
@@ -52,7 +52,7 @@
             continue
         # Probed again after this interval unless it answers before.
         suspicions[name] = Suspicion(
-            now + _RETRY_INTERVAL_S, 0 if suspicion is None else suspicion.failures
+            now + _UNANSWERED_PROBE_INTERVAL_S, 0 if suspicion is None else suspicion.failures
         )
         effects.append(ProbeServer(name, server.entry.address))
     return effects
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -26,7 +26,7 @@
 from turmericweir_core.state.state import State
 
 # Waiting requests of one class that a pass checks. Bounds the cost of a pass.
-_CHECKED_MAX: Final = 24
+_CHECKED_REQUESTS_MAX: Final = 24
 
 
 def pool_name(state: State, target: Target) -> str:
@@ -63,7 +63,7 @@
     grants_before = state.credits.grants_taken
     effects += credit.request_credit(state, now, pool)
     if state.credits.grants_taken != grants_before:
-        # This instance may be the dispatcher itself; its grant then takes effect at once.
+        # The dispatcher may be this instance; its grant then takes effect at once.
         effects += _bind_waiting(state, now, pool)
         effects += displace_recalled(state)
     return effects
@@ -107,7 +107,7 @@
     """
     for queue in _serving_order(state, pool):
         tier = _running_tier(state, pool, queue)
-        for req in queue.first_in_order(_CHECKED_MAX):
+        for req in queue.first_in_order(_CHECKED_REQUESTS_MAX):
             server = pick_server(state, now, req, tier)
             if server is not None:
                 queue_state.note_dispatched(state.queues, queue, req)
@@ -142,13 +142,15 @@
     state: State, now: float, req: Request, server: Server, *, tier: int | None = None
 ) -> list[Effect]:
     """Start an attempt of a request on a server."""
-    name = make_attempt_id(req.request_id, req.attempts)
+    new_attempt_id = make_attempt_id(req.request_id, req.attempts)
     req.attempts += 1
-    attempt = Attempt(name, server.entry.name, now, tier=req.priority if tier is None else tier)
+    attempt = Attempt(
+        new_attempt_id, server.entry.name, now, tier=req.priority if tier is None else tier
+    )
     attempt.incarnation = reported_incarnation(server)
     req.attempt = attempt
     req.phase = RequestPhase.RUNNING
-    server.in_flight[name] = attempt.tier
+    server.in_flight[new_attempt_id] = attempt.tier
     server.sent_count += 1
     effects: list[Effect] = []
     fetch_from = ""
@@ -156,7 +158,11 @@
         fetch = engine_model.best_fetch(state, req, server)
         fetch_from = "" if fetch is None else fetch.address
         details = predicted_placement.explain(state, now, req, server)
-        ids = {"request_id": req.request_id, "attempt_id": name, "peer": server.entry.name}
+        ids = {
+            "request_id": req.request_id,
+            "attempt_id": new_attempt_id,
+            "peer": server.entry.name,
+        }
         scheduling = {"service_class": req.service_class.name, "tier": attempt.tier}
         effects.append(Log("placed", {**ids, **scheduling, **details}))
     attempt_accounting.record_started(state, now, req, attempt, pool_name(state, req.target))
@@ -164,7 +170,7 @@
         *effects,
         StartAttempt(
             request_id=req.request_id,
-            attempt_id=name,
+            attempt_id=new_attempt_id,
             server=server.entry.name,
             address=server.entry.address,
             priority=_scheduling_rank(req, attempt),
@@ -177,7 +183,7 @@
 
 
 def _needs_fresh_connection(req: Request) -> bool:
-    """Return whether a request needs a connection that carried nothing before.
+    """Return whether a request needs a connection that has carried no request before.
 
     Prevents the loss of a non-repeatable plain call on a dead connection, after which its caller
     cannot learn whether it ran.
@@ -236,7 +242,7 @@
 
 
 def displace_recalled(state: State) -> list[Effect]:
-    """Displace what runs on credit that its dispatcher recalled for upper work."""
+    """Displace requests on credit that the dispatchers recalled for upper work."""
     effects: list[Effect] = []
     for name in sorted(state.credits.recalled):
         server = state.servers.by_name.get(name)
@@ -248,7 +254,7 @@
     return effects
 
 
-# --- credit and time -------------------------------------------------------------------------
+# --- credit and ticks ------------------------------------------------------------------------
 
 
 def on_credit(
@@ -265,7 +271,7 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Renew credit, evaluate servers, and displace what runs on recalled credit."""
+    """Renew credit, evaluate servers, and displace requests on recalled credit."""
     subset.on_tick(state, now)
     grants_before = state.credits.grants_taken
     effects = credit.on_tick(state, now)
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -4,9 +4,9 @@
 which resumes later from the last token sent to its caller; and a waiting request, which ends
 `not_run`. Running plain calls are never displaced.
 
-Never displaced are work of the same or a more urgent tier, work on a slot that its tier is assured
-or that it got by its assured share, and the first waiting request of a class. Prevents a burst of
-an upper class from starving the lowest class.
+Work of the same or a more urgent tier is never displaced, nor work on a slot that is assured to
+its tier or that it got by its assured share, nor the first waiting request of a class. Prevents a
+burst of an upper class from starving the lowest class.
 """
 
 from __future__ import annotations
@@ -30,7 +30,7 @@
 
 
 def running_to_displace(state: State, now: float, pool: str) -> Request | None:
-    """Return the running request to displace for what waits in a pool, or None."""
+    """Return the running request to displace for those that wait in a pool, or None."""
     if state.config.policy in (PlacementPolicy.BASELINE, PlacementPolicy.PREDICTED):
         # Under the predicted policy engines know the tiers and preempt by themselves.
         return None
@@ -90,18 +90,18 @@
     """Yield the requests on a server that may be displaced for a tier."""
     if server.service.kind is not ServiceKind.MODEL:
         return
-    for name, running_tier in server.in_flight.items():
+    for running_id, running_tier in server.in_flight.items():
         if running_tier <= tier or is_assured(state, server, running_tier):
             continue
-        req = state.requests.get(request_id_of(name))
-        if req is None or req.attempt is None or req.attempt.attempt_id != name:
+        req = state.requests.get(request_id_of(running_id))
+        if req is None or req.attempt is None or req.attempt.attempt_id != running_id:
             continue
         if req.attempt.cancelled is None and req.repeatable:
             yield req
 
 
 def requests_on_recalled_credit(state: State, server: Server) -> list[Request]:
-    """List what to displace on a server because its dispatcher recalled credit."""
+    """Return the requests to displace on a server whose dispatcher recalled credit."""
     credit = state.credits.held_by_server.get(server.entry.name)
     excess_slots = excess_attempts(state, server)
     if credit is None or excess_slots <= 0:
@@ -123,8 +123,8 @@
 def waiting_request_to_drop(state: State, pool: str, tier: int) -> Request | None:
     """Return the waiting request below a tier that is dropped first, or None.
 
-    This is the newest request of the least urgent class, late ones first. The first request of each
-    class is never dropped, nor one that may have run, since `not_run` would be wrong for it.
+    This is the newest request of the least urgent class, overdue ones first. The first request of
+    each class is never dropped, nor one that may have run, since `not_run` would be wrong for it.
     """
     lower_queues = [
         queue
--- a/packages/turmericweir-core/turmericweir_core/placement/placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/placement.py
@@ -1,19 +1,19 @@
 """Choose the server that a waiting request goes to, if any may take it now.
 
-`pick_server` answers for the head of a queue by the policy in force. Binding is late: a request
-without a server stays in its queue and is tried again whenever capacity frees up.
+`pick_server` applies the configured policy to the head of a queue. A request without a server stays
+in its queue and is tried again whenever capacity frees up.
 
 - Baseline takes the server with the fewest requests sent so far, up to twice its slots.
 - Counts estimates a server's load from this instance's requests and the server's last report. Each
-  instance first takes its share of what looks free, since all of them read the same report.
-- Predicted sends a request where a model of each server has it begin first (see
+  instance first uses its share of the slots that look free, since all read the same report.
+- Predicted takes the server where a model of each server predicts the earliest begin (see
   `predicted_placement`).
 - Credits uses the slots that the server's dispatcher leased to this instance, or counts with a
-  cautious limit where there is none (see `credit`).
+  cautious limit where no credit is available (see `credit`).
 
-Among the servers with room the one with the least share of its slots in use is taken, unless
-another holds the request's prefix and is not much busier than the mean. Slow servers count as more
-loaded, in proportion (see `straggler`).
+Counts and credits take the server with room that has the least share of its slots in use, unless
+another one holds the request's prefix and is not much busier than the mean. Slow servers count as
+more loaded, in proportion (see `straggler`).
 """
 
 from __future__ import annotations
@@ -38,7 +38,7 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Headroom of a server that may get no request, and where displacing one would free no room.
+# Headroom of a server that may get no requests, even after a displacement.
 NO_HEADROOM = -1
 
 
@@ -49,10 +49,10 @@
     candidates = preferred_servers(open_servers(state, now, req.target), req)
     if state.config.policy is PlacementPolicy.PREDICTED:
         return predicted_placement.pick(state, now, req, tier, candidates)
-    probe = _straggler_to_probe(state, now, req, candidates)
-    if probe is not None:
-        straggler.note_probe(state.stragglers, state.options, now, probe.entry.name)
-        return probe
+    stopped_straggler = _straggler_to_probe(state, now, req, candidates)
+    if stopped_straggler is not None:
+        straggler.note_probe(state.stragglers, state.options, now, stopped_straggler.entry.name)
+        return stopped_straggler
     return _pick_least_loaded(state, now, req, tier, candidates)
 
 
@@ -114,8 +114,8 @@
     if not scores:
         return None
     options = state.options
-    mean = sum(load for load, _ in loads) / len(loads)
-    load_limit = max(options.affinity_load_floor, options.affinity_load_factor * mean)
+    mean_load = sum(load for load, _ in loads) / len(loads)
+    load_limit = max(options.affinity_load_floor, options.affinity_load_factor * mean_load)
     best: Server | None = None
     best_rank = (0.0, 0.0)
     for load, server in loads:
@@ -228,15 +228,15 @@
 
 
 def _cautious_headroom(state: State, now: float, server: Server, tier: int) -> int:
-    """Return the headroom by counts, limited to a small share of the server."""
+    """Return the headroom by counts, limited to a small share of the server's slots."""
     share = state.options.credit_fallback_share
-    limit = max(1, int(usable_slots(state, server) * share))
+    slot_limit = max(1, int(usable_slots(state, server) * share))
     if tier == most_urgent_configured_tier(state.config):
         # Lower work of this instance must not block the most urgent tier.
-        used = sum(1 for running_tier in server.in_flight.values() if running_tier <= tier)
+        used_slots = sum(1 for running_tier in server.in_flight.values() if running_tier <= tier)
     else:
-        used = len(server.in_flight)
-    return min(limit - used, _counts_headroom(state, now, server, tier))
+        used_slots = len(server.in_flight)
+    return min(slot_limit - used_slots, _counts_headroom(state, now, server, tier))
 
 
 # --- stragglers ------------------------------------------------------------------------------
@@ -272,8 +272,8 @@
     have no traffic.
     """
     queues = target_classes(state.queues, req.target)
-    lowest = all(queue.service_class.priority <= req.priority for queue in queues)
-    return 0.0 if lowest else state.options.straggler_probe_upper_s
+    is_lowest_class = all(queue.service_class.priority <= req.priority for queue in queues)
+    return 0.0 if is_lowest_class else state.options.straggler_probe_upper_s
 
 
 # --- probes ----------------------------------------------------------------------------------
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_admission.py
@@ -4,9 +4,9 @@
 the number of instances and spread over the engines of the request's kind, plus the shortest wait at
 any of these. Only engines of its kind count, since the others may be idle without serving it.
 
-The answer must end in time as well. Beside prefills, decoding slows down several times, and a long
-answer could be cut at its deadline after it used a prefill and a slot. Where the caller estimated
-the length, such a request is refused.
+The answer must end in time as well. Decoding is several times slower while an engine also prefills,
+so a long answer could be cut at its deadline after it used a prefill and a slot. Where the caller
+estimated the length, such a request is refused.
 """
 
 from __future__ import annotations
@@ -38,14 +38,14 @@
     service = servers[0].service
     engines = engine_pools.engines_for(state, now, req, servers)
     is_long = engine_pools.tolerates_long_prompts(state, req.service_class, service)
-    work = sum(
+    local_work_ms = sum(
         _queued_ms(state, engines, queue)
         for queue in queue_state.pool_queues(state.queues, pool)
         if scheduling_rank(queue.service_class) <= scheduling_rank(req.service_class)
         and engine_pools.tolerates_long_prompts(state, queue.service_class, service) == is_long
     )
-    ahead = work * max(1, state.subsets.instances) / len(engines)
-    return (ahead + predicted_placement.shortest_wait_ms(state, now, engines)) / _MS
+    work_ahead_ms = local_work_ms * max(1, state.subsets.instances) / len(engines)
+    return (work_ahead_ms + predicted_placement.shortest_wait_ms(state, now, engines)) / _MS
 
 
 def _queued_ms(state: State, servers: list[Server], queue: queue_state.ClassQueue) -> float:
--- a/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/predicted_placement.py
@@ -1,7 +1,7 @@
-"""The predicted policy: send a request where a model of each server has it begin first.
+"""The predicted policy: send a request to the server where it is predicted to begin first.
 
-For an engine, the time until a request begins is the wait for earlier prompts plus the work of its
-own prompt that is not cached there. Among engines where it begins in time, the one with the least
+For an engine, the time until a request begins is the wait for earlier prompts plus the work of the
+uncached part of its own prompt. Among engines where it begins in time, the one with the least
 uncached work is preferred; where none is in time, the one where it begins first. Requests with a
 common prefix thus go to the engine that holds it while that delays none of them. A prefix that no
 engine is known to hold has a home engine by rendezvous hashing, the same for all instances.
@@ -34,12 +34,12 @@
 # Added cost of a server in another data centre: the round trip.
 _REMOTE_MS: Final = 3.0
 _MS: Final = 1000.0
-# Weight of the prefill work for a request that is late on every engine.
-_LATE_WORK_WEIGHT: Final = 3.0
+# Weight of the prefill work for a request that begins in time on no engine.
+_NOT_IN_TIME_WORK_WEIGHT: Final = 3.0
 # Differences in uncached tokens up to this size are ignored.
 _NEGLIGIBLE_TOKENS: Final = 512.0
-# Added prefill cost of engines in other data centres. Prevents remote answers, which a partition
-# would cut, for a cached part of a few hundred tokens.
+# Added prefill cost of engines in other data centres. Prevents running an answer remotely, where a
+# partition would cut it, only to reuse a cached part of a few hundred tokens.
 _REMOTE_PREFILL_MS: Final = 12.0
 # Added cost of an engine without a free slot, compared to an empty one.
 _CONGESTION_MS: Final = 100.0
@@ -72,18 +72,18 @@
     """The predicted effect of sending a request to an engine."""
 
     server: Server
-    # Predicted time until it begins there.
+    # Predicted time until the request begins at the engine.
     begin_ms: float
-    # The parts of `begin_ms`: the wait for others, and the work of its own prompt.
+    # Components of `begin_ms`: the wait for other prompts, and the work of its own.
     wait_ms: float
     own_work_ms: float
     # Tokens that the engine would prefill, and fetch from another engine.
     uncached_tokens: float
     fetched_tokens: float
-    # It has to wait: another request's prefill of its parts is under way, or the engine is full.
+    # It has to wait here: its parts are being prefilled for another request, or the engine is full.
     is_held_back: bool
     is_remote: bool
-    # Added cost of the requests already there.
+    # Added cost of the requests that the engine already has.
     congestion_ms: float
 
 
@@ -118,11 +118,11 @@
     left_ms = (
         req.service_class.target_s * state.options.in_time_share - (now - req.arrived_at)
     ) * _MS
-    least_uncached = min(choice.uncached_tokens for choice in choices)
+    least_uncached_tokens = min(choice.uncached_tokens for choice in choices)
     spare_ms = state.options.spare_wait_share * req.service_class.target_s * _MS
 
     def rank(choice: _EngineChoice) -> tuple[bool, float, float]:
-        is_repeated_prefill = choice.uncached_tokens > least_uncached + _NEGLIGIBLE_TOKENS
+        is_repeated_prefill = choice.uncached_tokens > least_uncached_tokens + _NEGLIGIBLE_TOKENS
         is_in_time = choice.begin_ms <= left_ms
         is_good = is_in_time and (not is_repeated_prefill or choice.wait_ms <= spare_ms)
         return _choice_order(choice, is_good, home)
@@ -179,7 +179,7 @@
     cost_ms = choice.own_work_ms * uncached_share + choice.congestion_ms
     if is_good:
         return (False, cost_ms + _REMOTE_PREFILL_MS * choice.is_remote, choice.begin_ms)
-    return (True, choice.begin_ms + _LATE_WORK_WEIGHT * cost_ms, 0.0)
+    return (True, choice.begin_ms + _NOT_IN_TIME_WORK_WEIGHT * cost_ms, 0.0)
 
 
 def _can_take(state: State, now: float, req: Request, server: Server) -> bool:
@@ -207,10 +207,10 @@
     For a decode request the limit grows with the time it has waited here. Prevents long prompts,
     which may wait longer, from taking every place at a busy engine until decode requests expire.
     """
-    limit = state.options.engine_wait_share * req.service_class.target_s
+    limit_s = state.options.engine_wait_share * req.service_class.target_s
     if engine_pools.tolerates_long_prompts(state, req.service_class, server.service):
-        return limit
-    return limit + now - req.arrived_at
+        return limit_s
+    return limit_s + now - req.arrived_at
 
 
 def _cost_ms(state: State, now: float, server: Server, begin_ms: float) -> float:
