--- a/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
@@ -1,8 +1,8 @@
-"""Send a new instance what others know about the engines' caches.
+"""Send a new instance the cache data of the engines that another instance has.
 
 `load_updates` reports parts only when they are sent or prefilled, so a new instance lacks earlier
-ones and would prefill them again on other engines. It asks one live peer at a time until one
-answers. The answer is an estimate like all cache data: a wrong entry costs time, never an answer.
+ones and would have them prefilled again on other engines. It asks one live peer at a time until one
+answers. Cache data is an estimate: a wrong entry costs time, but never fails a request.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Interval between requests; a newly opened stream may lose one.
+# Interval between requests for the data; a newly opened stream may lose one.
 _ASK_INTERVAL_S: Final = 0.5
-# By then the missing parts have been found by prefilling them.
-_GIVE_UP_S: Final = 5.0
+# Time after the start at which requests end; by then most missing parts were prefilled again.
+_GIVE_UP_AFTER_S: Final = 5.0
 # Newest parts sent for each engine; a few dozen large ones fill its memory.
 _PARTS_PER_ENGINE_MAX: Final = 200
 
@@ -34,7 +34,7 @@
     if (
         handover.has_cache_contents
         or now < handover.next_query_at
-        or now - handover.started_at > _GIVE_UP_S
+        or now - handover.started_at > _GIVE_UP_AFTER_S
     ):
         return []
     me = state.me.name
@@ -51,7 +51,7 @@
     peer = membership.find_member(state, sender)
     rows = _cache_rows(state)
     if peer is None or not rows:
-        # The peer asks another instance; this one may have started with it.
+        # The peer asks another instance next; this one may be new as well.
         return []
     return [SendPeer(peer.name, peer.peer_address, CachesSend(rows))]
 
@@ -68,7 +68,7 @@
 
 
 def on_caches_received(state: State, sender: InstanceName, message: CachesSend) -> list[Effect]:
-    """Record a peer's cache data; parts observed here since the start count as newer."""
+    """Record a peer's cache data; parts that this instance observed count as newer."""
     if state.handover.has_cache_contents:
         return []
     state.handover.has_cache_contents = True
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
@@ -9,10 +9,10 @@
 - the prompts of this instance that it has not begun to answer, as work in milliseconds;
 - the load that other instances reported (`load_updates`), since all send to the same engines;
 - the parts of prompts that it was sent, least recently used first, within its memory;
-- its pace: observed over predicted time, where little else was part of the prediction.
+- its pace: the ratio of observed to predicted time of prompts that waited little for others.
 
-`Options` has the figures of a common engine; `engine_speed` corrects them for each service, and the
-pace for each server. All of it is an estimate: an error costs time, never an answer.
+`Options` has the figures of a reference engine; `engine_speed` corrects them for each service, and
+the pace for each server. All of it is an estimate: an error costs time, but never fails a request.
 """
 
 from __future__ import annotations
@@ -47,12 +47,12 @@
 # Share of an engine's memory that the cache may fill beside running requests.
 _CACHE_SHARE: Final = 0.9
 _MS: Final = 1000.0
-# Least work left, as a share, of a prompt whose prefill is overdue.
+# Minimum share of a prompt's work that is assumed to be left, also when its prefill is overdue.
 _LEFT_SHARE_MIN: Final = 0.15
 # Prefill time of one chunk.
 _CHUNK_MS: Final = 50.0
-# A part counts as being prefilled for this multiple of the predicted time plus a margin, since the
-# request may have ended.
+# A part counts as being prefilled for at most this multiple of the predicted time plus a margin,
+# since the request may end before its first token.
 _PREFILL_TIMEOUT_FACTOR: Final = 2.0
 _PREFILL_TIMEOUT_MARGIN_S: Final = 0.3
 
@@ -110,7 +110,7 @@
 
 
 class Holdings(Struct, frozen=True):
-    """How much of a prompt the engines of a service hold, where they can hand it over."""
+    """The engines that hold most of a prompt, where engines can fetch parts from each other."""
 
     # The two engines that hold most, with their tokens; the requesting engine may be one of them.
     most: list[tuple[int, Server]]
@@ -123,15 +123,15 @@
     """
     if not server.service.fetch_ms_per_token or not req.parts:
         return Holdings([])
-    first = req.parts[0][0]
+    first_part = req.parts[0][0]
     holders: list[tuple[int, Server]] = []
     for name, record in state.engines.by_server.items():
-        if first not in record.cached:
+        if first_part not in record.cached:
             continue
-        other = state.servers.by_name.get(name)
-        if other is None or other.service is not server.service or other.unreachable_until > 0.0:
+        holder = state.servers.by_name.get(name)
+        if holder is None or holder.service is not server.service or holder.unreachable_until > 0.0:
             continue
-        holders.append((req.prompt_tokens - uncached_tokens(record, req), other))
+        holders.append((req.prompt_tokens - uncached_tokens(record, req), holder))
     holders.sort(key=lambda each: -each[0])
     return Holdings(holders[:2])
 
@@ -142,15 +142,15 @@
     """Return the best fetch of parts that an engine lacks, or None if it is not worth it."""
     if holdings is None:
         holdings = holdings_of(state, req, server)
-    for held_tokens, other in holdings.most:
-        if other is server:
+    for held_tokens, holder in holdings.most:
+        if holder is server:
             continue
         own_tokens = req.prompt_tokens - uncached_tokens(
             engine_info_of(state, server.entry.name), req
         )
         missing_tokens = held_tokens - own_tokens
         return (
-            Fetch(other.entry.address, missing_tokens)
+            Fetch(holder.entry.address, missing_tokens)
             if missing_tokens > state.options.fetch_min_tokens
             else None
         )
@@ -171,13 +171,13 @@
 def own_work_ms(state: State, record: EngineInfo, req: Request, saved_tokens: int = 0) -> float:
     """Return the time for which an engine would prefill a request's prompt, in milliseconds.
 
-    Saved tokens are those that are prefilled for another request or fetched by then.
+    Saved tokens are prefilled for another request, or fetched from another engine, by then.
     """
     factor = speed_of(state, req.target).factor * record.pace
-    return _common_engine_ms(state.options, record, req, saved_tokens) * factor
+    return _reference_engine_ms(state.options, record, req, saved_tokens) * factor
 
 
-def _common_engine_ms(
+def _reference_engine_ms(
     options: Options, record: EngineInfo, req: Request, saved_tokens: int
 ) -> float:
     tokens = max(0, uncached_tokens(record, req) - saved_tokens)
@@ -209,8 +209,10 @@
             pending += peer.pending
             requests += len(peer.pending) + peer.running
             tokens += peer.tokens
-    in_hand, left_ms = _current_prefills(record, pending, now) if pending else ([], 0.0)
-    return EngineLoad(now, record.load_version, own, pending, in_hand, left_ms, requests, tokens)
+    current_prompts, left_ms = _current_prefills(record, pending, now) if pending else ([], 0.0)
+    return EngineLoad(
+        now, record.load_version, own, pending, current_prompts, left_ms, requests, tokens
+    )
 
 
 def has_pending(record: EngineInfo, now: float) -> bool:
@@ -246,14 +248,14 @@
     next one counts as well.
     """
     present = [each for each in pending if each.sent_at <= record.prefilling_since] or pending
-    order = sorted(present, key=lambda each: (each.rank, each.sent_at))
-    current = order[0]
+    ordered = sorted(present, key=lambda each: (each.rank, each.sent_at))
+    current = ordered[0]
     started_at = max(record.prefilling_since, current.sent_at)
     # An overdue prefill is assumed to go on for some time.
     left_ms = max(current.work_ms - (now - started_at) * _MS, _LEFT_SHARE_MIN * current.work_ms)
-    if left_ms > _CHUNK_MS or len(order) == 1:
+    if left_ms > _CHUNK_MS or len(ordered) == 1:
         return [current], left_ms
-    return order[:2], left_ms + order[1].work_ms
+    return ordered[:2], left_ms + ordered[1].work_ms
 
 
 def request_count(record: EngineInfo, now: float) -> int:
@@ -295,11 +297,11 @@
         record.prefilling_since = now
     predicted_first_token_ms = wait_ms + own_ms + speed_of(state, req.target).first_ms
     is_unaffected = not wait_ms and fetch is None
-    common_ms = (
-        _common_engine_ms(state.options, record, req, saved_tokens) if is_unaffected else None
+    reference_ms = (
+        _reference_engine_ms(state.options, record, req, saved_tokens) if is_unaffected else None
     )
     record.prefills[attempt.attempt_id] = Prefill(
-        own_ms, rank, final_tokens(req), predicted_first_token_ms, now, common_ms
+        own_ms, rank, final_tokens(req), predicted_first_token_ms, now, reference_ms
     )
     prefill_until = (
         now + _PREFILL_TIMEOUT_FACTOR * predicted_first_token_ms / _MS + _PREFILL_TIMEOUT_MARGIN_S
@@ -319,9 +321,11 @@
         state.engines.unsent_parts.append(sent_part)
 
 
-def record_prefilling(record: EngineInfo, part: str, until: float) -> None:
+def record_prefilling(record: EngineInfo, part: str, expected_until: float) -> None:
     """Record that an engine is expected to prefill a part until a time."""
-    record.uncached_parts[part] = max(until, record.uncached_parts.get(part, until))
+    record.uncached_parts[part] = max(
+        expected_until, record.uncached_parts.get(part, expected_until)
+    )
 
 
 def record_cached(record: EngineInfo, server: Server, part: str, tokens: int) -> None:
@@ -342,7 +346,7 @@
 
 
 def predicted_ms(state: State, attempt: Attempt) -> float | None:
-    """Return the predicted time to the first token; None without a model."""
+    """Return the predicted time to the first token, or None where there is no prediction."""
     record = state.engines.by_server.get(attempt.server)
     prefill = None if record is None else record.prefills.get(attempt.attempt_id)
     return None if prefill is None else prefill.predicted_ms
@@ -383,8 +387,8 @@
     if record is None:
         return
     record.load_version += 1
-    pending = record.prefills.pop(attempt.attempt_id, None)
-    if record.running.pop(attempt.attempt_id, None) is not None or pending is not None:
+    prefill = record.prefills.pop(attempt.attempt_id, None)
+    if record.running.pop(attempt.attempt_id, None) is not None or prefill is not None:
         state.engines.has_unsent_load = True
 
 
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
@@ -1,7 +1,7 @@
 """Split the engines of a service between long prompts and streams with short token gaps.
 
 An engine prefills a long prompt in chunks between its decode steps, so each token of its streams
-takes a chunk longer. Streams whose gap target is shorter than some such steps would be late beside
+takes a chunk longer. Streams with a gap target shorter than a few such steps would exceed it beside
 a long prompt; requests with a longer target tolerate it. So prefill engines serve the requests that
 tolerate long prompts, and decode engines the others. The kind of a request follows from the
 settings and its prompt alone.
@@ -45,8 +45,8 @@
 _DEMAND_WINDOW_S: Final = 3.0
 # Planned busy share of an engine; above it long prompts wait for each other.
 _PLANNED_BUSY_SHARE: Final = 0.6
-# Busy share above which decode engines are short and long prompts give way. Higher than the planned
-# share, which prevents the split from changing with each request.
+# Busy share above which there are too few decode engines, so that they take over prefill engines.
+# Higher than the planned share, which prevents the split from changing with each request.
 _SHORTAGE_BUSY_SHARE: Final = 0.9
 # Initial share of prefill engines, before any demand was observed.
 _START_SHARE: Final = 0.6
@@ -57,8 +57,8 @@
 # Weight of decode demand in the division of spare engines: it has earlier start targets and varies
 # more.
 _DECODE_WEIGHT: Final = 2.0
-# Interval between moves of the split by one engine, and the number of engines above which it
-# becomes shorter in proportion.
+# Interval between moves of the split by one engine, and the number of engines above which the
+# interval becomes shorter in proportion.
 _MOVE_INTERVAL_S: Final = 10.0
 _MOVE_SCALE_ENGINES: Final = 5
 # Number of decode engines from which on some are reserved for medium prompts.
@@ -69,12 +69,13 @@
 
 
 class PromptKind(enum.Enum):
-    """The effect of a request's prompt on the streams beside it."""
+    """The kinds of prompts, by their effect on other streams of their engine."""
 
-    # Its own answer tolerates long prompts beside it.
+    # The answer tolerates long prompts on its engine.
     LONG = "long"
-    # Its own answer does not, and its prefill delays streams with shorter gap targets.
+    # The answer does not, and the prefill delays streams with shorter gap targets.
     MEDIUM = "middle"
+    # The answer does not, and the prefill delays no stream with a shorter gap target.
     SHORT = "quick"
 
 
@@ -84,10 +85,10 @@
     if _is_gap_tolerant(state, gap_s, service):
         return PromptKind.LONG
     split = state.pools.splits.get(req.target)
-    shortest_s = None if split is None else split.lowest_gap_target_s
-    # A prefill of this many steps slows every step of an event.
+    shortest_gap_s = None if split is None else split.lowest_gap_target_s
+    # A prefill of that many chunks slows every step of an event.
     is_long = req.prompt_tokens > (service.event_tokens - 1) * state.options.chunk_tokens
-    if is_long and gap_s is not None and shortest_s is not None and gap_s > shortest_s:
+    if is_long and gap_s is not None and shortest_gap_s is not None and gap_s > shortest_gap_s:
         return PromptKind.MEDIUM
     return PromptKind.SHORT
 
@@ -105,22 +106,22 @@
 
 
 def record_demand(state: State, now: float, req: Request, engines: list[Server]) -> None:
-    """Record the work of a new request, at the engine with the least work for it."""
+    """Record the work of a new request, as on the engine with the least work for it."""
     if not engines or not req.prompt_tokens:
         return
     demand = state.pools.own.setdefault(req.target, EngineDemand(at=now))
     _decay(demand, now)
     records = (engine_model.engine_info_of(state, each.entry.name) for each in engines)
-    work = min(engine_model.own_work_ms(state, record, req) for record in records)
+    work_ms = min(engine_model.own_work_ms(state, record, req) for record in records)
     # Answers hardly progress during a prefill, so both take their share of the engine's time.
-    work += _slot_ms(state, req, engines[0])
+    work_ms += _slot_ms(state, req, engines[0])
     match prompt_kind(state, req, engines[0].service):
         case PromptKind.LONG:
-            demand.long_prompt_ms += work
+            demand.long_prompt_ms += work_ms
         case PromptKind.MEDIUM:
-            demand.medium_prompt_ms += work
+            demand.medium_prompt_ms += work_ms
         case PromptKind.SHORT:
-            demand.short_prompt_ms += work
+            demand.short_prompt_ms += work_ms
 
 
 def _slot_ms(state: State, req: Request, engine: Server) -> float:
@@ -138,14 +139,14 @@
     return duration_ms / max(1, engine.slots)
 
 
-def record_generated(state: State, req: Request, seconds: float) -> None:
+def record_generated(state: State, req: Request, generated_s: float) -> None:
     """Learn how long answers of a class keep their slots.
 
     Callers' estimates are right in the median, but the mean of answer lengths is well above it.
     """
     average_ms = state.pools.generating_ms
     previous_ms = average_ms.get(req.service_class.name)
-    duration_ms = seconds * _MS
+    duration_ms = generated_s * _MS
     weight = 1.0 if previous_ms is None else _DURATION_WEIGHT
     average_ms[req.service_class.name] = (previous_ms or 0.0) + weight * (
         duration_ms - (previous_ms or 0.0)
@@ -170,7 +171,7 @@
             target,
             round(demand.long_prompt_ms / _DEMAND_WINDOW_S),
             round(demand.short_prompt_ms / _DEMAND_WINDOW_S),
-            urgent_first.late_rank(state, now, target),
+            urgent_first.overdue_rank(state, now, target),
             round(demand.medium_prompt_ms / _DEMAND_WINDOW_S),
         )
         rows.append(row)
@@ -186,7 +187,7 @@
         peer_demand[sender] = ReportedDemand(
             now, row.long_prompt_ms_s, row.short_prompt_ms_s, row.medium_prompt_ms_s
         )
-        urgent_first.record_late_rank(state, now, sender, Target(row.target), row.overdue_rank)
+        urgent_first.record_overdue_rank(state, now, sender, Target(row.target), row.overdue_rank)
 
 
 def engines_for(state: State, now: float, req: Request, engines: list[Server]) -> list[Server]:
@@ -204,7 +205,7 @@
 
 
 def spill_engines(state: State, now: float, req: Request, engines: list[Server]) -> list[Server]:
-    """Return the engines of other kinds, for a request that its own kind has no room for.
+    """Return the engines of other kinds, for a request without room on the engines of its kind.
 
     A medium prompt spills only to prefill engines, where it delays no short-prompt stream.
     """
@@ -267,32 +268,32 @@
     return 0 if split is None else split.prefill_count
 
 
-def _prefill_engine_count(state: State, now: float, target: Target, engines: int) -> int:
+def _prefill_engine_count(state: State, now: float, target: Target, engine_count: int) -> int:
     split = state.pools.splits.get(target)
     if split is None:
-        split = state.pools.splits[target] = EngineSplit(ceil(_START_SHARE * engines))
+        split = state.pools.splits[target] = EngineSplit(ceil(_START_SHARE * engine_count))
     if split.cached_settings != state.config.offset:
         split.cached_settings = state.config.offset
         split.is_short_first = _is_decode_first(state, target)
         split.lowest_gap_target_s = _shortest_gap_s(state, target)
-    plan = _plan(state, now, target, engines, split)
+    plan = _plan(state, now, target, engine_count, split)
     split.prefill_count = max(plan.needed_count, min(split.prefill_count, plan.available_count))
     if split.prefill_count == plan.fair_count:
         split.mismatch_since = None
     elif split.mismatch_since is None:
         split.mismatch_since = now
-    elif now - split.mismatch_since >= _move_interval_s(engines):
+    elif now - split.mismatch_since >= _move_interval_s(engine_count):
         split.prefill_count += 1 if plan.fair_count > split.prefill_count else -1
         split.mismatch_since = now
-    return min(split.prefill_count, engines - 1)
+    return min(split.prefill_count, engine_count - 1)
 
 
-def _move_interval_s(engines: int) -> float:
-    """Return the interval in which a border between kinds moves by one engine."""
-    return _MOVE_INTERVAL_S * min(1.0, _MOVE_SCALE_ENGINES / engines)
+def _move_interval_s(engine_count: int) -> float:
+    """Return the interval between moves of a border between kinds by one engine, in seconds."""
+    return _MOVE_INTERVAL_S * min(1.0, _MOVE_SCALE_ENGINES / engine_count)
 
 
-def _short_engine_count(state: State, now: float, target: Target, engines: int) -> int:
+def _short_engine_count(state: State, now: float, target: Target, decode_count: int) -> int:
     """Return how many of the decode engines serve short prompts only.
 
     They are counted from the end of the order, and the number changes slowly. Prevents running
@@ -300,59 +301,65 @@
     """
     split = state.pools.splits[target]
     demand = _total_demand(state, now, target)
-    if engines < _SEPARATE_MEDIUM_MIN or not demand.medium_prompt_ms:
-        return engines
-    for_medium = min(engines - 1, _engines_needed(demand.medium_prompt_ms, _PLANNED_BUSY_SHARE))
-    for_short = min(engines - 1, _engines_needed(demand.short_prompt_ms, _PLANNED_BUSY_SHARE))
-    proportional = round(engines * for_short / (for_medium + for_short))
-    target_count = max(1, min(proportional, engines - 1))
+    if decode_count < _SEPARATE_MEDIUM_MIN or not demand.medium_prompt_ms:
+        return decode_count
+    medium_need = min(
+        decode_count - 1, _engines_needed(demand.medium_prompt_ms, _PLANNED_BUSY_SHARE)
+    )
+    short_need = min(decode_count - 1, _engines_needed(demand.short_prompt_ms, _PLANNED_BUSY_SHARE))
+    proportional_count = round(decode_count * short_need / (medium_need + short_need))
+    target_count = max(1, min(proportional_count, decode_count - 1))
     if not split.short_prompt_count:
         split.short_prompt_count, split.short_changed_at = target_count, now
     elif (
         split.short_prompt_count != target_count
-        and now - split.short_changed_at >= _move_interval_s(engines)
+        and now - split.short_changed_at >= _move_interval_s(decode_count)
     ):
         split.short_prompt_count += 1 if target_count > split.short_prompt_count else -1
         split.short_changed_at = now
-    split.short_prompt_count = max(split.short_prompt_count, for_short)
-    short_min = for_short if for_short + for_medium <= engines else 1
-    return max(short_min, min(split.short_prompt_count, engines - for_medium))
+    split.short_prompt_count = max(split.short_prompt_count, short_need)
+    short_min = short_need if short_need + medium_need <= decode_count else 1
+    return max(short_min, min(split.short_prompt_count, decode_count - medium_need))
 
 
 class _Plan(Struct, frozen=True):
     """Numbers of prefill engines."""
 
-    # Needed for long prompts, as far as there is room.
+    # Needed for long prompts, at most the available ones.
     needed_count: int
-    # Left by the needs of decode engines.
+    # Left over by the decode engines that are needed.
     available_count: int
-    # Fair share of the long prompts by demand.
+    # Share of the engines for long prompts in proportion to demand.
     fair_count: int
 
 
-def _plan(state: State, now: float, target: Target, engines: int, split: EngineSplit) -> _Plan:
-    """Return the needed, the possible and the fair number of prefill engines."""
+def _plan(state: State, now: float, target: Target, engine_count: int, split: EngineSplit) -> _Plan:
+    """Return the needed, the available and the fair number of prefill engines."""
     demand = _total_demand(state, now, target)
-    prefill_max = engines - 1
+    prefill_max = engine_count - 1
     long_need = min(prefill_max, _engines_needed(demand.long_prompt_ms, _PLANNED_BUSY_SHARE))
-    available = prefill_max
+    available_count = prefill_max
     if split.is_short_first:
-        available = max(
+        available_count = max(
             1,
-            engines
+            engine_count
             - _engines_needed(
                 demand.short_prompt_ms + demand.medium_prompt_ms, _SHORTAGE_BUSY_SHARE
             ),
         )
-    needed = min(long_need, available)
+    needed_count = min(long_need, available_count)
     if demand.long_prompt_ms + demand.short_prompt_ms + demand.medium_prompt_ms < _DEMAND_MIN_MS:
         # Too little demand to derive a fair share.
-        return _Plan(needed, available, max(needed, min(available, split.prefill_count)))
+        return _Plan(
+            needed_count,
+            available_count,
+            max(needed_count, min(available_count, split.prefill_count)),
+        )
     decode_need = _engines_needed(
         demand.short_prompt_ms + demand.medium_prompt_ms, _PLANNED_BUSY_SHARE
     )
-    fair_count = round(engines * long_need / (long_need + _DECODE_WEIGHT * decode_need))
-    return _Plan(needed, available, max(needed, min(available, fair_count)))
+    fair_count = round(engine_count * long_need / (long_need + _DECODE_WEIGHT * decode_need))
+    return _Plan(needed_count, available_count, max(needed_count, min(available_count, fair_count)))
 
 
 def _engines_needed(work_ms: float, share: float) -> int:
@@ -376,7 +383,7 @@
 
 
 def _shortest_gap_s(state: State, target: Target) -> float | None:
-    """Return the shortest gap target of the routes to a target, or None."""
+    """Return the shortest token gap target of the routes to a target, in seconds, or None."""
     gaps = [
         route.gap_target_s
         for route in state.config.routes.by_host_and_prefix.values()
@@ -387,28 +394,30 @@
 
 def demand_ms_per_s(state: State, now: float, service: str) -> float:
     """Return the demand for a service's engines, in milliseconds of work per second."""
-    total = 0.0
-    for target, each in state.config.service_by_target.items():
-        if each.name == service:
+    total_ms_per_s = 0.0
+    for target, target_service in state.config.service_by_target.items():
+        if target_service.name == service:
             demand = _total_demand(state, now, target)
-            total += demand.long_prompt_ms + demand.short_prompt_ms + demand.medium_prompt_ms
-    return total
+            total_ms_per_s += (
+                demand.long_prompt_ms + demand.short_prompt_ms + demand.medium_prompt_ms
+            )
+    return total_ms_per_s
 
 
 def _total_demand(state: State, now: float, target: Target) -> ReportedDemand:
     """Return the demand of all instances, in milliseconds of work per second."""
-    long_ms = quick_ms = middle_ms = 0.0
+    long_ms = short_ms = medium_ms = 0.0
     own_demand = state.pools.own.get(target)
     if own_demand is not None:
         _decay(own_demand, now)
-        long_ms, quick_ms = (
+        long_ms, short_ms = (
             own_demand.long_prompt_ms / _DEMAND_WINDOW_S,
             own_demand.short_prompt_ms / _DEMAND_WINDOW_S,
         )
-        middle_ms = own_demand.medium_prompt_ms / _DEMAND_WINDOW_S
+        medium_ms = own_demand.medium_prompt_ms / _DEMAND_WINDOW_S
     for peer_demand in state.pools.peers.get(target, {}).values():
         if now - peer_demand.at <= _PEER_DEMAND_VALID_S:
             long_ms += peer_demand.long_prompt_ms
-            quick_ms += peer_demand.short_prompt_ms
-            middle_ms += peer_demand.medium_prompt_ms
-    return ReportedDemand(now, long_ms, quick_ms, middle_ms)
+            short_ms += peer_demand.short_prompt_ms
+            medium_ms += peer_demand.medium_prompt_ms
+    return ReportedDemand(now, long_ms, short_ms, medium_ms)
--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -1,9 +1,10 @@
 """Relay load updates where there are too many instances for each to send to every other.
 
-Each instance sends its updates to its relay instance (`relays`), which gathers them for a moment.
-A relay sends the changed sums of its group's load to the other relays, and passes these sums and
-the updates of its group on to the group. So each instance receives a few datagrams a second
-whatever the number of instances, and each server has a few sums instead of hundreds of rows.
+Each instance sends its updates to its relay instance (`relays`), which gathers them for a short
+time. A relay sends the changed sums of its group's load to the other relays, and passes the sums
+that it receives and the updates of its group on to the group. So each instance receives a few
+datagrams a second whatever the number of instances, and has a few sums for each server instead of
+hundreds of rows.
 
 A relay serves every instance that sends to it, so the instances' views need not agree. An instance
 that receives nothing from its relay switches to the next one by hash, long before membership drops
@@ -36,7 +37,7 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-Build = Callable[["State", float], LoadNews]
+UpdateBuilder = Callable[["State", float], LoadNews]
 
 # Interval between evaluations of the plan.
 _PLAN_INTERVAL_S: Final = 0.25
@@ -55,7 +56,7 @@
 _RELAY_RETRY_AFTER_S: Final = 4.0
 # Parts in one bundle; older ones are left out.
 _PARTS_PER_BUNDLE_MAX: Final = 120
-# Prompts of one server in a sum.
+# Prompts of one server in a sum; the others are left out.
 _WORKS_PER_SERVER_MAX: Final = 32
 _MS: Final = 1000.0
 # Suffix that marks a relay's name as the origin of its group's sum.
@@ -132,7 +133,7 @@
         return
     relay_state = state.load_updates.relayed_updates
     relay_state.relayed_peers[sender] = (peer.peer_address, now)
-    # Bounded, because an instance that is wrongly taken for a relay never passes them on.
+    # Bounded, because an instance that others wrongly take for a relay never passes parts on.
     relay_state.parts = [*relay_state.parts, *update.parts][-_PARTS_PER_BUNDLE_MAX:]
     _gather(state, now, sender, update)
 
@@ -162,8 +163,8 @@
     return replace(newer, rows=list(rows.values()), parts=parts, is_complete=older.is_complete)
 
 
-def send_gathered(state: State, now: float, build: Build) -> list[Effect]:
-    """Send the gathered updates: sums to the other relays, and all of them to the group."""
+def send_gathered(state: State, now: float, build: UpdateBuilder) -> list[Effect]:
+    """Send the sum of the group to the other relays, and all gathered updates to the group."""
     relay_state = state.load_updates.relayed_updates
     if now < relay_state.next_send_at:
         return []
@@ -209,7 +210,7 @@
 
 
 def _sum_group(state: State, now: float, own_update: LoadNews) -> BundledNews:
-    """Return the sum of the group's load; rows that have not changed are left out."""
+    """Return the sum of the group's load: changed rows only, except for regular complete sums."""
     relay_state = state.load_updates.relayed_updates
     is_complete = now >= relay_state.next_full_send_at
     rows: list[LoadRow] = []
@@ -275,7 +276,10 @@
         if not group_demand:
             continue
         own_row = rows_by_target.get(target, DemandRow(target, 0, 0))
-        ranks = [own_row.overdue_rank, *urgent_first.reported_late_ranks(state, now, target, group)]
+        ranks = [
+            own_row.overdue_rank,
+            *urgent_first.reported_overdue_ranks(state, now, target, group),
+        ]
         rows_by_target[target] = DemandRow(
             target,
             own_row.long_prompt_ms_s + round(sum(each.long_prompt_ms for each in group_demand)),
--- a/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
@@ -1,8 +1,9 @@
 """Exchange load updates: what each instance has on each server, and the parts it sent.
 
 All instances send to the same servers, and a server's report of its load is delayed and, on some
-platforms, costs money. So an instance announces each request it sends or sees begin to the others
-of the region. Each update holds all load of its sender, so the next one makes up for a lost one.
+platforms, costs money. So an instance announces to the others of the region each request that it
+sends or whose answer begins. Each update holds all load of its sender, so the next one makes up for
+a lost one.
 
 With few instances each sends to every other, at an interval that grows with their number. With
 many, each sends to its relay instance, and `load_relay` passes the updates on.
@@ -34,10 +35,10 @@
 _PARTS_PER_UPDATE_MAX: Final = 24
 # Smaller parts are prefilled quickly and not worth announcing.
 _PART_TOKENS_MIN: Final = 256
-# Interval after which the load of an instance without updates is dropped.
+# Time after the last update at which an instance's load is dropped.
 _FORGET_AFTER_S: Final = 5.0
 _MS: Final = 1000.0
-# Work, rank and age of a prompt.
+# Fields of a prompt in a row: work, rank and age.
 _WORK_FIELDS: Final = 3
 
 
@@ -116,18 +117,18 @@
     plan = state.load_updates.plan
     if plan.own_relay is not None and plan.own_relay.name == sender:
         state.load_updates.relay_seen_at = now
-    for each in bundle.updates:
-        origin = InstanceName(each.origin)
+    for bundled in bundle.updates:
+        origin = InstanceName(bundled.origin)
         if origin != state.me.name and record_update(
-            state, now, origin, each.update, each.delay_ms
+            state, now, origin, bundled.update, bundled.delay_ms
         ):
-            load_relay.gather_sum(state, now, sender, origin, each.update)
+            load_relay.gather_sum(state, now, sender, origin, bundled.update)
 
 
 def record_update(
-    state: State, now: float, origin: InstanceName, update: LoadNews, held_ms: float = 0.0
+    state: State, now: float, origin: InstanceName, update: LoadNews, delay_ms: float = 0.0
 ) -> bool:
-    """Record an update; return False where it is not newer than the last one of its incarnation."""
+    """Record an update, and return whether it is newer than the last one of its incarnation."""
     origin_state = state.load_updates.origins.get(origin)
     if origin_state is None or origin_state.incarnation != update.incarnation:
         _forget_origin(state, origin)
@@ -139,7 +140,7 @@
     origin_state.seq = update.seq
     origin_state.last_receipt.received_at = now
     engine_pools.record_peer_demand(state, now, origin, update.demand)
-    _record_rows(state, now - held_ms / _MS, origin, origin_state, update)
+    _record_rows(state, now - delay_ms / _MS, origin, origin_state, update)
     _record_parts(state, now, update)
     return True
 
--- a/packages/turmericweir-core/turmericweir_core/queueing/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/__init__.py
@@ -1,1 +1,1 @@
-"""Decide how long requests may wait, and whether urgent requests are late."""
+"""Decide how long requests may wait, and whether urgent requests are overdue."""
--- a/packages/turmericweir-core/turmericweir_core/queueing/displacement_delay.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/displacement_delay.py
@@ -16,7 +16,7 @@
 
 
 def count_ready_to_displace(options: Options, now: float, queue: ClassQueue, count_max: int) -> int:
-    """Count the requests at the head of a queue that have waited this long, up to a maximum."""
+    """Count the requests at the head of a queue that have waited that long, up to a maximum."""
     wait_s = displacement_wait_s(options, queue.service_class.target_s)
     ready_count = 0
     for req in queue.waiting():
--- a/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
+++ b/packages/turmericweir-core/turmericweir_core/queueing/urgent_first.py
@@ -1,10 +1,10 @@
-"""Hold back less urgent requests while more urgent ones of the same service are late.
+"""Hold back less urgent requests while more urgent ones for the same target are overdue.
 
 All instances send to the same engines. An instance without urgent requests would send its long
 prompts to the engines that urgent requests at other instances wait for. So each instance reports
-the most urgent rank that is late here with its load (`load_updates`), and none sends requests less
-urgent than the most urgent late rank. A class served by its assured share is exempt, so the lowest
-class is served under lasting overload as well.
+its most urgent rank with an overdue request along with its load (`load_updates`), and no instance
+sends requests less urgent than the most urgent overdue rank. A class served by its assured share is
+exempt, so the lowest class is served under lasting overload as well.
 """
 
 from __future__ import annotations
@@ -20,36 +20,36 @@
     from turmericweir_core.base.request import Request
     from turmericweir_core.state.state import State
 
-# Share of its target after which a waiting request counts as late. A smaller share would hold back
-# long prompts in every short burst.
-_LATE_SHARE: Final = 1.0
+# Share of its start target after which a waiting request counts as overdue. A smaller share would
+# hold back long prompts in every short burst.
+_OVERDUE_SHARE: Final = 1.0
 # Validity of a peer's report, which is renewed every half second.
-_LATE_RANK_VALID_S: Final = 1.2
+_OVERDUE_RANK_VALID_S: Final = 1.2
 
 
-def late_rank(state: State, now: float, target: Target) -> int | None:
-    """Return the most urgent rank of which a request has waited here for too long."""
-    late_ranks = [
+def overdue_rank(state: State, now: float, target: Target) -> int | None:
+    """Return the most urgent rank with an overdue request at this instance, or None."""
+    overdue_ranks = [
         scheduling_rank(queue.service_class)
         for queue in queue_state.target_classes(state.queues, target)
-        if _is_late(queue, now)
+        if _has_overdue_request(queue, now)
     ]
-    return min(late_ranks, default=None)
+    return min(overdue_ranks, default=None)
 
 
-def _is_late(queue: queue_state.ClassQueue, now: float) -> bool:
-    """Return whether a queue has a request that has waited for too long."""
+def _has_overdue_request(queue: queue_state.ClassQueue, now: float) -> bool:
+    """Return whether a request of a queue is overdue or has waited for its start target."""
     oldest = next(iter(queue.on_time.values()), None)
-    limit_s = _LATE_SHARE * queue.service_class.target_s
+    limit_s = _OVERDUE_SHARE * queue.service_class.target_s
     return bool(queue.overdue_requests) or (
         oldest is not None and now - oldest.arrived_at >= limit_s
     )
 
 
-def record_late_rank(
+def record_overdue_rank(
     state: State, now: float, sender: InstanceName, target: Target, rank: int | None
 ) -> None:
-    """Record the late rank that a peer reported."""
+    """Record the overdue rank that a peer reported."""
     peer_ranks = state.overdue_ranks.peers.setdefault(target, {})
     if rank is None:
         peer_ranks.pop(sender, None)
@@ -57,15 +57,15 @@
         peer_ranks[sender] = (now, rank)
 
 
-def reported_late_ranks(
+def reported_overdue_ranks(
     state: State, now: float, target: Target, senders: Container[InstanceName]
 ) -> list[int]:
-    """List the valid late ranks that some peers reported."""
+    """Return the valid overdue ranks that the given peers reported."""
     peer_ranks = state.overdue_ranks.peers.get(target, {})
     return [
         rank
         for name, (received_at, rank) in peer_ranks.items()
-        if name in senders and now - received_at <= _LATE_RANK_VALID_S
+        if name in senders and now - received_at <= _OVERDUE_RANK_VALID_S
     ]
 
 
@@ -83,11 +83,11 @@
     own_rank = scheduling_rank(req.service_class)
     if _is_served_by_share(state, req):
         return False
-    local_late_rank = late_rank(state, now, req.target)
-    if local_late_rank is not None and local_late_rank < own_rank:
+    local_overdue_rank = overdue_rank(state, now, req.target)
+    if local_overdue_rank is not None and local_overdue_rank < own_rank:
         return True
     peer_ranks = state.overdue_ranks.peers.get(req.target, {})
     return any(
-        rank < own_rank and now - received_at <= _LATE_RANK_VALID_S
+        rank < own_rank and now - received_at <= _OVERDUE_RANK_VALID_S
         for received_at, rank in peer_ranks.values()
     )
--- a/tests/core/queueing/test_urgent_first.py
+++ b/tests/core/queueing/test_urgent_first.py
@@ -1,4 +1,4 @@
-"""Test that less urgent requests wait while more urgent ones are late."""
+"""Test that less urgent requests wait while more urgent ones are overdue."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 SLOTS: Final = 64
 
 
-def report_late_rank(world: StoreWorld, number: int, rank: int | None) -> list[Effect]:
-    """Have a peer report its most urgent late rank."""
+def report_overdue_rank(world: StoreWorld, number: int, rank: int | None) -> list[Effect]:
+    """Have a peer report its most urgent overdue rank."""
     return world.peer("b-1", LoadNews("x", number, [], [], [DemandRow("lm", 0, 0, rank)]))
 
 
 def test_long_prompt_waits_for_urgent_requests_of_a_peer() -> None:
-    """Guards against sending a long prompt while a peer reports urgent late requests, and after
-    that.
+    """Guards against sending a long prompt while a peer reports overdue urgent requests, and
+    after that.
     """
     world = StoreWorld(engines=1)
-    report_late_rank(world, 1, 0)
+    report_overdue_rank(world, 1, 0)
     assert not only(
         world.arrive("long", service_class=LESS_URGENT, prompt_tokens=9_000), StartAttempt
     )
     assert only(world.arrive("quick", service_class=URGENT, prompt_tokens=900), StartAttempt)
-    effects = report_late_rank(world, 2, None) + world.wait(0.2)
+    effects = report_overdue_rank(world, 2, None) + world.wait(0.2)
     assert start_of(effects).request_id == "long"
-    report_late_rank(world, 3, 0)
+    report_overdue_rank(world, 3, 0)
     assert not only(
         world.arrive("next", service_class=LESS_URGENT, prompt_tokens=900), StartAttempt
     )
@@ -40,22 +40,22 @@
 
 
 def test_assured_share_holds_while_urgent_requests_are_late() -> None:
-    """Guards against withholding the assured share while urgent requests are late."""
+    """Guards against withholding the assured share while urgent requests are overdue."""
     world = StoreWorld(engines=1)
-    report_late_rank(world, 1, 0)
+    report_overdue_rank(world, 1, 0)
     assert not only(
         world.arrive("long", service_class=LESS_URGENT, prompt_tokens=9_000), StartAttempt
     )
     started: list[str] = []
     for number in range(60):
-        report_late_rank(world, 2 + number, 0)
+        report_overdue_rank(world, 2 + number, 0)
         effects = world.arrive(f"q{number}", service_class=URGENT, prompt_tokens=20)
         started += [each.request_id for each in only(effects, StartAttempt)]
     assert "long" in started
 
 
 def test_late_urgent_requests_are_reported() -> None:
-    """Guards against missing reports of late urgent requests."""
+    """Guards against missing reports of overdue urgent requests."""
     world = StoreWorld(engines=1)
     world.know("b-1")
     for number in range(SLOTS + 1):
