--- a/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
@@ -1,4 +1,4 @@
-"""Process an attempt from its start to its end, and decide what its end means for the request.
+"""Process an attempt from its start to its end, and retry or end its request.
 
 `dispatch` starts attempts and the daemon reports on them. A request whose attempt failed is retried
 only here, by the rules for retries: within its deadline and the retry budget, and never where it
@@ -153,7 +153,7 @@
 def _handle_end(
     state: State, now: float, req: Request, attempt: Attempt, end: AttemptEnd
 ) -> list[Effect]:
-    """Decide what the end of an attempt means for its request."""
+    """Complete, retry or end a request by the end of its attempt."""
     match end:
         case EndComplete(status, answer):
             if attempt.first_token_at is None:
@@ -182,7 +182,7 @@
                 state, now, req, attempt, Reason.OVERLOAD, uses_budget=uses_budget
             )
         case EndUnsent(error) if attempt.sent:
-            # An attempt that was reported as sent may have run, so `not_run` would be a guess.
+            # An attempt that was reported as sent may have run, so `not_run` may be wrong.
             return _handle_end(state, now, req, attempt, EndBroken(error, server_alive=False))
         case EndUnsent(error):
             note_unreachable(state.servers, state.options, now, attempt.server)
@@ -197,7 +197,7 @@
             quarantine.record_broken_connection(state, now, req, attempt, server_alive)
             log = _failure_log(req, attempt, "broken", error)
             if attempt.cancelled is not None:
-                # It broke while being cancelled; the reason for that still applies.
+                # It broke while being cancelled; the reason of the cancellation still applies.
                 return [log, *_handle_cancelled(state, now, req, attempt)]
             # Retries after a crash add no load, as the server has none now. Prevents the crash of a
             # full server from using up the retry budget.
@@ -257,12 +257,12 @@
             return finish(state, now, req, unanswered_outcome(req), Reason.DEADLINE)
         case CancelReason.DISPLACED:
             if not req.repeatable and req.may_have_run:
-                # It may not run again, so the displacement was a mistake.
+                # It may not run again, so it should not have been displaced.
                 return _handle_loss(state, now, req, attempt, Reason.DISPLACED)
             count = Count(f"displaced.{req.service_class.name}")
             return [count, *_requeue_stopped(state, now, req)]
         case CancelReason.MOVED:
-            # The move paid from the retry budget, and only repeatable requests are moved.
+            # The move was charged to the retry budget, and only repeatable requests are moved.
             req.failed_servers.add(attempt.server)
             return _requeue_stopped(state, now, req)
         case CancelReason.SERVER_DEAD:
@@ -275,7 +275,7 @@
             return _retry_or_finish(state, now, req, attempt, Reason.NO_SERVER, uses_budget=False)
         case CancelReason.UNRESPONSIVE:
             quarantine.record_unresponsive_connection(state, now, req, attempt)
-            # The retry was paid for when the attempt was suspected.
+            # The retry was charged to the retry budget when the connection was suspected.
             return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST, uses_budget=False)
         case None:
             return _handle_loss(state, now, req, attempt, Reason.SERVER_LOST)
@@ -284,7 +284,7 @@
 
 
 def _requeue_stopped(state: State, now: float, req: Request) -> list[Effect]:
-    """Requeue a request whose attempt was stopped by this instance."""
+    """Requeue a request whose attempt this instance stopped, to resume elsewhere."""
     if req.caller_left:
         # Prevents generating the rest for a caller that has left.
         return finish(state, now, req, unanswered_outcome(req), Reason.CALLER_LEFT)
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_agreement.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_agreement.py
@@ -32,27 +32,27 @@
         wait.next_vote_request_at = wait.votes_requested_at = now
         wait.vote_failures = 0
         wait.is_denied = False
-    # A member without an answer may be paused or unreachable, which other members learn later.
+    # A member that does not answer may be paused or unreachable, which shows only later.
     is_overdue = now - wait.votes_requested_at >= state.options.claim_vote_wait_s
     has_lost_member = wait.vote_failures >= state.options.claim_ask_failures
     if wait.is_denied or is_overdue or has_lost_member:
         return False
     live_incarnations = {each.incarnation for each in live_instances(state, now)}
     state.claims.live_before |= live_incarnations
-    # A member that was never seen live may still be running, since views travel faster than
-    # heartbeats between data centres. One that is no longer live is gone, and asking it would only
-    # cause delay.
+    # A member that was never seen live may be running, since views travel faster than heartbeats
+    # between data centres. One that is no longer live has gone, and asking it would only cause
+    # delay.
     gone_incarnations = state.claims.live_before - live_incarnations
     return not any(each.incarnation in gone_incarnations for each in view.members)
 
 
 def record_unreachable_member(state: State, now: float, wait: Wait, peer: str) -> None:
-    """Record an unreachable member; it is asked again over a new connection, then given up."""
+    """Record a failure to reach a member, which is asked again over a new connection."""
     view = voting_view(state)
     if view is None or wait.vote_epoch != view.epoch:
         return
-    for each in view.members:
-        if each.instance == peer and each.incarnation not in wait.voters:
+    for member in view.members:
+        if member.instance == peer and member.incarnation not in wait.voters:
             wait.vote_failures += 1
             wait.next_vote_request_at = now
             state.claims.keys_to_evaluate.add(wait.key)
@@ -68,7 +68,7 @@
         return []
     wait.voters.add(state.me.incarnation)
     wait.next_vote_request_at = now + state.options.claim_vote_again_s
-    ask = ClaimVoteAsk(
+    vote_request = ClaimVoteAsk(
         epoch=view.epoch,
         key=wait.key,
         fingerprint=req.fingerprint,
@@ -76,11 +76,12 @@
         incarnation=state.me.incarnation,
         address=state.me.peer_address,
     )
-    missing = [each for each in view.members if each.incarnation not in wait.voters]
+    missing_members = [each for each in view.members if each.incarnation not in wait.voters]
     effects: list[Effect] = [
-        SendPeer(InstanceName(each.instance), each.address, ask) for each in missing
+        SendPeer(InstanceName(each.instance), each.address, vote_request)
+        for each in missing_members
     ]
-    return effects if missing else _admit_agreed(state, now, req, wait)
+    return effects if missing_members else _admit_agreed(state, now, req, wait)
 
 
 def on_vote(state: State, now: float, vote: ClaimVote) -> list[Effect]:
@@ -134,7 +135,7 @@
     if vote.holder > wait.request_id and not vote.is_in_log:
         # Of two concurrent requests the one with the lower id wins; the other yields.
         return []
-    # It does not ask again. Prevents an agreement that is still in transit from counting.
+    # The request does not ask again. Prevents votes that are still in transit from counting.
     wait.has_yielded = True
     effects = release(state, wait.request_id, wait.key)
     holder = RecordWriter(vote.holder_instance, vote.holder_incarnation, vote.holder_address)
--- a/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/claim_flow.py
@@ -1,10 +1,10 @@
 """Claim the `Idempotency-Key` of a non-idempotent call and run it at most once.
 
-The request waits in `Phase.CLAIMING` until the ledger shows who holds its key. If it holds the key
-itself, it is queued. If another request does, it gets that request's end: from this instance, from
-the instance that ran it, or from the log. `_settle_wait` checks the ledger and the outbox whenever
-something about the key may have changed, so the order of acknowledgements, reads and messages does
-not matter.
+The request waits in `RequestPhase.CLAIMING` until the ledger shows which request holds its key. If
+it is the holder itself, it is queued. Otherwise it gets the end of the holder: from this instance,
+from the instance that ran it, or from the log. `_settle_wait` checks the ledger and the outbox
+whenever something about the key may have changed, so the order of acknowledgements, reads and
+messages does not matter.
 
 A caller gets `not_run` only while the ledger shows no other holder, and the claim is then
 withdrawn, which prevents a delayed record from blocking the key. It gets `unknown` where another
@@ -84,7 +84,7 @@
 
 
 def on_arrived(state: State, now: float, req: Request) -> list[Effect]:
-    """Start claiming the key of a request that lifecycle has admitted for it."""
+    """Start to claim the key of a request that `lifecycle` has put into the claiming phase."""
     if req.phase is not RequestPhase.CLAIMING:
         return []
     # Prevents a call that waits until its claim expired from running beside another one.
@@ -94,7 +94,7 @@
     return [*_settle_wait(state, now, wait), *flush(state, now)]
 
 
-# --- who holds the key -----------------------------------------------------------------------
+# --- holder of the key -----------------------------------------------------------------------
 
 
 def settle_changed_keys(state: State, now: float) -> list[Effect]:
@@ -130,24 +130,24 @@
     """Claim a key that has no holder, by the log or by the members' agreement."""
     claims = state.claims
     outbox = claims.outbox
-    is_written = is_claim_in_progress(outbox, wait.request_id)
+    has_claim_in_progress = is_claim_in_progress(outbox, wait.request_id)
     if (
-        not is_written
+        not has_claim_in_progress
         and len(claims.ledger.claims) + len(claims.votes) >= state.options.claim_live_max
     ):
         return refuse_unclaimable(state, now, req)
     if is_log_slow(outbox, state.options, now) and can_ask_members(state, now, wait):
-        # Not written meanwhile: a claim that may be in the log cannot yield to another.
+        # No claim is written meanwhile: one that may be in the log cannot yield to another.
         return ask_members(state, now, req, wait)
     if is_log_down(outbox, state.options, now):
         return refuse_unclaimable(state, now, req)
-    if not is_written and _can_write_claim(state):
+    if not has_claim_in_progress and _can_write_claim(state):
         queue_claim(outbox, wait.request_id, NewClaim(wait.key, req.fingerprint, req.request_id))
     return []
 
 
 def _can_write_claim(state: State) -> bool:
-    """Return whether a claim of this instance counts and it can know whether it is the first."""
+    """Return whether this instance may claim, and would see an earlier claim of the same key."""
     ledger = state.claims.ledger
     is_ledger_current = ledger.has_all_claims and ledger.views.current is not None
     return is_ledger_current and can_claim(ledger.views, writer_of(state))
@@ -173,11 +173,11 @@
 def _follow_holder(
     state: State, now: float, req: Request, wait: Wait, holder: Claim
 ) -> list[Effect]:
-    """Give a request the end of the holder of its key, or ask for it."""
+    """Finish a request with the end of its key's holder, or ask for that end."""
     holder_id = holder.claim.request_id
-    kept_end = state.claims.answers.entries.get(holder_id)
-    if kept_end is not None:
-        return _finish_with_end(state, now, req, kept_end)
+    stored_end = state.claims.answers.entries.get(holder_id)
+    if stored_end is not None:
+        return _finish_with_end(state, now, req, stored_end)
     if holder.holder.incarnation == state.me.incarnation:
         if RequestId(holder_id) in state.requests or holder_id in state.claims.withdrawing:
             return []
@@ -190,18 +190,18 @@
 
 
 def _finish_from_log(state: State, now: float, req: Request, holder: Claim) -> list[Effect]:
-    """End a request with what the log has about the holder."""
+    """Finish a request with the holder's end in the log, or `unknown` where there is none."""
     if holder.end is None:
         return lifecycle.finish(state, now, req, Outcome.UNKNOWN, Reason.ALREADY_CLAIMED)
     return _finish_with_end(state, now, req, StoredEnd(holder.end, None))
 
 
-def _finish_with_end(state: State, now: float, req: Request, kept_end: StoredEnd) -> list[Effect]:
+def _finish_with_end(state: State, now: float, req: Request, stored_end: StoredEnd) -> list[Effect]:
     """Send a caller the end of the request that ran for its key."""
-    end = kept_end.end
+    end = stored_end.end
     if end.outcome is not Outcome.COMPLETED:
         return lifecycle.finish(state, now, req, end.outcome, end.reason, status=end.status)
-    answer = kept_end.answer
+    answer = stored_end.answer
     if answer is None:
         reason = Reason.ALREADY_COMPLETED
         return lifecycle.finish(state, now, req, Outcome.UNKNOWN, reason, status=end.status)
@@ -223,7 +223,7 @@
         case ClaimAsk():
             return on_ask(state, sender, message)
         case ClaimKept():
-            return _on_kept_end(state, now, message)
+            return _on_stored_end(state, now, message)
         case ClaimOpen():
             wait = state.claims.waits.get(RequestId(message.waiter))
             if wait is not None:
@@ -253,12 +253,12 @@
     )
 
 
-def _on_kept_end(state: State, now: float, message: ClaimKept) -> list[Effect]:
+def _on_stored_end(state: State, now: float, message: ClaimKept) -> list[Effect]:
     wait = _find_wait(state, message.waiter, message.holder)
-    kept_end = end_from_message(message)
-    if wait is None or kept_end is None:
+    stored_end = end_from_message(message)
+    if wait is None or stored_end is None:
         return []
-    return _finish_with_end(state, now, state.requests[wait.request_id], kept_end)
+    return _finish_with_end(state, now, state.requests[wait.request_id], stored_end)
 
 
 def _on_unheld(state: State, now: float, message: ClaimUnheld) -> list[Effect]:
@@ -296,20 +296,20 @@
 
 
 def on_append_done(state: State, now: float, event: AppendDone) -> list[Effect]:
-    """Apply an acknowledged append if everything before it was read; else read up to it."""
+    """Apply an acknowledged append if all earlier records were read; else read up to it."""
     batch = on_done(state, event)
     effects: list[Effect] = []
     if batch is not None and event.first_offset == state.claims.ledger.offset:
         effects += _apply_record(state, now, LogRecord(event.first_offset, encode(batch)))
     elif batch is not None:
-        # Its meaning depends on earlier records of other instances.
+        # Its effect depends on earlier records of other instances.
         effects += read_claims_stream(state, now)
-    # Pending decisions go first, as they may leave less to write.
+    # Keys are settled before the next flush, as that may leave less to write.
     return effects if state.claims.keys_to_evaluate else effects + flush(state, now)
 
 
 def on_append_failed(state: State, now: float, event: AppendFailed) -> list[Effect]:
-    """Settle what can be settled after a failed append."""
+    """Process a failed append; settle the claims without a holder if the log is down."""
     effects = on_failed(state, now, event)
     if is_log_down(state.claims.outbox, state.options, now):
         return effects + _refuse_unwritten(state, now)
@@ -317,7 +317,7 @@
 
 
 def _refuse_unwritten(state: State, now: float) -> list[Effect]:
-    """Refuse claims that wait for an unavailable log before their deadlines."""
+    """Ask the members about claims that wait for an unavailable log, or refuse them at once."""
     effects: list[Effect] = []
     for wait in list(state.claims.waits.values()):
         if known_holder(state.claims, state.options, wait.key, wait.request_id) is None:
@@ -339,7 +339,7 @@
         # The log responds again, so an append need not wait for its retry time.
         claims.outbox.retry_at = min(claims.outbox.retry_at, now)
     claims.read_failed = False
-    # The next claim is written, which shows whether appends work again.
+    # Lets the next claim be written, which shows whether appends work again.
     failures_max = state.options.claim_down_failures
     claims.outbox.failures = min(claims.outbox.failures, failures_max - 1)
     return effects
@@ -348,11 +348,11 @@
 def _apply_record(state: State, now: float, record: LogRecord) -> list[Effect]:
     """Apply a record to the ledger."""
     claims = state.claims
-    was_whole = claims.ledger.has_all_claims
+    had_all_claims = claims.ledger.has_all_claims
     folded = fold(claims.ledger, state.options, record.offset, record.value)
     claims.keys_to_evaluate |= folded.touched_keys
     apply_folded_record(state, now, record.offset, folded)
-    if claims.ledger.has_all_claims and not was_whole:
+    if claims.ledger.has_all_claims and not had_all_claims:
         claims.keys_to_evaluate |= set(claims.waiting)
     return _record_own_batch(state, folded) + _report_bad_record(folded, record)
 
@@ -397,11 +397,11 @@
     return []
 
 
-# --- time ------------------------------------------------------------------------------------
+# --- ticks -----------------------------------------------------------------------------------
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Give up expired requests; ask, read and write what is due."""
+    """End expired requests; send the queries, reads and appends that are due."""
     count_append_time(state.claims.outbox, state.options)
     effects: list[Effect] = []
     for wait in list(state.claims.waits.values()):
@@ -409,7 +409,7 @@
         if now >= req.deadline:
             effects += _finish_expired(state, now, req, wait)
         elif now >= wait.next_query_at:
-            # Without a holder, the log may have become slow meanwhile.
+            # Also where the key has no holder, as the log may have become slow meanwhile.
             state.claims.keys_to_evaluate.add(wait.key)
     if now >= state.claims.next_read_at:
         effects += read_claims_stream(state, now)
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -1,9 +1,9 @@
 """Process a request from its arrival to its account: refusal, queueing, giving up, finishing.
 
-`attempt_flow` has its attempts and what follows from their ends. Every path ends in `finish`,
-exactly once for each request: it removes the request from all structures and answers the caller.
-`Request.may_have_run` decides what may be answered: `not_run` is never used after an attempt was
-sent, unless the server itself reported that it had not started.
+`attempt_flow` handles its attempts. Every path ends in `finish`, exactly once for each request: it
+removes the request from all structures and answers the caller. `Request.may_have_run` decides
+which outcome the caller may get: `not_run` is never used after an attempt was sent, unless the
+server itself reported that it had not started.
 """
 
 from __future__ import annotations
@@ -75,7 +75,7 @@
     """Refuse a request that crashes servers, or whose customer or team is over a limit."""
     retry_after_s = quarantine.refusal_remaining_s(state, now, req.fingerprint)
     if retry_after_s is not None:
-        # Another request with the same content has run: `not_run` would invite a retry.
+        # Another request with the same content has run, and `not_run` would invite a retry.
         return finish(
             state, now, req, Outcome.FAILED, Reason.QUARANTINED, retry_after_s=retry_after_s
         )
@@ -93,7 +93,7 @@
 
 
 def _decide_admission(state: State, now: float, req: Request) -> list[Effect]:
-    """Refuse a request that cannot be answered in time, after displacing lower work."""
+    """Refuse a request that cannot be answered in time, or make lower work give way to it."""
     verdict = admission.decide(state, now, req, pool_name(state, req.target))
     match verdict:
         case admission.Refused(pause_s, details):
@@ -141,7 +141,7 @@
         outcome = Outcome.UNKNOWN if waits_for_holder(state, req) else unanswered_outcome(req)
         return finish(state, now, req, outcome, Reason.CALLER_LEFT)
     if not req.repeatable and req.kind is ServiceKind.PLAIN:
-        # It cannot be undone, and its account is useful to callers that ask for it later.
+        # The call cannot be undone, and its account helps callers that ask for it later.
         return []
     return cancel(req, CancelReason.CALLER_LEFT)
 
@@ -151,7 +151,7 @@
     effects: list[Effect] = []
     for req in list(queue_state.expired(state.queues, now)):
         if req.first_token_at is not None:
-            # Its answer has begun and only has to resume on another server.
+            # The answer has begun and only has to resume on another server.
             continue
         queue_state.remove(state.queues, req)
         effects += finish(
@@ -178,7 +178,7 @@
 
 
 def _finish_unservable(state: State, now: float) -> list[Effect]:
-    """End late requests that are predicted to expire before they are served."""
+    """End overdue requests that are predicted to expire before they are served."""
     effects: list[Effect] = []
     for pool in state.queues.pools:
         while unservable := admission.unservable_requests(state, now, pool):
--- a/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
@@ -1,7 +1,7 @@
 """Carry out the decisions of `quarantine` and `isolated_runs` for the reducer.
 
-`lifecycle` hands suspects over when it admits them, and `attempt_flow` when they wait for another
-attempt. From here they go on to an isolated run, back to a queue, or to their end.
+`lifecycle` holds suspects when it admits them, and `attempt_flow` when they need another attempt.
+This module starts their isolated runs, returns them to a queue, or ends them.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Issue the verdicts that are due and move the suspects on."""
+    """Issue the verdicts that are due, and apply the decisions on suspects."""
     effects = quarantine.on_tick(state, now)
     effects += isolated_runs.review_isolated_runs(state, now)
     if state.quarantine.needs_check:
@@ -71,12 +71,12 @@
 
 
 def _review_requests(state: State, now: float) -> list[Effect]:
-    """Hold or cancel the requests that have just become suspects or refused."""
+    """Cancel running requests that are refused now, and hold waiting ones that became suspects."""
     effects: list[Effect] = []
     for req in list(state.requests.values()):
         if req.attempt is not None:
             if quarantine.refusal_remaining_s(state, now, req.fingerprint) is not None:
-                # Prevents a crash of this server and everything else that runs there.
+                # Prevents a crash of its server, which would end all other requests on it.
                 effects += dispatch.cancel(req, CancelReason.QUARANTINED)
         elif req.phase is RequestPhase.WAITING and _is_new_suspect(state, req):
             queue_state.remove(state.queues, req)
