--- a/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
@@ -113,7 +113,7 @@
     """The engines that hold most of a prompt, where engines can fetch parts from each other."""
 
     # The two engines that hold most, with their tokens; the requesting engine may be one of them.
-    most: list[tuple[int, Server]]
+    largest_holders: list[tuple[int, Server]]
 
 
 def holdings_of(state: State, req: Request, server: Server) -> Holdings:
@@ -142,7 +142,7 @@
     """Return the best fetch of parts that an engine lacks, or None if it is not worth it."""
     if holdings is None:
         holdings = holdings_of(state, req, server)
-    for held_tokens, holder in holdings.most:
+    for held_tokens, holder in holdings.largest_holders:
         if holder is server:
             continue
         own_tokens = req.prompt_tokens - uncached_tokens(
@@ -186,23 +186,23 @@
 
 def engine_load(record: EngineInfo, now: float) -> EngineLoad:
     """Return the load of all instances on a server."""
-    own = (len(record.prefills), len(record.running))
+    own_counts = (len(record.prefills), len(record.running))
     load = record.load
     if (
         load is None
         or load.at != now
         or load.load_version != record.load_version
-        or load.own != own
+        or load.own != own_counts
     ):
-        load = record.load = _sum_load(record, now, own)
+        load = record.load = _sum_load(record, now, own_counts)
     return load
 
 
-def _sum_load(record: EngineInfo, now: float, own: tuple[int, int]) -> EngineLoad:
+def _sum_load(record: EngineInfo, now: float, own_counts: tuple[int, int]) -> EngineLoad:
     pending = [
         PendingPrompt(each.work_ms, each.rank, each.sent_at) for each in record.prefills.values()
     ]
-    requests = sum(own)
+    requests = sum(own_counts)
     tokens = sum(each.tokens for each in record.prefills.values()) + sum(record.running.values())
     for peer in record.peers.values():
         if now - peer.last_receipt.received_at <= PEER_LOAD_VALID_S:
@@ -211,7 +211,7 @@
             tokens += peer.tokens
     current_prompts, left_ms = _current_prefills(record, pending, now) if pending else ([], 0.0)
     return EngineLoad(
-        now, record.load_version, own, pending, current_prompts, left_ms, requests, tokens
+        now, record.load_version, own_counts, pending, current_prompts, left_ms, requests, tokens
     )
 
 
@@ -296,9 +296,11 @@
     if not wait_ms:
         record.prefilling_since = now
     predicted_first_token_ms = wait_ms + own_ms + speed_of(state, req.target).first_ms
-    is_unaffected = not wait_ms and fetch is None
+    has_only_own_work = not wait_ms and fetch is None
     reference_ms = (
-        _reference_engine_ms(state.options, record, req, saved_tokens) if is_unaffected else None
+        _reference_engine_ms(state.options, record, req, saved_tokens)
+        if has_only_own_work
+        else None
     )
     record.prefills[attempt.attempt_id] = Prefill(
         own_ms, rank, final_tokens(req), predicted_first_token_ms, now, reference_ms
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
@@ -373,13 +373,15 @@
     Prevents a burst of less urgent long prompts from leaving one engine to the most urgent answers.
     """
     service = state.config.service_by_target.get(target)
-    most_urgent: dict[bool, int] = {}
+    most_urgent_priority: dict[bool, int] = {}
     for route in state.config.routes.by_host_and_prefix.values():
         if service is None or target not in (each.target for each in route.targets):
             continue
         is_short = not _is_gap_tolerant(state, route.gap_target_s, service)
-        most_urgent[is_short] = min(route.priority, most_urgent.get(is_short, route.priority))
-    return most_urgent.get(True, 0) <= most_urgent.get(False, 0)
+        most_urgent_priority[is_short] = min(
+            route.priority, most_urgent_priority.get(is_short, route.priority)
+        )
+    return most_urgent_priority.get(True, 0) <= most_urgent_priority.get(False, 0)
 
 
 def _shortest_gap_s(state: State, target: Target) -> float | None:
--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -57,7 +57,7 @@
 # Parts in one bundle; older ones are left out.
 _PARTS_PER_BUNDLE_MAX: Final = 120
 # Prompts of one server in a sum; the others are left out.
-_WORKS_PER_SERVER_MAX: Final = 32
+_PREFILLS_PER_SERVER_MAX: Final = 32
 _MS: Final = 1000.0
 # Suffix that marks a relay's name as the origin of its group's sum.
 _SUM_SUFFIX: Final = "+"
@@ -254,17 +254,19 @@
             tokens += peer.tokens
     if not pending and not running:
         return None
-    works = [
+    prefill_rows = [
         [round(each.work_ms), each.rank, round((now - each.sent_at) * _MS)]
-        for each in pending[:_WORKS_PER_SERVER_MAX]
+        for each in pending[:_PREFILLS_PER_SERVER_MAX]
     ]
-    return LoadRow(name, works, running, tokens)
+    return LoadRow(name, prefill_rows, running, tokens)
 
 
 def _has_changed(previous: LoadRow, row: LoadRow) -> bool:
     """Return whether a server's row has changed; the age of prompts does not count."""
-    has_same_works = [each[:2] for each in previous.prefills] == [each[:2] for each in row.prefills]
-    return (previous.running, previous.tokens) != (row.running, row.tokens) or not has_same_works
+    has_same_prefills = [each[:2] for each in previous.prefills] == [
+        each[:2] for each in row.prefills
+    ]
+    return (previous.running, previous.tokens) != (row.running, row.tokens) or not has_same_prefills
 
 
 def _sum_demand(state: State, now: float, own: list[DemandRow]) -> list[DemandRow]:
--- a/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
@@ -24,7 +24,7 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Minimum interval between datagrams to the same peers, and the part of it for each peer.
+# Interval between datagrams to the same peers: its minimum, and its length for each peer.
 _INTERVAL_MIN_S: Final = 0.02
 _INTERVAL_PER_PEER_S: Final = 0.0025
 # Interval between datagrams to a relay, which gathers them before it passes them on.
@@ -39,7 +39,7 @@
 _FORGET_AFTER_S: Final = 5.0
 _MS: Final = 1000.0
 # Fields of a prompt in a row: work, rank and age.
-_WORK_FIELDS: Final = 3
+_PREFILL_FIELDS: Final = 3
 
 
 def send_due_update(state: State, now: float) -> list[Effect]:
@@ -95,12 +95,12 @@
 
 def load_row(name: ServerName, record: EngineInfo, now: float) -> LoadRow:
     """Return the row of a load update for a server."""
-    works = [
+    prefill_rows = [
         [round(each.work_ms), each.rank, round((now - each.sent_at) * _MS)]
         for each in record.prefills.values()
     ]
     tokens = sum(each.tokens for each in record.prefills.values()) + sum(record.running.values())
-    return LoadRow(name, works, len(record.running), tokens)
+    return LoadRow(name, prefill_rows, len(record.running), tokens)
 
 
 # --- receiving -------------------------------------------------------------------------------
@@ -186,15 +186,15 @@
     if has_fewer_prompts or not engine_model.has_pending(record, sent_at):
         record.prefilling_since = sent_at
     pending = [
-        PendingPrompt(float(work), rank, sent_at - age / _MS)
-        for work, rank, age in _valid_works(row.prefills)
+        PendingPrompt(float(work_ms), rank, sent_at - age_ms / _MS)
+        for work_ms, rank, age_ms in _valid_prefills(row.prefills)
     ]
     record.load_version += 1
     record.peers[origin] = PeerLoad(receipt, pending, row.running, row.tokens)
 
 
-def _valid_works(works: list[list[int]]) -> list[tuple[int, int, int]]:
-    return [(each[0], each[1], each[2]) for each in works if len(each) >= _WORK_FIELDS]
+def _valid_prefills(prefill_rows: list[list[int]]) -> list[tuple[int, int, int]]:
+    return [(each[0], each[1], each[2]) for each in prefill_rows if len(each) >= _PREFILL_FIELDS]
 
 
 def _record_parts(state: State, now: float, update: LoadNews) -> None:
--- a/packages/turmericweir-core/turmericweir_core/placement/admission.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/admission.py
@@ -33,9 +33,9 @@
     """The request may wait; another request may have to give way to it."""
 
     # A running request whose attempt is to be displaced.
-    displace: Request | None = None
+    to_displace: Request | None = None
     # A waiting request that is to end `not_run`.
-    drop: Request | None = None
+    to_drop: Request | None = None
 
 
 class Refused(Struct, frozen=True):
@@ -76,7 +76,7 @@
         return Admitted()
     dropped = displacement.waiting_request_to_drop(state, pool, req.priority)
     if dropped is not None:
-        return Admitted(drop=dropped)
+        return Admitted(to_drop=dropped)
     retry_after_s = predicted_admission.retry_after(state, now, req, wait_s)
     return Refused(retry_after_s, predicted_admission.explain(state, now, req, wait_s))
 
@@ -93,9 +93,9 @@
     """
     displaced = displacement.least_urgent_running(state, now, req.target, req.priority)
     if displaced is not None:
-        return Admitted(displace=displaced)
+        return Admitted(to_displace=displaced)
     dropped = displacement.waiting_request_to_drop(state, pool, req.priority)
-    return None if dropped is None else Admitted(drop=dropped)
+    return None if dropped is None else Admitted(to_drop=dropped)
 
 
 def record_admitted(state: State, now: float, req: Request, pool: str) -> None:
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -57,7 +57,7 @@
         return finish(state, now, req, Outcome.NOT_RUN, refusal, retry_after_s=retry_after_s)
     if req.kind is ServiceKind.MODEL:
         req.predicted_tokens = predict_tokens(state.predictor, state.options, req)
-    refusal_effects = _refuse_barred(state, now, req)
+    refusal_effects = _refuse_quarantined_or_limited(state, now, req)
     if refusal_effects:
         return refusal_effects
     effects = _decide_admission(state, now, req)
@@ -71,7 +71,7 @@
     return effects + admit(state, now, req)
 
 
-def _refuse_barred(state: State, now: float, req: Request) -> list[Effect]:
+def _refuse_quarantined_or_limited(state: State, now: float, req: Request) -> list[Effect]:
     """Refuse a request that crashes servers, or whose customer or team is over a limit."""
     retry_after_s = quarantine.refusal_remaining_s(state, now, req.fingerprint)
     if retry_after_s is not None:
