--- a/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
@@ -1,4 +1,4 @@
-"""Send a new instance the cache data of the engines that another instance has.
+"""Send a new instance what another one has recorded about the caches of the engines.
 
 `load_updates` reports parts only when they are sent or prefilled, so a new instance lacks earlier
 ones and would have them prefilled again on other engines. It asks one live peer at a time until one
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
@@ -6,7 +6,7 @@
 tolerate long prompts, and decode engines the others. The kind of a request follows from the
 settings and its prompt alone.
 
-Requests that do not tolerate long prompts may still delay each other: a prompt whose prefill takes
+Requests that do not tolerate long prompts may still delay each other: a prompt whose prefill lasts
 a whole event delays streams with a shorter gap target than its own. Such medium prompts have
 separate engines among the decode engines where there are enough.
 
--- a/packages/turmericweir-core/turmericweir_core/placement/placement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/placement.py
@@ -6,7 +6,7 @@
 - Baseline takes the server with the fewest requests sent so far, up to twice its slots.
 - Counts estimates a server's load from this instance's requests and the server's last report. Each
   instance first uses its share of the slots that look free, since all read the same report.
-- Predicted takes the server where a model of each server predicts the earliest begin (see
+- Predicted takes the server where the request is predicted to begin first (see
   `predicted_placement`).
 - Credits uses the slots that the server's dispatcher leased to this instance, or counts with a
   cautious limit where no credit is available (see `credit`).
