--- a/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
@@ -1,8 +1,9 @@
 """Exchange load updates: what each instance has on each server, and the parts it sent.
 
 All instances send to the same servers, and a server's report of its load is delayed and, on some
-platforms, costs money. So an instance announces each request it sends or sees begin to the others
-of the region. Each update holds all load of its sender, so the next one makes up for a lost one.
+platforms, costs money. So an instance announces to the others of the region each request that it
+sends or whose answer begins. Each update holds all load of its sender, so the next one makes up for
+a lost one.
 
 With few instances each sends to every other, at an interval that grows with their number. With
 many, each sends to its relay instance, and `load_relay` passes the updates on.
@@ -23,7 +24,7 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Minimum interval between datagrams to the same peers, and the part of it for each peer.
+# Interval between datagrams to the same peers: its minimum, and its length for each peer.
 _INTERVAL_MIN_S: Final = 0.02
 _INTERVAL_PER_PEER_S: Final = 0.0025
 # Interval between datagrams to a relay, which gathers them before it passes them on.
@@ -34,11 +35,11 @@
 _PARTS_PER_UPDATE_MAX: Final = 24
 # Smaller parts are prefilled quickly and not worth announcing.
 _PART_TOKENS_MIN: Final = 256
-# Interval after which the load of an instance without updates is dropped.
+# Time after the last update at which an instance's load is dropped.
 _FORGET_AFTER_S: Final = 5.0
 _MS: Final = 1000.0
-# Work, rank and age of a prompt.
-_WORK_FIELDS: Final = 3
+# Fields of a prompt in a row: work, rank and age.
+_PREFILL_FIELDS: Final = 3
 
 
 def send_due_update(state: State, now: float) -> list[Effect]:
@@ -94,12 +95,12 @@
 
 def load_row(name: ServerName, record: EngineInfo, now: float) -> LoadRow:
     """Return the row of a load update for a server."""
-    works = [
+    prefill_rows = [
         [round(each.work_ms), each.rank, round((now - each.sent_at) * _MS)]
         for each in record.prefills.values()
     ]
     tokens = sum(each.tokens for each in record.prefills.values()) + sum(record.running.values())
-    return LoadRow(name, works, len(record.running), tokens)
+    return LoadRow(name, prefill_rows, len(record.running), tokens)
 
 
 # --- receiving -------------------------------------------------------------------------------
@@ -116,18 +117,18 @@
     plan = state.load_updates.plan
     if plan.own_relay is not None and plan.own_relay.name == sender:
         state.load_updates.relay_seen_at = now
-    for each in bundle.updates:
-        origin = InstanceName(each.origin)
+    for bundled in bundle.updates:
+        origin = InstanceName(bundled.origin)
         if origin != state.me.name and record_update(
-            state, now, origin, each.update, each.delay_ms
+            state, now, origin, bundled.update, bundled.delay_ms
         ):
-            load_relay.gather_sum(state, now, sender, origin, each.update)
+            load_relay.gather_sum(state, now, sender, origin, bundled.update)
 
 
 def record_update(
-    state: State, now: float, origin: InstanceName, update: LoadNews, held_ms: float = 0.0
+    state: State, now: float, origin: InstanceName, update: LoadNews, delay_ms: float = 0.0
 ) -> bool:
-    """Record an update; return False where it is not newer than the last one of its incarnation."""
+    """Record an update, and return whether it is newer than the last one of its incarnation."""
     origin_state = state.load_updates.origins.get(origin)
     if origin_state is None or origin_state.incarnation != update.incarnation:
         _forget_origin(state, origin)
@@ -139,7 +140,7 @@
     origin_state.seq = update.seq
     origin_state.last_receipt.received_at = now
     engine_pools.record_peer_demand(state, now, origin, update.demand)
-    _record_rows(state, now - held_ms / _MS, origin, origin_state, update)
+    _record_rows(state, now - delay_ms / _MS, origin, origin_state, update)
     _record_parts(state, now, update)
     return True
 
@@ -185,15 +186,15 @@
     if has_fewer_prompts or not engine_model.has_pending(record, sent_at):
         record.prefilling_since = sent_at
     pending = [
-        PendingPrompt(float(work), rank, sent_at - age / _MS)
-        for work, rank, age in _valid_works(row.prefills)
+        PendingPrompt(float(work_ms), rank, sent_at - age_ms / _MS)
+        for work_ms, rank, age_ms in _valid_prefills(row.prefills)
     ]
     record.load_version += 1
     record.peers[origin] = PeerLoad(receipt, pending, row.running, row.tokens)
 
 
-def _valid_works(works: list[list[int]]) -> list[tuple[int, int, int]]:
-    return [(each[0], each[1], each[2]) for each in works if len(each) >= _WORK_FIELDS]
+def _valid_prefills(prefill_rows: list[list[int]]) -> list[tuple[int, int, int]]:
+    return [(each[0], each[1], each[2]) for each in prefill_rows if len(each) >= _PREFILL_FIELDS]
 
 
 def _record_parts(state: State, now: float, update: LoadNews) -> None:
