--- a/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
@@ -1,7 +1,7 @@
 """List which instance runs which version of the settings, as far as this one knows.
 
-Members of this data centre send their version with each heartbeat. The relays of another data
-centre report its lowest version; its instances run that version or a newer one.
+Members of this data centre send their version with each heartbeat. The gateways of another
+data centre report its lowest version; its instances run that version or a newer one.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
     LIVE = "live"
     LEAVING = "leaving"
-    # No sign of progress for some time; the other fields are the last that were received.
+    # No progress was seen for some time; the other fields hold the last received values.
     UNRESPONSIVE = "silent"
 
 
--- a/packages/turmericweir-core/turmericweir_core/membership/leaving.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/leaving.py
@@ -1,12 +1,12 @@
 """Spread notices of leaving or drained backend servers, so that no instance sends them work.
 
-An instance that learns it from the platform's list, the server's own report, a refusal or an
-operator creates a leaving notice. New notices go with the heartbeats and reach the whole region
-within seconds, even when the platform's list is down or stale. Every heartbeat carries a digest of
-all notices; an instance whose digest differs for some time requests all of them.
+An instance that learns from the platform's list, the server's own report, a refusal or an operator
+that a server is leaving creates a leaving notice. New notices go with the heartbeats and reach the
+whole region within seconds, even when the platform's list is down or stale. Every heartbeat carries
+a digest of all notices; an instance whose digest differs for some time requests all of them.
 
-`leaving_notices` and `server_table.apply_notices` prevent a server from returning to service by an
-older list or report.
+`leaving_notices` and `server_table.apply_notices` prevent an older list or report from returning a
+server to service.
 """
 
 from __future__ import annotations
@@ -41,10 +41,10 @@
     report = server.report
     incarnation = server.entry.incarnation if report is None else report.incarnation
     notice = state.servers.leaving_notices.by_key.get((server.entry.name, incarnation))
-    has_left = server.refused_leaving or (report is not None and report.leaving)
+    has_announced_leaving = server.refused_leaving or (report is not None and report.leaving)
     # A report with the incarnation of the notice confirms it, so it may be renewed.
     is_renewed = notice is not None and not notice.is_drained and report is not None
-    if has_left or is_renewed:
+    if has_announced_leaving or is_renewed:
         effects += _record_notice(state, now, server, incarnation, drained=False)
     if server.drained and (report is not None or not _has_notice(state, server)):
         effects += _record_notice(state, now, server, incarnation, drained=True)
@@ -84,11 +84,11 @@
 
 
 def take_notices(state: State, now: float, notices: list[Mark]) -> list[Effect]:
-    """Record notices received from a peer; the named servers get no new work from here on."""
+    """Record notices received from a peer; the named servers get no new work from now on."""
     effects: list[Effect] = []
     for notice in notices:
         name = ServerName(notice.server)
-        # A negative age from a faulty peer must not keep the notice for ever.
+        # Prevents a negative age from a faulty peer from delaying the expiry of the notice.
         seen_at = now - max(0, notice.age_s)
         if not note_notice(
             state.servers.leaving_notices,
--- a/packages/turmericweir-core/turmericweir_core/membership/membership.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership.py
@@ -2,11 +2,11 @@
 
 A member is live while its heartbeat counter is seen to progress, directly or through other members.
 Nothing else makes it live: an instance on the platform's list is only a candidate to contact, and
-one that is missing from the list stays live while it progresses. Only missing progress or a newer
-incarnation ends it.
+one that is missing from the list stays live while it progresses. It stops being live only when
+progress is missing or a newer incarnation replaces it.
 
 Members of this data centre are followed one by one (`membership_gossip`). Another data centre is
-followed as a whole, by the status messages of its relays (`membership_status`): its members are
+followed as a whole, by the status messages of its gateways (`membership_status`): its members are
 live while its status is fresh and its newest roster contains them.
 
 This module holds the state and the queries for other reducers; it sends nothing.
@@ -171,7 +171,7 @@
 
 
 def is_retired(member: Member, incarnation: str) -> bool:
-    """Return whether an incarnation was followed by another one."""
+    """Return whether a newer incarnation has replaced the given one."""
     return incarnation in member.retired_incarnations
 
 
@@ -206,13 +206,13 @@
 
 
 def index_member(members: Membership, member: Member) -> None:
-    """Index a member by its keys before and after it leaves."""
+    """Index a member by both of its keys, with and without the leaving flag."""
     for leaving in (False, True):
         members.name_by_key[member_key(member.name, member.incarnation, leaving)] = member.name
 
 
 def unindex_member(members: Membership, member: Member) -> None:
-    """Remove the keys of a member's incarnation."""
+    """Remove both keys of a member's incarnation from the index."""
     for leaving in (False, True):
         members.name_by_key.pop(member_key(member.name, member.incarnation, leaving), None)
 
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_discovery.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_discovery.py
@@ -2,8 +2,8 @@
 
 An instance that starts knows the addresses of a few seeds at most. These may lie in other data
 centres, be stale or be down, and all instances may start at once. An instance that receives a
-heartbeat from a new one answers it and sends it some members of its own data centre, which the new
-one contacts in turn. Gossip spreads everything else.
+heartbeat from a new one answers it and sends it the records of some members of the new one's data
+centre, which the new one contacts in turn. Gossip spreads everything else.
 """
 
 from __future__ import annotations
@@ -17,11 +17,12 @@
 from turmericweir_core.state.membership_state import NEVER, Member
 from turmericweir_core.state.state import State
 
-# Interval of contacts with seeds right after the start, and how long it applies: an instance
-# without peers reads the store for itself.
+# Interval between contacts with seeds right after the start, and how long it applies. Short, as an
+# instance without peers reads the store for itself.
 _START_CONTACT_INTERVAL_S: Final = 0.2
 _START_PHASE_S: Final = 3.0
-# Members contacted for one message, and the number of live members from which on none are.
+# Maximum number of members contacted because of one message; none are contacted once this many
+# members are live.
 _CONTACTS_MAX: Final = 3
 _ENOUGH_LIVE_MEMBERS: Final = 8
 # Interval between two contacts with a member that does not answer.
@@ -70,15 +71,15 @@
     return []
 
 
-def _contact(state: State, now: float, to: Member) -> SendDatagram:
+def _contact(state: State, now: float, candidate: Member) -> SendDatagram:
     """Return a full heartbeat to a member that is not known to be live."""
-    to.contacted_at = now
+    candidate.contacted_at = now
     statuses = membership_status.statuses_to_send(state, now)
-    return membership_gossip.send_heartbeat(state, now, to, statuses, is_full=True)
+    return membership_gossip.heartbeat_to_member(state, now, candidate, statuses, is_full=True)
 
 
 def answer_new_member(state: State, now: float, sender: Member) -> list[Log | SendDatagram]:
-    """Answer an instance that is new or has returned, with some members of its data centre."""
+    """Answer a new or returned instance, and send it some members of its data centre."""
     log = Log("member_heard", {"peer": sender.name, "data_centre": sender.data_centre})
     effects: list[Log | SendDatagram] = [log, _contact(state, now, sender)]
     neighbours = [
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
@@ -2,8 +2,8 @@
 
 Every round this instance increments its own counter and sends one datagram to one peer, with the
 newest counter it knows of every member. Partners are taken in turn from the ring of live names, at
-distances 1, 2, 4 and so on: after as many rounds as the ring has doublings, a counter has reached
-every member. See docs/design/membership.md.
+distances 1, 2, 4 and so on: a counter reaches all of n members within log2(n)
+rounds, rounded up. See docs/design/membership.md.
 
 Counters are sent without keys while rosters agree (`Heartbeat.counters`), and with keys for some
 time after a difference was seen. Records of unknown keys are requested.
@@ -46,12 +46,13 @@
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.state import State
 
-# Number of values of a character of `Heartbeat.counters`; steps of half of it are ambiguous.
-_MODULUS: Final = 128
-_MAX_LAG: Final = 127
-# Rounds between two sendings of the full settings hash; the offset goes with each round.
+# Number of values of one character of `Heartbeat.counters`. An increase by half of it or more is
+# ambiguous.
+_COUNTER_MODULUS: Final = 128
+_OFFSET_LAG_MAX: Final = 127
+# Rounds between two heartbeats with the settings hash; every heartbeat has the offset.
 _HASH_EVERY_ROUNDS: Final = 8
-# Longest time that a heartbeat takes to reach all members of the data centre.
+# Longest time that a counter takes to reach all members of the data centre.
 _SPREAD_S: Final = 2.0
 
 
@@ -70,8 +71,8 @@
         return []
     members = state.members
     members.trust_after = now + state.options.trust_delay_s
-    if pause_s > _MODULUS // 2 * state.options.heartbeat_s - _SPREAD_S:
-        # Counters advanced by more than one character of a datagram can show.
+    if pause_s > _COUNTER_MODULUS // 2 * state.options.heartbeat_s - _SPREAD_S:
+        # Counters may have advanced by more than one character can represent.
         for member in members.by_name.values():
             member.seq = None
     return [Log("paused", {"seconds": round(pause_s, 3)}), Count("membership.paused")]
@@ -89,7 +90,7 @@
     partner = _partner(state, now)
     if partner is None:
         return []
-    return [send_heartbeat(state, now, partner, statuses)]
+    return [heartbeat_to_member(state, now, partner, statuses)]
 
 
 def _partner(state: State, now: float) -> Member | None:
@@ -109,16 +110,16 @@
     return ring[(own_position + distance) % len(ring)]
 
 
-def send_heartbeat(
-    state: State, now: float, to: Member, statuses: list[Word], *, is_full: bool = False
+def heartbeat_to_member(
+    state: State, now: float, recipient: Member, statuses: list[Word], *, is_full: bool = False
 ) -> SendDatagram:
     """Return a heartbeat addressed to a member."""
-    is_remote = to.data_centre != state.me.data_centre
+    is_remote = recipient.data_centre != state.me.data_centre
     beat = _heartbeat(state, now, statuses, is_full=is_full or is_remote)
     if is_remote:
         # Another data centre evaluates only the status messages, not single counters.
         beat = replace(beat, entries=[])
-    return SendDatagram(to.name, to.peer_address, beat)
+    return SendDatagram(recipient.name, recipient.peer_address, beat)
 
 
 def heartbeat_to_address(
@@ -149,7 +150,7 @@
         sender_key=self_key(state),
         newest_offset=newest_offset,
         counters="" if is_identified else _counters(state),
-        offset_lags="" if is_identified else _lags(state, newest_offset),
+        offset_lags="" if is_identified else _offset_lags(state, newest_offset),
         entries=_entries(state, newest_offset) if is_identified else [],
         status_messages=statuses,
         machine_capacity=me.machine_capacity if is_identified else 0,
@@ -157,18 +158,19 @@
 
 
 def _counters(state: State) -> str:
-    return "".join(chr((member.seq or 0) % _MODULUS) for member in roster_members(state))
+    return "".join(chr((member.seq or 0) % _COUNTER_MODULUS) for member in roster_members(state))
 
 
-def _lags(state: State, newest_offset: int) -> str:
+def _offset_lags(state: State, newest_offset: int) -> str:
     lags = [
-        min(_MAX_LAG, newest_offset - member.settings_offset) for member in roster_members(state)
+        min(_OFFSET_LAG_MAX, newest_offset - member.settings_offset)
+        for member in roster_members(state)
     ]
     return "".join(map(chr, lags)) if any(lags) else ""
 
 
 def _entries(state: State, newest_offset: int) -> list[int]:
-    """Return the counters with their keys, or a part of them in turn if there are too many."""
+    """Return the counters with their keys, or the next part of them if there are too many."""
     roster = list(zip(state.members.roster, roster_members(state), strict=True))
     limit = state.options.counters_max
     if len(roster) > limit:
@@ -177,7 +179,11 @@
     entries: list[int] = []
     for key, member in roster:
         if member.seq is not None:
-            entries += (key, member.seq, min(_MAX_LAG, newest_offset - member.settings_offset))
+            entries += (
+                key,
+                member.seq,
+                min(_OFFSET_LAG_MAX, newest_offset - member.settings_offset),
+            )
     return entries
 
 
@@ -203,7 +209,7 @@
     if member is None:
         return None
     member.region = region
-    _record_own_counter(state, now, member, beat)
+    _record_sender_counter(state, now, member, beat)
     return member
 
 
@@ -243,7 +249,7 @@
     return member
 
 
-def _record_own_counter(state: State, now: float, member: Member, beat: Heartbeat) -> None:
+def _record_sender_counter(state: State, now: float, member: Member, beat: Heartbeat) -> None:
     member.leaving = member.leaving or beat.leaving
     # A counter from the member itself needs no baseline, unlike one from other members.
     if member.seq is None:
@@ -257,7 +263,7 @@
     """Record the counters of all members that a peer of this data centre sent."""
     members = state.members
     if beat.members_hash != members.roster_hash:
-        # The receiver of the next datagrams may have yet another roster.
+        # The next receivers may have other rosters too, so counters are sent with keys for a while.
         members.rosters_differ_until = now + state.options.settle_s
     if beat.entries:
         return _record_entries(state, now, sender, beat)
@@ -281,8 +287,8 @@
         # The upper bits are unknown. This happens only after a long pause; peers have dropped this
         # instance from their rosters by then and send counters with keys.
         return
-    step = (low_bits - member.seq) % _MODULUS
-    if 0 < step < _MODULUS // 2:
+    step = (low_bits - member.seq) % _COUNTER_MODULUS
+    if 0 < step < _COUNTER_MODULUS // 2:
         record_counter(state, now, member, member.seq + step)
         member.settings_offset = max(member.settings_offset, offset)
 
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_records.py
@@ -22,8 +22,8 @@
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.state import State
 
-# Number of previous incarnations in a record.
-_FORMER_MAX: Final = 2
+# Maximum number of previous incarnations in a record.
+_EARLIER_INCARNATIONS_MAX: Final = 2
 
 
 def record_of(member: Member) -> MemberRecord:
@@ -35,7 +35,7 @@
         address=member.peer_address,
         incarnation=member.incarnation,
         leaving=member.leaving,
-        earlier_incarnations=list(member.retired_incarnations[-_FORMER_MAX:]),
+        earlier_incarnations=list(member.retired_incarnations[-_EARLIER_INCARNATIONS_MAX:]),
         machine_capacity=member.machine_capacity,
     )
 
@@ -73,7 +73,7 @@
         member = Member(name, record.data_centre, record.address, incarnation=record.incarnation)
         members.by_name[name] = member
     elif member.incarnation != record.incarnation:
-        if not (replace or _follows(state, now, member, record)):
+        if not (replace or _is_later_incarnation(state, now, member, record)):
             return None
         unindex_member(members, member)
         restart(member, record.incarnation)
@@ -88,7 +88,7 @@
     return member
 
 
-def _follows(state: State, now: float, member: Member, record: MemberRecord) -> bool:
+def _is_later_incarnation(state: State, now: float, member: Member, record: MemberRecord) -> bool:
     """Return whether a record names a later incarnation than the recorded one.
 
     Prevents a delayed datagram of the previous incarnation from excluding a restarted instance: a
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_reducer.py
@@ -1,9 +1,9 @@
 """The reducer of membership: passes events to its parts and sends what is due at a tick.
 
 `membership` holds the state; `membership_gossip` follows this data centre (with `membership_roster`
-and `membership_records`), `membership_status` the other ones, `leaving` the leaving servers, and
-`server_list` sends the platform's list to instances that cannot read it. All of them use the same
-datagrams.
+and `membership_records`), `membership_status` the other data centres, `leaving` the leaving
+servers, and `server_list` sends the platform's list to instances that cannot read it. All of them
+share the heartbeats.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
 
 
 def _next_due_at(due_at: float, now: float, period_s: float) -> float:
-    """Return the next due time; keeps the mean period and skips missed ones."""
+    """Return the next due time; keeps the mean period, and skips missed rounds."""
     return max(due_at + period_s, now)
 
 
@@ -157,8 +157,8 @@
             return _take_members(state, now, message)
         case MarksAsk():
             return leaving.answer_notices(state, now, sender)
-        case MarksSend(marks):
-            return leaving.take_notices(state, now, marks)
+        case MarksSend(notices):
+            return leaving.take_notices(state, now, notices)
         case ServersAsk():
             return server_list.answer_list(state, now, sender)
         case ServersSend():
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_status.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_status.py
@@ -1,15 +1,16 @@
-"""Follow other data centres by the status messages of their relays.
+"""Follow other data centres by the status messages of their gateways.
 
-The relays of a data centre are a few of its live members, picked by rendezvous hashing. Instances
-may disagree on them for a while, which costs a few more or fewer messages. Status messages never
-conflict: each has one relay and one counter, and the newest one applies.
+The gateways of a data centre are a few of its live members, picked by hash (`Options.relays` is
+their number). Instances may disagree on them for a while, which costs a few more or fewer messages.
+Status messages do not conflict: each has its gateway's heartbeat counter, and a later one replaces
+an earlier one.
 
-A relay sends its status message to one relay of each other data centre; from there it spreads by
-gossip, in datagrams that are sent anyway. It names the members only by a hash; an instance that
-receives an unknown hash requests the records from the sender.
+A gateway sends its status message to one gateway of each other data centre; from there it spreads
+by gossip, in datagrams that are sent anyway. It identifies the members only by a hash; an instance
+that receives an unknown hash requests the records from the sender.
 
-Status messages also pass through third data centres, so that a cut between two data centres does
-not hide either from the other.
+Status messages are also passed on by third data centres, so two data centres that cannot reach each
+other still follow each other.
 """
 
 from __future__ import annotations
@@ -20,7 +21,7 @@
 
 from turmericweir_core.base.ids import InstanceName
 from turmericweir_core.membership.membership import is_live, live_instances, member_key, self_key
-from turmericweir_core.membership.membership_gossip import send_heartbeat
+from turmericweir_core.membership.membership_gossip import heartbeat_to_member
 from turmericweir_core.membership.membership_records import record_of, take_record
 from turmericweir_core.membership.membership_roster import hash_keys
 from turmericweir_core.messages.effects import Effect, SendPeer
@@ -32,20 +33,23 @@
 # often.
 _START_PHASE_S: Final = 10.0
 _START_REQUEST_INTERVAL_S: Final = 0.4
-# Relays of one data centre whose counters are remembered.
-_RELAY_COUNTERS_MAX: Final = 16
+# Maximum number of gateways of one data centre whose counters are stored.
+_GATEWAY_COUNTERS_MAX: Final = 16
 
 
 # --- sending ---------------------------------------------------------------------------------
 
 
-def statuses_to_send(state: State, now: float, to: str = "") -> list[Word]:
-    """Return status messages for the next datagram: all, or a random sample if there are many."""
+def statuses_to_send(state: State, now: float, excluded_centre: str = "") -> list[Word]:
+    """Return status messages for the next datagram: all, or a random sample if there are many.
+
+    A data centre is not sent its own status, hence `excluded_centre`.
+    """
     fresh = [
         centre.status_message
         for _, centre in sorted(state.members.centres.items())
         if centre.status_message and now - centre.last_seen_at <= state.options.centre_suspect_s
-        if centre.name != to
+        if centre.name != excluded_centre
     ]
     limit = len(fresh) if _is_starting(state, now) else state.options.words_max
     return fresh if len(fresh) <= limit else state.rng.sample(fresh, limit)
@@ -57,30 +61,35 @@
 
 
 def send_statuses(state: State, now: float) -> list[Effect]:
-    """Send this data centre's status to the others, if this instance is a relay."""
+    """Send this data centre's status to the others, if this instance is a gateway."""
     local_members = live_instances(state, now, state.me.data_centre)
-    if state.me.name not in names_of_relays(state, local_members):
+    if state.me.name not in names_of_gateways(state, local_members):
         return []
-    status = _own_status(state, local_members)
+    status = _local_status(state, local_members)
     partners = (_partner(state, now, name) for name in _other_centres(state))
     return [
-        send_heartbeat(state, now, to, [status, *statuses_to_send(state, now, to.data_centre)])
-        for to in partners
-        if to is not None
+        heartbeat_to_member(
+            state,
+            now,
+            recipient,
+            [status, *statuses_to_send(state, now, recipient.data_centre)],
+        )
+        for recipient in partners
+        if recipient is not None
     ]
 
 
-def names_of_relays(state: State, members: list[Member]) -> set[InstanceName]:
-    """Return the names of a data centre's relays among its members."""
-    ranked = sorted(members, key=lambda member: _relay_hash(member.name))
+def names_of_gateways(state: State, members: list[Member]) -> set[InstanceName]:
+    """Return the names of a data centre's gateways among its members."""
+    ranked = sorted(members, key=lambda member: _gateway_hash(member.name))
     return {member.name for member in ranked[: state.options.relays]}
 
 
-def _relay_hash(name: InstanceName) -> int:
+def _gateway_hash(name: InstanceName) -> int:
     return xxhash.xxh32_intdigest(f"relay\0{name}".encode())
 
 
-def _own_status(state: State, local_members: list[Member]) -> Word:
+def _local_status(state: State, local_members: list[Member]) -> Word:
     return Word(
         data_centre=state.me.data_centre,
         relay_key=self_key(state),
@@ -103,13 +112,15 @@
 
 
 def _partner(state: State, now: float, data_centre: str) -> Member | None:
-    """Return a relay of another data centre, or any member there while none is known to be live."""
+    """Return a gateway of another data centre, or any member there if none is known to be live."""
     centre_members = [
         member for member in state.members.by_name.values() if member.data_centre == data_centre
     ]
     live_members = [member for member in centre_members if is_live(state, now, member)]
-    relay_names = names_of_relays(state, live_members)
-    candidates = [member for member in live_members if member.name in relay_names] or centre_members
+    gateway_names = names_of_gateways(state, live_members)
+    candidates = [
+        member for member in live_members if member.name in gateway_names
+    ] or centre_members
     candidates.sort(key=lambda member: member.name)
     return state.rng.choice(candidates) if candidates else None
 
@@ -118,7 +129,7 @@
 
 
 def take_statuses(state: State, now: float, sender: Member, statuses: list[Word]) -> list[Effect]:
-    """Record the status of other data centres, and request members that are unknown here."""
+    """Record the status of other data centres, and request unknown members."""
     effects: list[Effect] = []
     for status in statuses:
         if status.data_centre != state.me.data_centre:
@@ -144,10 +155,10 @@
 
 
 def _record_seq(centre: RemoteCentre, status: Word) -> None:
-    # Last position, so that the counter of the most recent relay is dropped last.
+    # Moved to the end, so that the counter of the most recent gateway is dropped last.
     centre.seqs.pop(status.relay_key, None)
     centre.seqs[status.relay_key] = status.seq
-    while len(centre.seqs) > _RELAY_COUNTERS_MAX:
+    while len(centre.seqs) > _GATEWAY_COUNTERS_MAX:
         del centre.seqs[next(iter(centre.seqs))]
 
 
@@ -221,7 +232,7 @@
 
 
 def _send_missing_members(state: State, now: float, centre: RemoteCentre) -> list[Effect]:
-    """Send a member of another data centre the members there that its roster lacks.
+    """Send one member of another data centre the records of members that its roster lacks.
 
     Prevents instances whose seeds all lie in other data centres from never discovering each other.
     """
@@ -236,10 +247,10 @@
     ]
     if not live or not missing:
         return []
-    to = state.rng.choice(sorted(live, key=lambda member: member.name))
+    recipient = state.rng.choice(sorted(live, key=lambda member: member.name))
     missing.sort(key=lambda member: member.name)
     records = [record_of(member) for member in missing[: state.options.records_max]]
-    return [SendPeer(to.name, to.peer_address, MembersSend(centre.name, 0, records))]
+    return [SendPeer(recipient.name, recipient.peer_address, MembersSend(centre.name, 0, records))]
 
 
 def _take_remote_record(
--- a/packages/turmericweir-core/turmericweir_core/membership/relays.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/relays.py
@@ -1,9 +1,9 @@
 """Relays: instances that pass messages on to the other instances of their data centre.
 
 Each data centre has one relay for a group of instances, picked by hash among its live members. A
-message for all instances goes to the relays, and from each to its group. The choice follows from
-the live members alone, without any agreement. While two views differ, some instances receive a
-message twice or not at all, and the receiver has to detect missing messages.
+message for all instances goes to the relays, and from each to its group. Each instance
+picks the relays from its own view of the live members. While two views differ, some instances
+receive a message twice or not at all, so receivers have to detect missing messages.
 
 In small deployments there are no relays: each instance sends to every other one.
 """
@@ -20,6 +20,7 @@
     from turmericweir_core.base.ids import InstanceName
     from turmericweir_core.state.state import State
 
+# Hash key for picking the relays.
 _DUTY: Final = "tell"
 # Largest number of instances that send to each other directly.
 _DIRECT_INSTANCES_MAX: Final = 24
@@ -53,7 +54,7 @@
 
 
 def relay_for(relay_members: list[Member], name: InstanceName) -> InstanceName | None:
-    """Return the name of the relay that sends to an instance; a relay is its own."""
+    """Return the name of the relay that sends to an instance; a relay is its own relay."""
     if not relay_members:
         return None
     if any(member.name == name for member in relay_members):
@@ -70,7 +71,7 @@
 
 def region_relays(state: State, now: float) -> list[Member]:
     """Return the relays of all data centres of the region; this instance may be among them."""
-    by_centre: dict[str, list[Member]] = {}
+    members_by_centre: dict[str, list[Member]] = {}
     for member in membership.region_instances(state, now):
-        by_centre.setdefault(member.data_centre, []).append(member)
-    return [member for members in by_centre.values() for member in relays_of(members)]
+        members_by_centre.setdefault(member.data_centre, []).append(member)
+    return [member for members in members_by_centre.values() for member in relays_of(members)]
--- a/packages/turmericweir-core/turmericweir_core/membership/server_list.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/server_list.py
@@ -46,7 +46,7 @@
 
 
 def hash_full_entries(entries: Iterable[ServerEntry]) -> int:
-    """Hash entries with all their fields, for instances without leaving notices."""
+    """Hash entries with all their fields into 32 bits, independent of their order."""
     parts = [repr(entry) for entry in sorted(entries, key=lambda item: item.name)]
     return xxhash.xxh32_intdigest("\n".join(parts).encode())
 
@@ -61,7 +61,7 @@
     """Request the list from a peer that has a newer and different one."""
     if beat.servers_age_s < 0 or beat.servers_hash == state.servers.listed_hash:
         return []
-    if not _wants_list(state, now, beat.servers_age_s):
+    if not _is_list_needed(state, now, beat.servers_age_s):
         return []
     if now < state.members.next_servers_request_at:
         return []
@@ -69,7 +69,7 @@
     return [SendPeer(sender.name, sender.peer_address, ServersAsk())]
 
 
-def _wants_list(state: State, now: float, offered_age_s: float) -> bool:
+def _is_list_needed(state: State, now: float, offered_age_s: float) -> bool:
     listed_at = state.servers.listed_at
     if listed_at is not None:
         return now - listed_at > offered_age_s + state.options.servers_stale_s
--- a/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/store_duty.py
@@ -1,10 +1,10 @@
 """Which instances read the platform's store, and how the others receive what was read.
 
-Each call to the store costs money, and all instances would read the same. So one instance reads for
-some hundreds, picked by hash among the live ones, and sends the result to the others: the servers
-at each read, the settings on request. An instance that receives nothing in time reads for itself
-and becomes a fallback reader until another reader announces. Each instance has another delay, by
-hash, so that a failed reader is replaced by few others.
+Each call to the store costs money, and all instances would read the same data. So there is one
+reader for several hundred instances, picked by hash among the live ones. It sends the result to the
+others: the servers at each read, the settings on request. An instance that receives nothing in time
+reads for itself and becomes a fallback reader until another reader sends an update. The delay
+differs by instance, by hash, so that few instances replace a failed reader.
 
 In large deployments a reader sends to the relays of each data centre (`relays`), and these send to
 the other instances there, which limits the load on the reader.
@@ -30,7 +30,7 @@
 # Instances for each reader, and the minimum number of readers.
 _INSTANCES_PER_READER: Final = 400
 _READERS_MIN: Final = 1
-# Time in which an instance that started with all others discovers them.
+# Time that an instance needs to discover the others if all start together.
 _START_PHASE_S: Final = 8.0
 # Interval between two picks of the readers; `is_store_reader` is called far more often.
 _PICK_INTERVAL_S: Final = 0.25
--- a/packages/turmericweir-core/turmericweir_core/membership/subset.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/subset.py
@@ -4,7 +4,8 @@
 dispatcher more holders than the requests justify. An instance therefore uses up to `subset_size`
 servers of a target, picked by rendezvous hashing of its own name: the subsets cover the servers
 evenly, and one added or removed server changes few subsets. Servers of this data centre come first,
-and some places are reserved for others, which take over load when this data centre is overloaded.
+and some places are reserved for servers elsewhere, which take over load when this data centre is
+overloaded.
 """
 
 from __future__ import annotations
@@ -31,11 +32,11 @@
     """Return the servers of a target that this instance uses."""
     subset = state.subsets.by_target.get(target)
     if subset is None or subset.version != state.servers.version:
-        subset = state.subsets.by_target[target] = _choose(state, target)
+        subset = state.subsets.by_target[target] = _choose_subset(state, target)
     return subset
 
 
-def _choose(state: State, target: Target) -> TargetSubset:
+def _choose_subset(state: State, target: Target) -> TargetSubset:
     serving = [
         server
         for server in state.servers.by_name.values()
@@ -49,10 +50,10 @@
     local = [server for server in serving if server.entry.data_centre == me.data_centre]
     others = [server for server in serving if server.entry.data_centre != me.data_centre]
     # Servers of another region are used only if this region has none.
-    near = [
+    regional = [
         server for server in others if server.entry.data_centre not in state.subsets.foreign_centres
     ]
-    others = near if local or near else others
+    others = regional if local or regional else others
     size = state.options.subset_size
     local_part = local[: max(size - len(others), size - state.options.subset_remote)]
     return TargetSubset(
