--- a/packages/turmericweir-core/turmericweir_core/store/document.py
+++ b/packages/turmericweir-core/turmericweir_core/store/document.py
@@ -5,9 +5,9 @@
 
 A new version may revoke a customer's key, which must take effect within a bound on every instance,
 also during a partition. This module therefore tracks a *proof*: the send time of the newest
-answered read, by this instance or by a peer. The version here was the newest one up to that time. A
-read without an answer proves nothing. A peer's proof counts from the moment this instance requested
-it, so a delayed answer makes the proof older.
+answered read, by this instance or by a peer. The local version was the newest one at that time. A
+read without an answer proves nothing. The age of a peer's proof is counted from the time of the
+request for it, so a delayed answer never makes the proof look newer.
 """
 
 from __future__ import annotations
@@ -48,14 +48,14 @@
 _FIRST_REQUEST_DELAY_S: Final = 0.5
 # Interval between two requests, each to another peer.
 _REQUEST_INTERVAL_S: Final = 0.3
-# Number of a proof that answers no request.
+# Request number of a proof that is sent as an announcement, not as an answer.
 _NO_REQUEST: Final = 0
 # Requests that await an answer; older ones are dropped.
 _PENDING_REQUESTS_MAX: Final = 16
 
 
 def proof_age_s(state: State, now: float) -> float:
-    """Return the age in seconds of the proof that the settings here are the newest."""
+    """Return the age in seconds of the proof that the local settings are the newest."""
     return 0.0 if state.document is None else now - state.document.proof_at
 
 
@@ -71,8 +71,8 @@
 def can_serve_key(state: State, now: float, req: Request) -> bool:
     """Return whether the proof is fresh enough to send a request with a key.
 
-    Prevents a partitioned instance from serving a revoked key. The bound is shorter than the one
-    promised to operators by the time that a request takes to reach its server.
+    Prevents a partitioned instance from serving a revoked key. The maximum age is below the one
+    promised to operators, which leaves time for the request to reach its server.
     """
     return not req.keyed or proof_age_s(state, now) <= state.options.key_proof_s
 
@@ -119,11 +119,11 @@
     return _record_proof(state, now, event.requested_at)
 
 
-def _record_proof(state: State, now: float, asked_at: float) -> list[Effect]:
+def _record_proof(state: State, now: float, requested_at: float) -> list[Effect]:
     document = _document(state)
     is_first = document.local_proof_at == _NEVER
-    document.local_proof_at = max(document.local_proof_at, asked_at)
-    document.proof_at = max(document.proof_at, asked_at)
+    document.local_proof_at = max(document.local_proof_at, requested_at)
+    document.proof_at = max(document.proof_at, requested_at)
     # All instances read at the start, so the first proof is not announced.
     return [] if is_first else _announce_proof(state, store_duty.read_receivers(state, now))
 
@@ -140,7 +140,7 @@
 def on_unreadable(event: DocumentUnreadable) -> list[Effect]:
     """Keep the current settings if a newer document cannot be decoded.
 
-    The document proves nothing, as it may have revoked a key.
+    The read is no proof of the current settings, as the document may revoke a key.
     """
     fields = {"step": "decode document", "peer": event.source, "error": event.error}
     return [Count("settings.unreadable"), Log("settings_unreadable", fields)]
@@ -172,13 +172,13 @@
         )
         return state.rng.choice(peers) if peers else None
     if any(member.settings_offset > document.version for member in state.members.by_name.values()):
-        ahead = [
+        newer_peers = [
             member
             for member in _live_peers(state, now)
             if member.settings_offset > document.version
         ]
-        if ahead:
-            return state.rng.choice(ahead)
+        if newer_peers:
+            return state.rng.choice(newer_peers)
     if now - document.proof_at > _ASK_ANY_PEER_S:
         peers = _live_peers(state, now)
         return state.rng.choice(peers) if peers else None
@@ -229,8 +229,8 @@
         return []
     effects: list[Effect] = []
     if document.version > request.version:
-        send = DocumentSend(document.version, document.raw)
-        effects.append(SendPeer(sender, peer.peer_address, send))
+        message = DocumentSend(document.version, document.raw)
+        effects.append(SendPeer(sender, peer.peer_address, message))
     age_s = now - document.proof_at
     if age_s <= state.options.key_proof_s:
         proof = DocumentProof(document.version, request.request_number, age_s)
@@ -246,16 +246,16 @@
 def on_proof(
     state: State, now: float, sender: InstanceName, message: DocumentProof
 ) -> list[Effect]:
-    """Record a peer's proof of the version in force here."""
+    """Record a peer's proof of the local version, or request the proof that the peer announced."""
     document = _document(state)
     if message.request_number == _NO_REQUEST:
         peer = membership.find_member(state, sender)
         return _request_proof(state, now, peer) if peer is not None else []
-    asked_at = document.queries_sent_at.pop(message.request_number, None)
-    if asked_at is None or message.version > document.version:
-        # The document is on its way; a later request returns a proof for it.
+    requested_at = document.queries_sent_at.pop(message.request_number, None)
+    if requested_at is None or message.version > document.version:
+        # The peer sends the newer document as well; a later request returns a proof for it.
         return []
-    proof_at = asked_at - max(0.0, message.age_s)
+    proof_at = requested_at - max(0.0, message.age_s)
     if proof_at <= document.proof_at:
         return []
     document.proof_at = proof_at
--- a/packages/turmericweir-core/turmericweir_core/store/instance_refusal.py
+++ b/packages/turmericweir-core/turmericweir_core/store/instance_refusal.py
@@ -3,7 +3,7 @@
 `lifecycle` calls this before any other check. These refusals do not depend on the load or on the
 request: the instance has no settings yet, has no fresh proof of its keys, or is stopping. A refused
 caller retries over a new connection, which the balancer opens to another instance. The retry delay
-lets the other instances become able to serve the caller; it is zero if they already are.
+gives the other instances time to become ready; it is zero if they already are.
 """
 
 from __future__ import annotations
@@ -18,14 +18,13 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Another instance can serve the caller now. Prevents callers with short deadlines from missing
-# them.
+# Another instance can serve the caller now. Prevents callers from missing short deadlines.
 _RETRY_AT_ONCE_S: Final = 0.0
 # All instances may have started together; the settings arrive shortly after the start.
 _RETRY_STARTING_S: Final = 0.2
 # The whole data centre has no fresh proof, which takes longer to recover.
 _RETRY_CUT_OFF_S: Final = 1.0
-# Time between the latest end of an answer and the end of the process, for ticks and the last write.
+# Time reserved between the end of the last answer and the end of the process, for the last write.
 _STOP_MARGIN_S: Final = 0.3
 
 
@@ -35,12 +34,12 @@
         return Reason.NO_SETTINGS
     if not document.can_serve_key(state, now, req):
         return Reason.KEY_UNPROVEN
-    if _stops_too_soon(state, now, req):
+    if _can_outlast_process(state, now, req):
         return Reason.STOPPING
     return None
 
 
-def _stops_too_soon(state: State, now: float, req: Request) -> bool:
+def _can_outlast_process(state: State, now: float, req: Request) -> bool:
     """Return whether an answer might not end before this process does.
 
     Connections that were idle when the stop began are used until an answer closes them. Requests
--- a/packages/turmericweir-core/turmericweir_core/store/registry.py
+++ b/packages/turmericweir-core/turmericweir_core/store/registry.py
@@ -1,13 +1,13 @@
 """The entries that backend servers register at the platform's store.
 
-Each server renews its own entry, which is the only source of its coming and going. Entries are read
-as a whole (at the start, and after records were lost), and then as single changes. Each has the
-offset of its record, so a delayed change does not replace a newer one.
+Each server renews its own entry; only the entries show which servers exist. Entries are read as a
+whole (at the start, and after records were lost), and then as single changes. Each has the offset
+of its record, so a delayed change does not replace a newer one.
 
 While the store is unreachable, entries expire, also those of healthy servers. Servers write them
-again soon after its return. Entries that are missing after an outage are therefore used for a short
-time, and are removed if they are still missing then. At any other time a missing entry is removed
-at once.
+again soon after the store has recovered. Entries that are missing after an outage are therefore
+used for a short time, and are removed if they are still missing then. At any other time a missing
+entry is removed at once.
 """
 
 from __future__ import annotations
@@ -31,8 +31,8 @@
 
 _NEVER: Final = float("-inf")
 # Time without an answered read after which the store counts as unreachable.
-_STORE_AWAY_S: Final = 3.0
-# Time that servers have to write their entries again after the store's return.
+_STORE_OUTAGE_S: Final = 3.0
+# Time that servers have to write their entries again after the store has recovered.
 _RENEWAL_WAIT_S: Final = 2.5
 # Largest number of changes in one datagram; receivers detect missing ones by the hash.
 _ROWS_MAX: Final = 24
@@ -43,28 +43,28 @@
 def on_read(state: State, now: float, event: RegistryRead) -> list[Effect]:
     """Update the servers to the entries that were read."""
     registry = state.registry
-    was_away = now - registry.read_at > _STORE_AWAY_S
+    had_outage = now - registry.read_at > _STORE_OUTAGE_S
     store_duty.note_registry_read(state, now)
     registry.read_at = now
     listed = dict(state.servers.listed)
     effects: list[Effect] = []
     rows: list[RegistryRow] = []
     for entry, offset in event.entries:
-        if _is_newer(registry, entry.name, offset):
+        if _note_offset(registry, entry.name, offset):
             # Most records are renewals without changes.
             if listed.get(entry.name) != entry:
                 rows.append(RegistryRow(offset, entry.name, entry))
             effects += _take_entry(listed, entry)
         registry.missing_until.pop(entry.name, None)
     for name, offset in event.removed:
-        if _is_newer(registry, name, offset) and listed.pop(name, None) is not None:
+        if _note_offset(registry, name, offset) and listed.pop(name, None) is not None:
             rows.append(RegistryRow(offset, name))
             effects.append(_log("server_removed", name, offset=offset))
     if event.is_complete:
-        present = {entry.name for entry, _ in event.entries}
-        for name in [listed_name for listed_name in listed if listed_name not in present]:
-            effects += _check_missing(state, now, name, listed, was_away)
-    _adopt(state, now, listed)
+        present_names = {entry.name for entry, _ in event.entries}
+        for name in [listed_name for listed_name in listed if listed_name not in present_names]:
+            effects += _check_missing(state, now, name, listed, had_outage)
+    _apply_entries(state, now, listed)
     return effects + _send_changes(state, now, rows)
 
 
@@ -100,13 +100,13 @@
     listed = dict(state.servers.listed)
     for row in update.rows:
         name = ServerName(row.name)
-        if not _is_newer(state.registry, name, row.offset):
+        if not _note_offset(state.registry, name, row.offset):
             continue
         if row.entry is not None:
             effects += _take_entry(listed, row.entry)
         elif listed.pop(name, None) is not None:
             effects.append(_log("server_removed", name, offset=row.offset, by=sender))
-    _adopt(state, now, listed)
+    _apply_entries(state, now, listed)
     if server_list.hash_full_entries(listed.values()) == update.servers_hash:
         state.registry.read_at = now
         state.registry.missing_until.clear()
@@ -118,7 +118,8 @@
     return [*effects, SendPeer(sender, peer.peer_address, ServersAsk())]
 
 
-def _is_newer(registry: RegistryState, name: ServerName, offset: int) -> bool:
+def _note_offset(registry: RegistryState, name: ServerName, offset: int) -> bool:
+    """Record the offset of a server's newest record; return False if this one is older."""
     if offset < registry.offsets.get(name, -1):
         return False
     registry.offsets[name] = offset
@@ -130,10 +131,10 @@
     now: float,
     name: ServerName,
     listed: dict[ServerName, ServerEntry],
-    was_away: bool,
+    had_outage: bool,
 ) -> list[Effect]:
     missing = state.registry.missing_until
-    if was_away and name not in missing:
+    if had_outage and name not in missing:
         missing[name] = now + _RENEWAL_WAIT_S
     if now < missing.get(name, _NEVER):
         return []
@@ -159,10 +160,10 @@
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Remove entries that are still missing some time after the store's return."""
+    """Remove entries that are still missing some time after the store has recovered."""
     missing = state.registry.missing_until
     expired = [name for name, missing_until in missing.items() if now >= missing_until]
-    if not expired or now - state.registry.read_at > _STORE_AWAY_S:
+    if not expired or now - state.registry.read_at > _STORE_OUTAGE_S:
         # Missing entries are kept while the store is unreachable again.
         return []
     listed = dict(state.servers.listed)
@@ -171,7 +172,7 @@
         del missing[name]
         if listed.pop(name, None) is not None:
             effects.append(_log("server_removed", name, offset=-1))
-    _adopt(state, now, listed)
+    _apply_entries(state, now, listed)
     return effects
 
 
@@ -181,16 +182,16 @@
     return [Count("registry.unreadable"), Log("entry_unreadable", fields)]
 
 
-def _adopt(state: State, now: float, listed: dict[ServerName, ServerEntry]) -> None:
+def _apply_entries(state: State, now: float, listed: dict[ServerName, ServerEntry]) -> None:
     table = state.servers
     table.listed_at = now
     if listed == table.listed:
         return
-    before, table.listed = table.listed, listed
+    previous_entries, table.listed = table.listed, listed
     table.is_self_registered = True
     server_table.rebuild_table(table, state.config)
     for name, entry in listed.items():
-        if name in before and before[name].incarnation != entry.incarnation:
+        if name in previous_entries and previous_entries[name].incarnation != entry.incarnation:
             attempt_accounting.reset_server_state(state, now, name)
     table.listed_hash = server_list.hash_entries(state)
 
