--- a/packages/turmericweir-core/turmericweir_core/duties/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/__init__.py
@@ -1,1 +1,1 @@
-"""Work that one instance does for all: usage reports and orders of servers."""
+"""Work that one instance does for all: usage reports and orders for servers."""
--- a/packages/turmericweir-core/turmericweir_core/duties/capacity.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity.py
@@ -1,4 +1,4 @@
-"""Order servers according to demand, as the holder of the lease of the duties.
+"""Order servers according to demand, as the holder of the duties' lease.
 
 The demand comes from the load updates of all instances (`engine_pools`): milliseconds of an
 engine's work per second, by service. It determines how many engines are needed, with room for
@@ -28,15 +28,16 @@
 _EVALUATION_INTERVAL_S: Final = 0.5
 # Planned utilization of engines; the rest is for bursts and failed engines.
 _TARGET_UTILIZATION: Final = 0.35
-# Time for which the highest need is kept.
+# Time for which the highest need is retained.
 _NEED_RETENTION_S: Final = 15.0
 # Time that a new holder observes the demand before it orders fewer servers.
 _OBSERVATION_S: Final = 10.0
-# Spot servers for each server at the start, before any demand is known; their caches are empty.
+# Needed engines for each present server before any demand is known, if spot servers are used: the
+# caches of new servers are empty.
 _START_FACTOR: Final = 2.0
-# Time after the boot time after which an unfulfilled order is repeated.
+# Time beyond a server's boot time after which an unfulfilled order is repeated.
 _ORDER_REPEAT_S: Final = 5.0
-# Pause of orders after the platform had no spot servers left.
+# Pause of orders for spot servers after the platform had none left.
 _UNAVAILABLE_S: Final = 6.0
 # Largest number of pending orders.
 _PENDING_ORDERS_MAX: Final = 4
@@ -80,10 +81,10 @@
     )
     effects: list[Effect] = []
     for name, servers in wanted.items():
-        present_here = present[name]
+        present_servers = present[name]
         for spot, wanted_count, present_count in (
-            (True, servers.spot, present_here.spot),
-            (False, servers.lasting, present_here.lasting),
+            (True, servers.spot, present_servers.spot),
+            (False, servers.lasting, present_servers.lasting),
         ):
             effects += _order_servers(
                 state,
@@ -126,7 +127,7 @@
     present_count = sum(servers.lasting + servers.spot for servers in present.values())
     work_ms = engine_pools.demand_ms_per_s(state, now, service.name)
     current_need = ceil(work_ms / (_MS_PER_S * _TARGET_UTILIZATION))
-    initial_need = _first_need(service, present_count) if not current_need else present_count
+    initial_need = _initial_need(service, present_count) if not current_need else present_count
     recorded_need, recorded_at = capacity_state.recent_need.get(service.name, (initial_need, now))
     if current_need >= recorded_need or now - recorded_at >= _NEED_RETENTION_S:
         recorded_need, recorded_at = current_need, now
@@ -138,7 +139,7 @@
     return recorded_need
 
 
-def _first_need(service: Service, present_count: int) -> int:
+def _initial_need(service: Service, present_count: int) -> int:
     has_spot = service.capacity is not None and service.capacity.spot_share is not None
     return ceil(_START_FACTOR * present_count) if has_spot else present_count
 
@@ -165,8 +166,8 @@
         if subject in capacity_state.calls_in_flight.values() or now < previous.unavailable_until:
             return []
         waited_s = now - previous.at
-        is_done = count == present_count or waited_s < capacity.boot_s + _ORDER_REPEAT_S
-        if previous.count == count and previous.is_taken and is_done:
+        is_done_or_recent = count == present_count or waited_s < capacity.boot_s + _ORDER_REPEAT_S
+        if previous.count == count and previous.is_taken and is_done_or_recent:
             return []
         if previous.count == count and waited_s < _EVALUATION_INTERVAL_S:
             return []
--- a/packages/turmericweir-core/turmericweir_core/duties/capacity_plan.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity_plan.py
@@ -46,8 +46,8 @@
 ) -> dict[str, WantedServers]:
     """Return the planned servers of each data centre.
 
-    `initial_counts` is the minimum of each while its servers are replaced. The data centres in
-    `unavailable` have no spot servers available.
+    `initial_counts` is the minimum total of each data centre while its lasting servers are replaced
+    by spot servers. The data centres in `unavailable` have no more spot servers available.
     """
     if not present:
         return {}
@@ -67,15 +67,15 @@
         for name, servers in present.items()
     }
     spot = _spread(max(0, needed - base * len(present)), room)
-    lacking = needed - base * len(present) - sum(spot.values())
-    extra = _spread(
-        max(0, lacking), {name: capacity.servers_max - base - spot[name] for name in unavailable}
+    uncovered = needed - base * len(present) - sum(spot.values())
+    extra_lasting = _spread(
+        max(0, uncovered), {name: capacity.servers_max - base - spot[name] for name in unavailable}
     )
     share = ceil(needed / len(present))
     planned = {}
     for name, servers in present.items():
-        least = min(initial_counts.get(name, 0), share) - servers.spot
-        lasting = max(base + extra.get(name, 0), min(servers.lasting, least))
+        lasting_min = min(initial_counts.get(name, 0), share) - servers.spot
+        lasting = max(base + extra_lasting.get(name, 0), min(servers.lasting, lasting_min))
         planned[name] = WantedServers(lasting, min(spot[name], capacity.servers_max - lasting))
     return planned
 
--- a/packages/turmericweir-core/turmericweir_core/duties/duty_view.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/duty_view.py
@@ -1,7 +1,7 @@
 """The duties as this instance knows them, for operators.
 
-The holder knows everything; the other candidates know the holder and what it has settled, if they
-have read its lease; all other instances know only the candidates.
+The holder knows everything. The other candidates know the holder and the windows that it has
+settled, if they have read its lease. All other instances know only the candidates.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Number of windows in the view.
+# Maximum number of windows in the view; the newest ones are shown.
 _WINDOWS_MAX = 6
 
 
--- a/packages/turmericweir-core/turmericweir_core/duties/election.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/election.py
@@ -1,11 +1,11 @@
-"""Which instances try for the lease of the duties, and when.
-
-The candidates are a few live instances, first one of each data centre, picked by hash alike on all
-instances. The first candidate takes the lease. A holder that can do its work sends its status to
-the other candidates at a fixed interval. If they receive none, the next candidate tries, each one
-later than its predecessor; the lease prevents two from acting at once (`leases.lease_flow`). A
-holder that fails, is cut off from the store, or whose calls fail is therefore replaced, and in a
-steady state only the holder makes calls.
+"""Which instances try to acquire the duties' lease, and when.
+
+The candidates are a few live instances, the same on all instances: picked by hash, with one of each
+data centre first. The first candidate takes the lease. A holder that can do its work sends its
+status to the other candidates at a fixed interval. If they receive none, they try one after the
+other, with a longer delay for each later candidate; the lease prevents two from acting at once
+(`leases.lease_flow`). A holder that fails, is cut off from the store, or whose calls fail is
+therefore replaced, and in a steady state only the holder makes calls.
 """
 
 from __future__ import annotations
@@ -40,7 +40,7 @@
 # one.
 _HOLDER_TIMEOUT_S: Final = 2.0
 _NEXT_CANDIDATE_DELAY_S: Final = 2.5
-# Time of failing calls after which a holder gives up, and the time before it may try again.
+# Time for which calls fail before the holder gives up, and the time before it may try again.
 _FAILURE_TIMEOUT_S: Final = 3.0
 _RETRY_DELAY_S: Final = 8.0
 
@@ -57,7 +57,7 @@
 
 
 def _alternate_centres(ranked: list[Member]) -> list[Member]:
-    """Order members with the first ones of all data centres first."""
+    """Order members so that the first one of each data centre precedes all second ones."""
     counts: dict[str, int] = {}
     keyed: list[tuple[int, int, Member]] = []
     for position, member in enumerate(ranked):
@@ -75,7 +75,7 @@
     position = _own_position(state, now)
     if is_holder and _has_failed(duties, now):
         return _give_up(state, now)
-    is_trying = position is not None and _may_try(state, now, position)
+    is_trying = position is not None and _can_try(state, now, position)
     if state.stopping_since is not None or not (is_trying or is_holder):
         lease_flow.release_lease(state, SCOPE)
         return []
@@ -89,7 +89,7 @@
     return names.index(state.me.name) if state.me.name in names else None
 
 
-def _may_try(state: State, now: float, position: int) -> bool:
+def _can_try(state: State, now: float, position: int) -> bool:
     duties = _duties(state)
     started_at = state.members.started_at
     if started_at is None or now < max(started_at + _START_PHASE_S, duties.barred_until):
--- a/packages/turmericweir-core/turmericweir_core/duties/usage.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/usage.py
@@ -1,12 +1,12 @@
 """Report to the platform how many requests servers began in each window, by customer.
 
 Each instance sends its counts (`state.usage_meter`) to the candidates for the lease of the duties
-at a fixed interval: sums since the start of a window, so that the newest message replaces lost ones
-and the counts of a failed instance remain.
+at a fixed interval. A count is the sum since the start of the window, so the newest message
+replaces lost ones, and the counts of a failed instance remain.
 
 The holder of the lease *settles* a window some time after its end: it writes the counts into the
-note of its lease (`lease_flow.set_note`), which the store keeps. Only settled counts are reported.
-Prevents a successor from reporting other counts for the same window. The note is part of the
+note of its lease (`lease_flow.set_note`), which the store keeps. Only settled counts are reported,
+which prevents a successor from reporting other counts for the same window. The note is part of the
 conditional append that renews the lease, so windows have one order and a successor reports what its
 predecessor settled.
 """
@@ -37,13 +37,13 @@
 _SEND_INTERVAL_PER_INSTANCE_S: Final = 0.01
 # Time for which unchanged counts are sent again, as a message may be lost.
 _RESEND_S: Final = 1.2
-# Windows in a message; a new candidate receives all.
+# Number of newest windows in a message; a new candidate receives all windows.
 _WINDOWS_PER_MESSAGE: Final = 3
-# Shares of `late_s`: a window is settled this long after its end if all instances have reported its
-# end, and after the longer time in any case.
+# Shares of `late_s`, the time for reporting a window. After the first one, a window is settled if
+# all instances have sent its final counts; after the second one, in any case.
 _SETTLE_SHARE: Final = 0.12
 _SETTLE_LATEST_SHARE: Final = 0.55
-# Windows that are stored; older ones have been settled or cannot be reported any more.
+# Number of stored windows; older ones have been settled or cannot be reported any more.
 _WINDOWS_STORED: Final = 24
 # Delay after a failed call, doubled with each failure up to the maximum.
 _RETRY_S: Final = 0.4
@@ -58,16 +58,16 @@
     duties, meter = _duties(state), _meter(state)
     usage = duties.usage
     current = usage_meter.window_at(meter, now)
-    is_over = current != usage.sent_window
-    if now < usage.next_send_at and not is_over:
+    is_window_over = current != usage.sent_window
+    if now < usage.next_send_at and not is_window_over:
         return []
     receivers = [
         member for member in election.candidates(state, now) if member.name != state.me.name
     ]
     names = frozenset(member.name for member in receivers)
     has_changed = meter.changed_at >= usage.sent_at - _RESEND_S
-    newcomers = names - usage.sent_to
-    if not (has_changed or is_over or newcomers):
+    new_receivers = names - usage.sent_to
+    if not (has_changed or is_window_over or new_receivers):
         return []
     interval_s = max(_SEND_INTERVAL_S, _SEND_INTERVAL_PER_INSTANCE_S * len(state.members.by_name))
     usage.next_send_at = now + interval_s * state.rng.uniform(0.9, 1.1)
@@ -75,19 +75,19 @@
     usage.sent_window = current
     usage.sent_to = names
     return [
-        _counts_message(state, now, member, everything=member.name in newcomers)
+        _counts_message(state, now, member, has_all_windows=member.name in new_receivers)
         for member in receivers
     ]
 
 
-def _counts_message(state: State, now: float, to: Member, *, everything: bool) -> SendDatagram:
+def _counts_message(state: State, now: float, to: Member, *, has_all_windows: bool) -> SendDatagram:
     meter, usage = _meter(state), _duties(state).usage
     current = usage_meter.window_at(meter, now) or 0
     usage.seq += 1
     windows = [
         WindowCounts(window, counts)
         for window, counts in sorted(meter.windows.items())
-        if everything or window > current - _WINDOWS_PER_MESSAGE
+        if has_all_windows or window > current - _WINDOWS_PER_MESSAGE
     ]
     counts = UsageCounts(state.me.incarnation, usage.seq, _open_window(state, now), windows)
     return SendDatagram(to.name, to.peer_address, counts)
@@ -173,7 +173,7 @@
         if usage.first_window is None:
             usage.first_window = _first_window(state, current)
         window = usage.first_window
-    while window < current and _may_settle(state, now, window):
+    while window < current and _can_settle(state, now, window):
         finished.append(window)
         window += 1
     if not finished:
@@ -197,7 +197,7 @@
     return min([current, *(entry for entry in windows if entry >= current - _WINDOWS_STORED)])
 
 
-def _may_settle(state: State, now: float, window: int) -> bool:
+def _can_settle(state: State, now: float, window: int) -> bool:
     late_s = _duties(state).settings.late_s
     age_s = now - usage_meter.window_end(_meter(state), window)
     if age_s >= _SETTLE_LATEST_SHARE * late_s:
