--- a/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
@@ -5,15 +5,15 @@
 renews the lease until the scope is no longer wanted, and then releases it. An instance that wants
 no scope neither reads nor appends.
 
-Other reducers call `held` right before each order, and this check is the only guard on this side:
-`held` compares the clock with the time at which the newest own record was *sent*, so a process that
+Other reducers call `current_lease` right before each order, which is the only check by the holder.
+The lease counts from the time at which this instance *sent* its newest record, so a process that
 was paused for longer than its lease finds it expired before it can send an order. An append without
-an acknowledgement is resolved by reading the stream: the holder finds its own record by its number,
-and knows when it was sent.
+an acknowledgement is resolved by reading the stream: the holder finds its record by its number, and
+knows when it was sent.
 
 If the stream is keyed (`Options.lease_keyed`), appends are conditional, and an expired lease is
 renewed without reading first: the append fails if another instance has written since. A holder
-without orders may rest, which stops its appends and reads.
+without orders may rest: it lets its lease expire, and neither appends nor reads.
 """
 
 from __future__ import annotations
@@ -127,7 +127,7 @@
 def on_tick(state: State, now: float) -> list[Effect]:
     """Drop expired leases; read and append what is due."""
     leases = state.leases
-    is_idle = not leases.wanted and not leases.held and not _to_release(state)
+    is_idle = not leases.wanted and not leases.held and not _scopes_to_release(state)
     if is_idle and leases.in_flight is None:
         return []
     effects = _drop_expired(state, now)
@@ -202,23 +202,23 @@
     records: list[LeaseRecord] = []
     for scope, lease in list(leases.held.items()):
         if scope not in leases.wanted:
-            # The lease is not used from here on, even if the release is lost.
+            # The lease is not used from now on, even if the release is lost.
             del leases.held[scope]
             records.append(_record(state, LeaseAction.RELEASE, scope, lease.fence))
-    for scope in _to_release(state):
+    for scope in _scopes_to_release(state):
         if all(record.scope != scope for record in records):
             records.append(
                 _record(state, LeaseAction.RELEASE, scope, _fence_for_record(leases, scope))
             )
     for scope in leases.wanted:
-        act = _due_act(state, now, scope)
-        if act is not None:
-            records.append(_record(state, act, scope, _fence_for_record(leases, scope)))
+        action = _due_action(state, now, scope)
+        if action is not None:
+            records.append(_record(state, action, scope, _fence_for_record(leases, scope)))
     return tuple(records)
 
 
-def _to_release(state: State) -> list[LeaseScope]:
-    """Return the scopes of own expired leases that are no longer wanted and not taken over."""
+def _scopes_to_release(state: State) -> list[LeaseScope]:
+    """Return the scopes of this instance's expired leases that are unwanted and not taken over."""
     leases = state.leases
     if not state.options.lease_keyed:
         return []
@@ -239,20 +239,20 @@
     return NO_OFFSET if ledger_lease is None else ledger_lease.fence
 
 
-def _due_act(state: State, now: float, scope: LeaseScope) -> LeaseAction | None:
-    """Return the record type that is due for a scope, if any."""
+def _due_action(state: State, now: float, scope: LeaseScope) -> LeaseAction | None:
+    """Return the action that is due for a scope, if any."""
     leases = state.leases
     options = state.options
     held_lease = leases.held.get(scope)
     ledger_lease = leases.ledger.leases.get(scope)
-    is_noted = scope not in leases.notes or (
+    is_note_written = scope not in leases.notes or (
         ledger_lease is not None and ledger_lease.note == leases.notes[scope]
     )
-    if is_noted and scope in leases.idle_scopes:
+    if is_note_written and scope in leases.idle_scopes:
         return None
     if held_lease is not None:
         renew_at = held_lease.expires_at - options.lease_s + options.lease_renew_s
-        return LeaseAction.RENEW if now >= renew_at or not is_noted else None
+        return LeaseAction.RENEW if now >= renew_at or not is_note_written else None
     if leases.ledger.start is None:
         return None
     if options.lease_keyed and ledger_lease is not None and _can_renew(state, scope, ledger_lease):
@@ -272,16 +272,16 @@
     """Return whether a lease is this instance's and may be renewed, expired or not."""
     if lease.released or scope in state.leases.dropped:
         return False
-    # An own record at an uncertain position may follow another instance's grant.
+    # This instance's record at an uncertain position may follow another instance's grant.
     return lease.is_sure and lease.incarnation == state.me.incarnation
 
 
-def _record(state: State, act: LeaseAction, scope: LeaseScope, fence: int) -> LeaseRecord:
+def _record(state: State, action: LeaseAction, scope: LeaseScope, fence: int) -> LeaseRecord:
     leases = state.leases
     leases.number += 1
     note = leases.notes.get(scope, newest_note(state, scope))
     return LeaseRecord(
-        act=act,
+        act=action,
         scope=scope,
         instance=state.me.name,
         incarnation=state.me.incarnation,
@@ -339,7 +339,7 @@
         return []
     leases.reading_since = now
     if leases.ledger.start is None:
-        # Only the end of the stream is needed: leases from before it expire unread.
+        # Only the end of the stream is needed: leases granted earlier expire without being read.
         return [ReadLog(LEASES_STREAM, 0, limit=1, newest_by_key=state.options.lease_keyed)]
     return [ReadLog(LEASES_STREAM, leases.ledger.offset)]
 
@@ -365,14 +365,14 @@
 
 def _on_newest(state: State, now: float, event: LogNewest) -> list[Effect]:
     leases = state.leases
-    malformed = start_from_newest(leases.ledger, now, event.records, event.end_offset)
+    malformed_offsets = start_from_newest(leases.ledger, now, event.records, event.end_offset)
     leases.ledger.caught_up_at = now
     for scope in [*leases.held, *leases.notes]:
         lease = leases.ledger.leases.get(scope)
         if lease is None or lease.incarnation != state.me.incarnation:
             leases.held.pop(scope, None)
             leases.notes.pop(scope, None)
-    effects: list[Effect] = [_malformed_log(offset) for offset in malformed]
+    effects: list[Effect] = [_malformed_log(offset) for offset in malformed_offsets]
     return effects + _append_due(state, now)
 
 
@@ -401,12 +401,12 @@
 
 def _apply_record(state: State, now: float, record: LogRecord) -> list[Effect]:
     leases = state.leases
-    taken_over = _is_taken_over(state, record)
+    is_taken_over = _is_taken_over(state, record)
     folded = fold(leases.ledger, now, record.offset, record.value)
     if folded.record is None:
         return [Count("lease.malformed"), _malformed_log(record.offset)]
     if folded.record.incarnation == state.me.incarnation:
-        return _apply_own_record(state, now, folded, taken_over=taken_over)
+        return _apply_local_record(state, now, folded, is_taken_over=is_taken_over)
     if not folded.is_valid:
         return []
     # Another instance has the lease now, so the refused number no longer matters.
@@ -424,9 +424,9 @@
     scope = _scope_of(record)
     lease = ledger.leases.get(scope) if scope is not None else None
     if lease is None:
-        # There was no holder if every record was read.
+        # If all records were read, there was no holder.
         return ledger.start != 0 and not ledger.has_all_scopes
-    # After a release no orders are pending, and own orders are not from another holder.
+    # After a release no orders are pending, and this instance knows its own orders.
     return not lease.released and lease.incarnation != state.me.incarnation
 
 
@@ -440,10 +440,10 @@
     return LeaseScope(service, data_centre)
 
 
-def _apply_own_record(
-    state: State, now: float, folded: LeaseFoldResult, *, taken_over: bool
+def _apply_local_record(
+    state: State, now: float, folded: LeaseFoldResult, *, is_taken_over: bool
 ) -> list[Effect]:
-    """Record the lease that an own record has established, for its remaining time."""
+    """Record the lease that this instance's record has established, for its remaining time."""
     leases = state.leases
     record = folded.record
     assert record is not None
@@ -470,6 +470,6 @@
             previous.is_taken_over,
         )
         return []
-    leases.held[scope] = HeldLease(lease.fence, expires_at, now, taken_over)
+    leases.held[scope] = HeldLease(lease.fence, expires_at, now, is_taken_over)
     fields = {"scope": str(scope), "fence": lease.fence, "act": record.act.value}
     return [Count("lease.held"), Log("lease_held", fields)]
--- a/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
@@ -1,9 +1,9 @@
 """Collect the demand for each model at the instances that place the models.
 
-Every instance samples its running and waiting requests for the models with configured wants, and
+Every instance samples its running and waiting requests for the models with configured replicas, and
 sends the averages at a fixed interval to the instance that places the models of a service in its
-data centre. This costs each instance one small datagram for each service; the next one replaces a
-lost one. Load reports of the servers are not sufficient: they have no counts by model and no
+data centre. This costs each instance one small datagram for each service; the next one makes up for
+a lost one. Load reports of the servers are not sufficient: they have no counts by model and no
 waiting requests.
 """
 
@@ -26,7 +26,7 @@
 from turmericweir_core.state.server_table import Server, can_take_work
 from turmericweir_core.state.state import State
 
-# Reporting periods after which an instance's use no longer counts.
+# Reporting periods after which an instance's report no longer counts.
 _VALID_PERIODS: Final = 2.5
 
 
@@ -50,7 +50,7 @@
 
 
 def managed_services(config: Config) -> dict[str, list[str]]:
-    """Return the models with wants by the service that may serve them."""
+    """Return the models with configured replicas, by the service that may serve them."""
     models_by_service: dict[str, list[str]] = {}
     for model in sorted(config.model_replicas):
         service = config.service_by_target.get(Target(model))
@@ -69,7 +69,7 @@
 
 
 def _receiving_scope(state: State, service: str) -> LeaseScope | None:
-    """Return the scope that receives this instance's use of a service's models."""
+    """Return the scope whose placer receives this instance's use of a service's models."""
     counts = server_counts(state, service)
     if state.me.data_centre in counts:
         return LeaseScope(service, state.me.data_centre)
@@ -126,17 +126,18 @@
 def is_model_missing(state: State, now: float, model: str) -> bool:
     """Return whether no open server has a model."""
     return not any(
-        can_take_work(server, now) and _may_have_model(server, model)
+        can_take_work(server, now) and _can_have_model(server, model)
         for server in state.servers.by_name.values()
     )
 
 
-def _may_have_model(server: Server, model: str) -> bool:
+def _can_have_model(server: Server, model: str) -> bool:
     if model not in server.service.models:
         return False
     if server.report is None:
         return True
-    # Unlike in placement, a report without models means that the server has none.
+    # Here a report without models means that the server has none. Placement then relies on the
+    # settings.
     return any(model in (label, label_model_name(label)) for label in server.report.models)
 
 
@@ -147,7 +148,7 @@
         receiver = placer(state, now, scope) if scope is not None else None
         if scope is None or receiver is None:
             continue
-        uses = list(_uses(state, models))
+        uses = list(_mean_uses(state, models))
         if receiver.name == state.me.name:
             _record_use(state, now, scope, receiver.name, uses)
         elif uses:
@@ -156,7 +157,7 @@
     return effects
 
 
-def _uses(state: State, models: list[str]) -> Iterator[ModelUse]:
+def _mean_uses(state: State, models: list[str]) -> Iterator[ModelUse]:
     samples = max(1, state.models.samples)
     for model in models:
         usage = state.models.sampled.get(model)
--- a/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
@@ -103,7 +103,7 @@
 
 def _leave_scope(state: State, scope: LeaseScope) -> None:
     if order_flow.has_open_orders(state, scope):
-        # The lease is kept until its orders have ended, so that a successor may start at once.
+        # The lease is kept until its orders have ended, so that a successor can start at once.
         return
     del state.models.plans[scope]
     state.models.reported.pop(scope, None)
@@ -149,7 +149,7 @@
 
 
 def _holding(state: State, now: float, server: Server) -> Holding | None:
-    """Return a server's models by its own report and by later orders it may have followed."""
+    """Return a server's models by its report and by later orders that it may have carried out."""
     last_report = state.models.seen.get(server.entry.name)
     if last_report is None or now - last_report.at >= state.options.model_gone_s:
         return None
@@ -157,12 +157,12 @@
     loaded = {parse_model_label(text) for text in report.models}
     loading = {parse_model_label(text) for text in report.loading}
     failing: set[str] = set()
-    for key, tries in order_flow.pending_orders(state, server.entry.name):
+    for key, attempts in order_flow.pending_orders(state, server.entry.name):
         label = parse_model_label(key[2])
-        is_pending = now < tries.next_at
+        is_pending = now < attempts.next_at
         if key[1] is OrderKind.LOAD:
             loading |= {label} if is_pending and label not in loaded else set()
-            if tries.count >= state.options.order_tries:
+            if attempts.count >= state.options.order_tries:
                 failing.add(label.model)
         elif is_pending:
             loaded.discard(label)
@@ -184,17 +184,17 @@
 
 
 def _plan_scope(
-    state: State, now: float, scope: LeaseScope, plan: ScopePlan, wanted: list[str]
+    state: State, now: float, scope: LeaseScope, plan: ScopePlan, models: list[str]
 ) -> tuple[list[Order], list[Effect]]:
     reported = (_holding(state, now, each) for each in _servers(state, scope))
     holdings = [each for each in reported if each is not None]
     for model in list(plan.targets):
-        if model not in wanted:
+        if model not in models:
             del plan.targets[model]
     label_counts = {each.server: len(each.labels) for each in holdings}
     orders: list[Order] = []
     effects: list[Effect] = []
-    for model in wanted:
+    for model in models:
         target, log_effects = _plan_model(state, now, scope, plan, model, holdings, label_counts)
         effects += log_effects
         orders += orders_for_model(scope, target, holdings)
@@ -210,22 +210,22 @@
     holdings: Sequence[Holding],
     label_counts: dict[ServerName, int],
 ) -> tuple[WantedModel, list[Effect]]:
-    want = state.config.model_replicas[model]
+    replicas = state.config.model_replicas[model]
     target = plan.targets.get(model)
     if target is None:
         holder_count = sum(1 for holding in holdings if holding.has_or_loads(model))
         target = plan.targets[model] = ModelTarget(holder_count, changed_at=now)
     usage = total_usage(state, now, scope, model)
     note_demand(target, state.options, now, usage)
-    has_no_server = is_model_missing(state, now, model)
-    bounds = _bounds(state, scope, want)
+    is_missing = is_model_missing(state, now, model)
+    bounds = _bounds(state, scope, replicas)
     previous_count = target.count
     count_input = CountInput(
         bounds=bounds,
         servers=len(holdings),
         slots=mean_slots(holdings),
         is_demand_known=now - plan.since >= state.options.model_warm_s,
-        has_stranded_requests=has_no_server and usage.waiting > 0,
+        has_stranded_requests=is_missing and usage.waiting > 0,
     )
     choose_count(target, state.options, now, count_input)
     target.chosen_servers = choose_servers(str(scope), model, target, holdings, label_counts)
@@ -234,7 +234,7 @@
     # A model in use keeps its last server even if the bounds allow none.
     is_used = usage.waiting > 0 or usage.busy > 0
     least = max(min(bounds.least, len(holdings)), 1 if is_used else 0)
-    wanted = WantedModel(model, want.version, target.chosen_servers, least, has_no_server)
+    wanted = WantedModel(model, replicas.version, target.chosen_servers, least, is_missing)
     return wanted, _log_count(scope, model, previous_count, target)
 
 
@@ -253,9 +253,9 @@
     return [Log("model_count", fields)]
 
 
-def _bounds(state: State, scope: LeaseScope, want: ModelReplicas) -> Bounds:
+def _bounds(state: State, scope: LeaseScope, replicas: ModelReplicas) -> Bounds:
     counts = server_counts(state, scope.service)
     return Bounds(
-        data_centre_share(want.min_servers, counts, scope.data_centre),
-        data_centre_share(want.max_servers, counts, scope.data_centre),
+        data_centre_share(replicas.min_servers, counts, scope.data_centre),
+        data_centre_share(replicas.max_servers, counts, scope.data_centre),
     )
--- a/packages/turmericweir-core/turmericweir_core/leases/model_placement.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_placement.py
@@ -1,7 +1,7 @@
 """Choose the models of the servers of a scope, with pure functions.
 
 The number of servers of a model changes by one at a time, by long averages, between two thresholds
-that lie far apart, and with a minimum interval: loading a model takes minutes and a grant of the
+that lie far apart, and with a minimum interval: loading a model takes minutes and a permit of the
 weight store. The servers are chosen by what they have already, then by the number of their models
 and by rendezvous hashing. A new placer therefore reaches the same result from the servers' reports.
 
@@ -125,8 +125,8 @@
     if demand > target.count * slots * options.model_grow_share:
         return 1
     if target.count == 1:
-        # The last server is released by lack of use only. Prevents rare requests from waiting for a
-        # load each time.
+        # The last server is released only after a time without use. Prevents rare requests from
+        # waiting for a load each time.
         return -1 if now - target.used_at >= options.model_last_s else 0
     if demand < (target.count - 1) * slots * options.model_shrink_share:
         return -1
--- a/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
@@ -3,11 +3,11 @@
 An order is sent only while the lease is held, and carries its fencing number and its expiry. A
 server that has received a newer number refuses the order, and the lease is dropped. A server that
 does not check the number would follow a delayed order of the previous holder; after a takeover the
-first order to it therefore waits until the longest such order has ended, and relies on a report
-from after that.
+first order to it therefore waits until the longest such order has ended, and for a report received
+after that.
 
-The weight store is asked for one load at a time, the most urgent one first, and not before the time
-that it returned.
+The weight store is asked for one load at a time, the most urgent one first, and after a refusal
+only once the delay that it returned has passed.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 from turmericweir_core.state.state import State
 
 OrderKey: TypeAlias = tuple[ServerName, OrderKind, str]
-# Time limits after which an answer is no longer awaited.
+# An answer is awaited for this many times `order_timeout_s`.
 _ANSWER_TIMEOUTS: Final = 3
 # Age after which a pending order is dropped.
 _PENDING_RETENTION_S: Final = 900.0
@@ -44,14 +44,16 @@
 
 def has_open_orders(state: State, scope: LeaseScope) -> bool:
     """Return whether an order of a scope is unanswered."""
-    return any(out.order.scope == scope for out in state.models.orders_in_flight.values())
+    return any(
+        sent_order.order.scope == scope for sent_order in state.models.orders_in_flight.values()
+    )
 
 
 def pending_orders(state: State, server: ServerName) -> Iterator[tuple[OrderKey, OrderAttempts]]:
     """Yield the orders to a server whose effect is not reported yet."""
-    for key, tries in state.models.order_attempts.items():
+    for key, attempts in state.models.order_attempts.items():
         if key[0] == server:
-            yield key, tries
+            yield key, attempts
 
 
 def note_report(state: State, now: float, report: ServerReport) -> None:
@@ -79,11 +81,11 @@
 
 
 def send_orders(state: State, now: float, orders: list[Order]) -> list[Effect]:
-    """Send the due orders that may be sent now, and queue the loads."""
+    """Send the unload orders that may be sent now, and queue the loads for the weight store."""
     effects: list[Effect] = []
     state.models.pending_loads = []
     for order in orders:
-        if not _may_change(state, now, order):
+        if not _is_order_due(state, now, order):
             continue
         if order.kind is OrderKind.LOAD:
             state.models.pending_loads.append(order)
@@ -95,11 +97,11 @@
     return effects + _ask_weights(state, now)
 
 
-def _may_change(state: State, now: float, order: Order) -> bool:
-    tries = state.models.order_attempts.get(order.key)
-    if tries is not None:
-        # This order was sent before; a repetition is not another change.
-        return now >= tries.next_at
+def _is_order_due(state: State, now: float, order: Order) -> bool:
+    attempts = state.models.order_attempts.get(order.key)
+    if attempts is not None:
+        # A repetition is not another change, so only its own delay applies.
+        return now >= attempts.next_at
     if order.is_urgent or order.is_follow_up:
         return True
     changed_at = state.models.changed_at.get(order.server)
@@ -107,7 +109,9 @@
 
 
 def _has_open_order(state: State, server: ServerName) -> bool:
-    return any(out.order.server == server for out in state.models.orders_in_flight.values())
+    return any(
+        sent_order.order.server == server for sent_order in state.models.orders_in_flight.values()
+    )
 
 
 def _lease_for(state: State, now: float, order: Order) -> HeldLease | None:
@@ -134,7 +138,7 @@
     models.number += 1
     token = f"{state.me.incarnation}-{models.number}"
     models.orders_in_flight[token] = SentOrder(order, lease.fence, now)
-    _record_try(state, now, order)
+    _record_attempt(state, now, order)
     models.changed_at[order.server] = now
     fields = {
         "scope": str(order.scope),
@@ -162,16 +166,16 @@
     )
 
 
-def _record_try(state: State, now: float, order: Order) -> None:
-    tries = state.models.order_attempts.setdefault(order.key, OrderAttempts())
+def _record_attempt(state: State, now: float, order: Order) -> None:
+    attempts = state.models.order_attempts.setdefault(order.key, OrderAttempts())
     # The opposite order no longer applies.
     opposite = OrderKind.UNLOAD if order.kind is OrderKind.LOAD else OrderKind.LOAD
     state.models.order_attempts.pop((order.server, opposite, str(order.label)), None)
     options = state.options
-    pause_s = min(options.order_retry_max_s, options.order_retry_s * 2.0 ** min(tries.count, 10))
-    tries.count += 1
-    tries.sent_at = now
-    tries.next_at = now + pause_s
+    pause_s = min(options.order_retry_max_s, options.order_retry_s * 2.0 ** min(attempts.count, 10))
+    attempts.count += 1
+    attempts.sent_at = now
+    attempts.next_at = now + pause_s
 
 
 # --- answers ---------------------------------------------------------------------------------
@@ -179,38 +183,38 @@
 
 def on_order_done(state: State, now: float, event: OrderDone) -> list[Effect]:
     """Record the outcome of an order; its effect is verified by the server's report."""
-    out = state.models.orders_in_flight.pop(event.token, None)
-    if out is None:
+    sent_order = state.models.orders_in_flight.pop(event.token, None)
+    if sent_order is None:
         return []
     if event.is_accepted:
         return [Count("order.done")]
     fields = {
         "server": event.server,
-        "label": str(out.order.label),
-        "fence": out.fence,
+        "label": str(sent_order.order.label),
+        "fence": sent_order.fence,
         "error": event.error,
     }
     effects: list[Effect] = [Count("order.failed"), Log("order_failed", fields)]
-    if event.stale_fence and _is_lease_current(state, out):
-        effects += lease_flow.drop_lease(state, now, out.order.scope)
+    if event.stale_fence and _is_lease_current(state, sent_order):
+        effects += lease_flow.drop_lease(state, now, sent_order.order.scope)
     return effects
 
 
-def _is_lease_current(state: State, out: SentOrder) -> bool:
+def _is_lease_current(state: State, sent_order: SentOrder) -> bool:
     """Return whether the lease is still the one under which the order was sent."""
-    lease = state.leases.held.get(out.order.scope)
-    return lease is not None and lease.fence == out.fence
+    lease = state.leases.held.get(sent_order.order.scope)
+    return lease is not None and lease.fence == sent_order.fence
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Drop orders that are no longer awaited, and ask the weight store when it allows."""
     models = state.models
     timeout_s = _ANSWER_TIMEOUTS * state.options.order_timeout_s
-    for token, out in list(models.orders_in_flight.items()):
-        if now - out.sent_at >= timeout_s:
+    for token, sent_order in list(models.orders_in_flight.items()):
+        if now - sent_order.sent_at >= timeout_s:
             del models.orders_in_flight[token]
-    for key, tries in list(models.order_attempts.items()):
-        if now - tries.next_at >= _PENDING_RETENTION_S:
+    for key, attempts in list(models.order_attempts.items()):
+        if now - attempts.next_at >= _PENDING_RETENTION_S:
             del models.order_attempts[key]
     if models.queried_load is not None and now - models.queried_at >= timeout_s:
         models.queried_load = None
--- a/packages/turmericweir-core/turmericweir_core/leases/order_steps.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_steps.py
@@ -6,7 +6,7 @@
 
 Three rules keep models available. A version is replaced on one server at a time, and the new
 version is loaded before the old one is unloaded. A server unloads a model only if enough others
-report it. An order whose effect is not reported yet counts against both rules.
+report it. These rules take into account the orders whose effect is not reported yet.
 """
 
 from __future__ import annotations
@@ -38,22 +38,22 @@
     scope: LeaseScope, wanted: WantedModel, holdings: Sequence[Holding]
 ) -> list[Order]:
     """Return the due orders for one model."""
-    holders = sum(1 for holding in holdings if holding.has_model(wanted.model))
-    orders = _loads(scope, wanted, holdings, holders)
-    return orders + _unloads(scope, wanted, holdings, holders)
+    holder_count = sum(1 for holding in holdings if holding.has_model(wanted.model))
+    orders = _loads(scope, wanted, holdings, holder_count)
+    return orders + _unloads(scope, wanted, holdings, holder_count)
 
 
 # --- loading ---------------------------------------------------------------------------------
 
 
 def _loads(
-    scope: LeaseScope, wanted: WantedModel, holdings: Sequence[Holding], holders: int
+    scope: LeaseScope, wanted: WantedModel, holdings: Sequence[Holding], holder_count: int
 ) -> list[Order]:
     label = ModelLabel(wanted.model, wanted.version)
     orders: list[Order] = []
     is_rolling = any(_is_changing_version(wanted, holding) for holding in holdings)
     for holding in holdings:
-        if holding.server not in wanted.servers or _gets_wanted_version(wanted, holding):
+        if holding.server not in wanted.servers or _has_or_loads_wanted_version(wanted, holding):
             continue
         is_replacement = holding.has_or_loads(wanted.model)
         if is_replacement and is_rolling:
@@ -61,13 +61,18 @@
         is_rolling = is_rolling or is_replacement
         orders.append(
             Order(
-                scope, holding.server, OrderKind.LOAD, label, wanted.missing, holder_count=holders
+                scope,
+                holding.server,
+                OrderKind.LOAD,
+                label,
+                wanted.missing,
+                holder_count=holder_count,
             )
         )
     return orders
 
 
-def _gets_wanted_version(wanted: WantedModel, holding: Holding) -> bool:
+def _has_or_loads_wanted_version(wanted: WantedModel, holding: Holding) -> bool:
     return any(label.is_model_version(wanted.model, wanted.version) for label in holding.labels)
 
 
@@ -87,24 +92,24 @@
 
 def _is_changing_version(wanted: WantedModel, holding: Holding) -> bool:
     """Return whether a server is changing from one version to another."""
-    return _gets_wanted_version(wanted, holding) and bool(_old_labels(wanted, holding))
+    return _has_or_loads_wanted_version(wanted, holding) and bool(_old_labels(wanted, holding))
 
 
 # --- unloading -------------------------------------------------------------------------------
 
 
 def _unloads(
-    scope: LeaseScope, wanted: WantedModel, holdings: Sequence[Holding], holders: int
+    scope: LeaseScope, wanted: WantedModel, holdings: Sequence[Holding], holder_count: int
 ) -> list[Order]:
     orders: list[Order] = []
     # Servers with an unload order count as gone. Prevents two servers from unloading the last
     # copies at once.
-    remaining = holders
+    remaining = holder_count
     for holding in holdings:
         if holding.server in wanted.servers:
             if _has_wanted_version(wanted, holding):
                 orders += _unload(
-                    scope, holding, _old_labels(wanted, holding), holders, follows=True
+                    scope, holding, _old_labels(wanted, holding), holder_count, is_follow_up=True
                 )
             continue
         labels = [*_old_labels(wanted, holding), *_wanted_labels(wanted, holding)]
@@ -114,7 +119,7 @@
         if is_holder and remaining - 1 < wanted.least:
             continue
         remaining -= 1 if is_holder else 0
-        orders += _unload(scope, holding, labels, holders, follows=False)
+        orders += _unload(scope, holding, labels, holder_count, is_follow_up=False)
     return orders
 
 
@@ -125,7 +130,12 @@
 
 
 def _unload(
-    scope: LeaseScope, holding: Holding, labels: list[ModelLabel], holders: int, *, follows: bool
+    scope: LeaseScope,
+    holding: Holding,
+    labels: list[ModelLabel],
+    holder_count: int,
+    *,
+    is_follow_up: bool,
 ) -> list[Order]:
     return [
         Order(
@@ -133,8 +143,8 @@
             holding.server,
             OrderKind.UNLOAD,
             label,
-            holder_count=holders,
-            is_follow_up=follows,
+            holder_count=holder_count,
+            is_follow_up=is_follow_up,
         )
         for label in labels
     ]
