--- a/packages/turmericweir-core/turmericweir_core/limits/limit.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit.py
@@ -1,13 +1,13 @@
 """Rate limits of customers and teams over all instances: requests and tokens per second.
 
-An instance holds a leased share of each limit that its callers use, as a token bucket, and sends no
-message for a request. It sends its demand to the subject's home (`limit_home`) when the demand
+An instance holds a leased share of each limit that its callers use, as a token bucket, so a single
+request costs no message. It sends its demand to the subject's home (`limit_home`) when the demand
 changes by more than random variation, and renews the lease from time to time; the home answers with
 the share, and reclaims shares that other instances need.
 
-Without an answer, a share is valid until its lease ends, and then shrinks to an even split of the
-limit over the instances at most. In a partition each side has its own homes, and each grants only
-the part of the limit that corresponds to its part of all known instances.
+If the home does not answer, a share is valid until its lease ends and is then reduced to at most an
+even split of the limit over the instances. In a partition each side has its own homes, and each
+grants only the part of the limit that corresponds to its part of all known instances.
 
 Tokens are charged at admission by the predicted length and corrected by the delivered tokens. A
 bucket may go into debt by one request. The overshoot is therefore bounded by the depth of all
@@ -53,7 +53,7 @@
 
 
 class LimitRefusal(Struct, frozen=True):
-    """Which limit a request exceeds, and when the bucket admits requests again."""
+    """The limit that a request exceeds, and when its bucket admits requests again."""
 
     reason: Reason
     retry_after_s: float
@@ -141,13 +141,13 @@
 def _apply_limit(state: State, now: float, key: SubjectKey, holding: HeldShare) -> None:
     """Update a holding to the limit in the settings."""
     limit = limit_home.subject_limit(state, key)
-    split = _reach(state, now).split
-    first_size = state.options.predict_default
+    split = _participants(state, now).split
+    initial_unit = state.options.predict_default
     holding.requests = _quantity_for_limit(
         state, now, holding.requests, limit.requests_s, split, 1.0
     )
     holding.tokens = _quantity_for_limit(
-        state, now, holding.tokens, limit.tokens_s, split, first_size
+        state, now, holding.tokens, limit.tokens_s, split, initial_unit
     )
 
 
@@ -196,7 +196,7 @@
     limits = state.rate_limits
     if not limits.held and not limits.home:
         return []
-    _reach(state, now)
+    _participants(state, now)
     keys = list(limits.touched_subjects)
     limits.touched_subjects.clear()
     if now >= limits.next_scan_at:
@@ -286,16 +286,16 @@
 
 
 def _shrink_share(state: State, now: float, key: SubjectKey, holding: HeldShare) -> None:
-    """Reduce a share without a lease, which the home may have granted to others."""
+    """Reduce a share whose lease has ended, as the home may have granted it to others."""
     limit = limit_home.subject_limit(state, key)
-    split = _reach(state, now).split
-    for quantity, max_rate in _with_limit(holding, limit):
+    split = _participants(state, now).split
+    for quantity, max_rate in _limited_quantities(holding, limit):
         rate = min(quantity.bucket.rate, max_rate / split)
         if rate < quantity.bucket.rate:
             quantity.bucket.set_rate(now, rate, _depth(state, rate, quantity.demand.unit))
 
 
-def _with_limit(holding: HeldShare, limit: Limit) -> list[tuple[Quantity, float]]:
+def _limited_quantities(holding: HeldShare, limit: Limit) -> list[tuple[Quantity, float]]:
     limited: list[tuple[Quantity, float]] = []
     if holding.requests is not None and limit.requests_s is not None:
         limited.append((holding.requests, limit.requests_s))
@@ -318,7 +318,7 @@
 
 def on_ask(state: State, now: float, sender: InstanceName, request: LimitAsk) -> list[Effect]:
     """Answer an instance that considers this one the home of its subjects."""
-    _reach(state, now)
+    _participants(state, now)
     shares = [limit_home.on_demand(state, now, sender, each) for each in request.demands]
     return _send_shares(state, now, [(sender, each) for each in shares if each is not None])
 
@@ -338,7 +338,7 @@
     holding.asked_at = None
     holding.answer_wait_s = 0.0
     holding.valid_until = now + options.rate_lease_s
-    # Random, so that renewals do not stay synchronized after a restart of many instances.
+    # Random, so that renewals of many instances do not stay synchronized after a restart.
     holding.next_query_at = now + options.rate_renew_s * (0.8 + 0.4 * state.rng.random())
     _set_share(state, now, holding.requests, share.requests)
     _set_share(state, now, holding.tokens, share.tokens)
@@ -391,35 +391,35 @@
 
 
 def _home(state: State, key: SubjectKey) -> InstanceName:
-    reach = state.rate_limits.participants
-    home = reach.homes.get(key)
+    participants = state.rate_limits.participants
+    home = participants.homes.get(key)
     if home is None:
-        home = max(reach.addresses, key=lambda name: rendezvous_weight(key, name))
-        reach.homes[key] = home
+        home = max(participants.addresses, key=lambda name: rendezvous_weight(key, name))
+        participants.homes[key] = home
     return home
 
 
-def _reach(state: State, now: float) -> LimitParticipants:
+def _participants(state: State, now: float) -> LimitParticipants:
     """Return the live instances, updated at a fixed interval to limit the cost of hashing."""
     limits: RateLimits = state.rate_limits
-    reach = limits.participants
-    if now - reach.updated_at < state.options.rate_reach_s:
-        return reach
+    participants = limits.participants
+    if now - participants.updated_at < state.options.rate_reach_s:
+        return participants
     live = membership.live_instances(state, now)
     addresses = {member.name: member.peer_address for member in live}
     unreachable = _unreachable_instances(state, now)
-    if addresses.keys() != reach.addresses.keys():
-        reach.homes = {}
+    if addresses.keys() != participants.addresses.keys():
+        participants.homes = {}
         limit_home.mark_all_changed(state)
-    reach.updated_at = now
-    reach.addresses = addresses
-    reach.partition_share = len(live) / (len(live) + unreachable)
-    reach.split = len(live) + unreachable
-    return reach
+    participants.updated_at = now
+    participants.addresses = addresses
+    participants.partition_share = len(live) / (len(live) + unreachable)
+    participants.split = len(live) + unreachable
+    return participants
 
 
 def _unreachable_instances(state: State, now: float) -> int:
-    """Return the number of instances in unreachable data centres, which use their own part."""
+    """Return the number of instances in unreachable data centres, which use part of the limits."""
     hold_s = state.options.rate_hold_s
     return sum(
         view.live
--- a/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
@@ -1,15 +1,16 @@
 """The home of a limited customer or team: it divides the limit among the instances that request it.
 
 Every subject has one home, by rendezvous hashing over the live instances. While instances disagree
-on the live ones there may be two, and a limit may be granted twice for a short time. A new home
-therefore grants each instance no more than it reports to hold, or an even share, until all have
-sent a request.
-
-A limit is divided by demand. Below the limit, each asker gets its demand and an even part of the
-rest, so that new demand finds a share. (With proportional parts, each change of one demand would
-change every share and cost far more messages.) Above the limit each gets its proportion. The sum of
-all grants never exceeds the limit: an instance that requests more gets what is free at once, and
-the rest after shares were reclaimed from others.
+on the live ones there may be two, and a limit could be granted twice for a short time. A new home
+therefore grants each instance at most the share that it reports to hold, or an even share if that
+is more, until all have sent a request.
+
+A limit is divided by demand. While the total demand is below the limit, each instance gets its
+demand and an even part of the rest, which leaves room for new demand. (With proportional parts,
+each change of one demand would change every share and cost far more messages.) Above the limit each
+instance gets a share in proportion to its demand. The sum of all grants never exceeds the limit: an
+instance that requests more gets what is free at once, and the rest after shares were reclaimed from
+others.
 """
 
 from __future__ import annotations
@@ -47,13 +48,14 @@
     pool: float
     # Sum of all demands.
     demand: float
-    askers: int
+    # Number of instances that request shares.
+    requesters: int
 
     def share(self, demand: float) -> float:
-        """Return the share of an asker."""
+        """Return the share of an instance with a demand."""
         if self.demand > self.pool:
             return self.pool * demand / self.demand
-        return demand + (self.pool - self.demand) / self.askers
+        return demand + (self.pool - self.demand) / self.requesters
 
 
 def subject_limit(state: State, key: SubjectKey) -> Limit:
@@ -66,7 +68,7 @@
 
 
 def on_demand(
-    state: State, now: float, asker: InstanceName, demand: LimitDemand
+    state: State, now: float, requester: InstanceName, demand: LimitDemand
 ) -> LimitShare | None:
     """Record an instance's demand and return its share."""
     key = SubjectKey(demand.key)
@@ -76,57 +78,57 @@
     home = state.rate_limits.home.get(key)
     if home is None:
         home = state.rate_limits.home[key] = HomeSubject(since=now)
-    asker_state = home.share_holders.get(asker)
-    if asker_state is None:
-        asker_state = home.share_holders[asker] = ShareHolder()
-    asker_state.received_at = now
-    asker_state.requests.demand = max(0.0, demand.requests)
-    asker_state.tokens.demand = max(0.0, demand.tokens)
+    holder = home.share_holders.get(requester)
+    if holder is None:
+        holder = home.share_holders[requester] = ShareHolder()
+    holder.received_at = now
+    holder.requests.demand = max(0.0, demand.requests)
+    holder.tokens.demand = max(0.0, demand.tokens)
     home.has_changed_demand = True
     is_learning = now - home.since < state.options.rate_learn_s
-    for claim, held_rate, max_rate, claims in (
-        (asker_state.requests, demand.held_requests, limit.requests_s, _requests(home)),
-        (asker_state.tokens, demand.held_tokens, limit.tokens_s, _tokens(home)),
+    for grant, held_rate, max_rate, grants in (
+        (holder.requests, demand.held_requests, limit.requests_s, _requests(home)),
+        (holder.tokens, demand.held_tokens, limit.tokens_s, _tokens(home)),
     ):
         if max_rate is not None:
-            _grant(state, claim, max_rate, claims, max(0.0, held_rate) if is_learning else None)
-    return _share_message(key, limit, asker_state)
+            _grant(state, grant, max_rate, grants, max(0.0, held_rate) if is_learning else None)
+    return _share_message(key, limit, holder)
 
 
 def _requests(home: HomeSubject) -> list[QuantityGrant]:
-    return [asker.requests for asker in home.share_holders.values()]
+    return [holder.requests for holder in home.share_holders.values()]
 
 
 def _tokens(home: HomeSubject) -> list[QuantityGrant]:
-    return [asker.tokens for asker in home.share_holders.values()]
+    return [holder.tokens for holder in home.share_holders.values()]
 
 
 def _grant(
     state: State,
-    asker: QuantityGrant,
+    target_grant: QuantityGrant,
     limit: float,
-    claims: list[QuantityGrant],
+    grants: list[QuantityGrant],
     held_rate: float | None,
 ) -> None:
     """Grant the wanted share as far as it is free; the next rebalancing frees the rest."""
-    division = _divide(state, limit, claims)
-    wanted = division.share(asker.demand)
-    free = division.pool - sum(claim.granted for claim in claims if claim is not asker)
+    division = _divide(state, limit, grants)
+    wanted = division.share(target_grant.demand)
+    free = division.pool - sum(grant.granted for grant in grants if grant is not target_grant)
     if held_rate is not None:
         # Others may hold shares from the previous home that are unknown here.
         even_share = division.pool / max(1, len(state.rate_limits.participants.addresses))
         free = min(free, max(held_rate, even_share))
-    asker.granted = min(wanted, max(0.0, free))
+    target_grant.granted = min(wanted, max(0.0, free))
 
 
-def _divide(state: State, limit: float, claims: list[QuantityGrant]) -> Division:
+def _divide(state: State, limit: float, grants: list[QuantityGrant]) -> Division:
     pool = limit * state.rate_limits.participants.partition_share
-    return Division(pool, sum(claim.demand for claim in claims), max(1, len(claims)))
+    return Division(pool, sum(grant.demand for grant in grants), max(1, len(grants)))
 
 
-def _share_message(key: SubjectKey, limit: Limit, asker: ShareHolder) -> LimitShare:
-    requests = -1.0 if limit.requests_s is None else round(asker.requests.granted, 3)
-    tokens = -1.0 if limit.tokens_s is None else round(asker.tokens.granted, 3)
+def _share_message(key: SubjectKey, limit: Limit, holder: ShareHolder) -> LimitShare:
+    requests = -1.0 if limit.requests_s is None else round(holder.requests.granted, 3)
+    tokens = -1.0 if limit.tokens_s is None else round(holder.tokens.granted, 3)
     return LimitShare(key, requests, tokens)
 
 
@@ -152,15 +154,15 @@
 
 
 def mark_all_changed(state: State) -> None:
-    """Divide all limits again at the next tick, as the live instances have changed."""
+    """Have all limits divided again at the next tick, after the live instances have changed."""
     for home in state.rate_limits.home.values():
         home.has_changed_demand = True
 
 
 def _drop_inactive(state: State, now: float, home: HomeSubject) -> None:
     live = state.rate_limits.participants.addresses
-    for name, asker in list(home.share_holders.items()):
-        if name not in live or now - asker.received_at > state.options.rate_lease_s:
+    for name, holder in list(home.share_holders.items()):
+        if name not in live or now - holder.received_at > state.options.rate_lease_s:
             del home.share_holders[name]
 
 
@@ -169,50 +171,50 @@
 ) -> list[tuple[InstanceName, LimitShare]]:
     limit = subject_limit(state, key)
     previous = [
-        (asker_state.requests.granted, asker_state.tokens.granted)
-        for asker_state in home.share_holders.values()
+        (share_holder.requests.granted, share_holder.tokens.granted)
+        for share_holder in home.share_holders.values()
     ]
-    for max_rate, claims in (
+    for max_rate, grants in (
         (limit.requests_s, _requests(home)),
         (limit.tokens_s, _tokens(home)),
     ):
         if max_rate is not None:
-            rebalance(_divide(state, max_rate, claims), claims, state.options.rate_push_factor)
+            rebalance(_divide(state, max_rate, grants), grants, state.options.rate_push_factor)
     return [
-        (name, _share_message(key, limit, asker))
-        for (name, asker), previous_grant in zip(home.share_holders.items(), previous, strict=True)
-        if (asker.requests.granted, asker.tokens.granted) != previous_grant
+        (name, _share_message(key, limit, holder))
+        for (name, holder), previous_grant in zip(home.share_holders.items(), previous, strict=True)
+        if (holder.requests.granted, holder.tokens.granted) != previous_grant
     ]
 
 
-def rebalance(division: Division, claims: list[QuantityGrant], factor: float) -> None:
-    """Move shares to claims that hold much less than theirs, from as few others as possible.
+def rebalance(division: Division, grants: list[QuantityGrant], factor: float) -> None:
+    """Raise the grants that are far below their wanted shares, and reduce as few others as possible.
 
-    Each changed share costs a message. A few claims therefore give up shares, down to slightly
-    below their own, and differences within random variation are ignored.
+    Each changed grant costs a message. A few grants are therefore reduced to slightly below their
+    wanted shares, and differences within random variation are ignored.
     """
-    wanted = {id(claim): division.share(claim.demand) for claim in claims}
-    starved = [claim for claim in claims if claim.granted * factor < wanted[id(claim)]]
-    free = division.pool - sum(claim.granted for claim in claims)
-    missing = sum(wanted[id(claim)] - claim.granted for claim in starved) - free
-    floor = {id(claim): wanted[id(claim)] / sqrt(factor) for claim in claims}
-    for claim in sorted(claims, key=lambda claim: floor[id(claim)] - claim.granted):
-        if missing <= division.pool * _ROUNDING_SHARE or claim.granted <= floor[id(claim)]:
+    wanted = {id(grant): division.share(grant.demand) for grant in grants}
+    starved = [grant for grant in grants if grant.granted * factor < wanted[id(grant)]]
+    free = division.pool - sum(grant.granted for grant in grants)
+    missing = sum(wanted[id(grant)] - grant.granted for grant in starved) - free
+    reduced_grants = {id(grant): wanted[id(grant)] / sqrt(factor) for grant in grants}
+    for grant in sorted(grants, key=lambda grant: reduced_grants[id(grant)] - grant.granted):
+        if missing <= division.pool * _ROUNDING_SHARE or grant.granted <= reduced_grants[id(grant)]:
             break
-        missing -= claim.granted - floor[id(claim)]
-        claim.granted = floor[id(claim)]
-    # If the other claims cannot free enough, all starved claims get the same fraction.
-    needed = sum(wanted[id(claim)] - claim.granted for claim in starved)
+        missing -= grant.granted - reduced_grants[id(grant)]
+        grant.granted = reduced_grants[id(grant)]
+    # If the other grants cannot free enough, all starved ones get the same fraction of the gap.
+    needed = sum(wanted[id(grant)] - grant.granted for grant in starved)
     fraction = 1.0 if needed <= 0 else min(1.0, max(0.0, needed - max(0.0, missing)) / needed)
-    for claim in starved:
-        claim.granted += fraction * (wanted[id(claim)] - claim.granted)
-    free = division.pool - sum(claim.granted for claim in claims)
+    for grant in starved:
+        grant.granted += fraction * (wanted[id(grant)] - grant.granted)
+    free = division.pool - sum(grant.granted for grant in grants)
     if free <= _IDLE_SHARE * division.pool:
         return
-    # Shares that fallen demand has freed must not remain unassigned.
-    for claim in sorted(claims, key=lambda claim: claim.granted - wanted[id(claim)]):
-        amount = min(free, wanted[id(claim)] - claim.granted)
+    # Assigns what remains free, such as the shares that fallen demand has freed.
+    for grant in sorted(grants, key=lambda grant: grant.granted - wanted[id(grant)]):
+        amount = min(free, wanted[id(grant)] - grant.granted)
         if amount <= 0:
             break
-        claim.granted += amount
+        grant.granted += amount
         free -= amount
