--- a/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
@@ -188,7 +188,7 @@
 
 
 def rebalance(division: Division, grants: list[QuantityGrant], factor: float) -> None:
-    """Raise the grants that are far below their wanted shares, and reduce as few others as possible.
+    """Raise grants that are far below their wanted shares, and reduce as few others as possible.
 
     Each changed grant costs a message. A few grants are therefore reduced to slightly below their
     wanted shares, and differences within random variation are ignored.
--- a/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/instance_versions.py
@@ -1,7 +1,7 @@
 """List which instance runs which version of the settings, as far as this one knows.
 
-Members of this data centre send their version with each heartbeat. The gateways of another
-data centre report its lowest version; its instances run that version or a newer one.
+Members of this data centre send their version with each heartbeat. The gateways of another data
+centre report its lowest version; its instances run that version or a newer one.
 """
 
 from __future__ import annotations
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_gossip.py
@@ -2,8 +2,8 @@
 
 Every round this instance increments its own counter and sends one datagram to one peer, with the
 newest counter it knows of every member. Partners are taken in turn from the ring of live names, at
-distances 1, 2, 4 and so on: a counter reaches all of n members within log2(n)
-rounds, rounded up. See docs/design/membership.md.
+distances 1, 2, 4 and so on: a counter reaches all of n members within log2(n) rounds, rounded up.
+See docs/design/membership.md.
 
 Counters are sent without keys while rosters agree (`Heartbeat.counters`), and with keys for some
 time after a difference was seen. Records of unknown keys are requested.
--- a/packages/turmericweir-core/turmericweir_core/membership/relays.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/relays.py
@@ -1,9 +1,9 @@
 """Relays: instances that pass messages on to the other instances of their data centre.
 
 Each data centre has one relay for a group of instances, picked by hash among its live members. A
-message for all instances goes to the relays, and from each to its group. Each instance
-picks the relays from its own view of the live members. While two views differ, some instances
-receive a message twice or not at all, so receivers have to detect missing messages.
+message for all instances goes to the relays, and from each to its group. Each instance picks the
+relays from its own view of the live members. While two views differ, some instances receive a
+message twice or not at all, so receivers have to detect missing messages.
 
 In small deployments there are no relays: each instance sends to every other one.
 """
