--- a/packages/turmericweir-core/turmericweir_core/credits/credit.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit.py
@@ -3,16 +3,16 @@
 Rendezvous hashing over the live instances of the server's data centre picks the dispatcher.
 Instances send it their demand by tier and it grants them slots (`credit_dispatcher`). Requests do
 not pass through it: an instance with credit sends them directly to the server (`credit_demand`,
-`credit_holder`).
+`credit_holder`). An *upper* tier, request or attempt is more urgent than a *lower* one.
 
 - Without contention the granted credit covers the work, and only renewals are sent.
 - Under contention the dispatcher serves the most urgent tier first and recalls credit from the
   least urgent, which costs a round trip between instances.
 - While views of the live set differ, a server can have two dispatchers and receive more requests
   than it has slots. This causes delay but no errors: no guarantee to callers depends on credit.
-- Without a dispatcher that answers, an instance uses its local counts with a low limit.
+- If the dispatcher does not answer, an instance uses its local counts with a low limit.
 
-Only the dispatcher probes the server's load; its grants pass the report on to the holders.
+Normally only the dispatcher probes the server's load; its grants pass the report on to the holders.
 """
 
 from __future__ import annotations
@@ -51,25 +51,25 @@
     if not state.credits.demanded_servers and not queue_state.has_waiting(state.queues, pool):
         return []
     wanted = credit_demand.wanted_credit(state, now, pool)
-    return _demand(state, now, {*wanted, *_asked_servers(state, pool)}, wanted)
+    return _send_due_demands(state, now, {*wanted, *_demanded_servers_of(state, pool)}, wanted)
 
 
-def _asked_servers(state: State, pool: str) -> Iterable[ServerName]:
+def _demanded_servers_of(state: State, pool: str) -> Iterable[ServerName]:
     for name in state.credits.demanded_servers:
         server = state.servers.by_name.get(name)
         if server is not None and server.service.name == pool:
             yield name
 
 
-def _demand(
+def _send_due_demands(
     state: State,
     now: float,
-    names: Iterable[ServerName],
+    server_names: Iterable[ServerName],
     wanted: dict[ServerName, list[TierDemand]],
 ) -> list[Effect]:
     effects: list[Effect] = []
     # Sorted to make runs reproducible from their events.
-    for name in sorted(names):
+    for name in sorted(server_names):
         server = state.servers.by_name.get(name)
         if server is None:
             state.credits.demanded_servers.discard(name)
@@ -97,7 +97,7 @@
     if not credit.is_contended:
         return []
     if queue_state.has_waiting(state.queues, server.service.name):
-        # The dispatch that follows sends the demand, as it may start another attempt here.
+        # The dispatch that follows may start another attempt here, and sends the demand after it.
         state.credits.demanded_servers.add(server.entry.name)
         return []
     return _send_demand_if_due(state, now, server, [])
@@ -153,16 +153,16 @@
     ]
     for outgoing in credit_dispatcher.on_tick(state, now):
         effects += _send(state, now, outgoing.instance, outgoing.grant)
-    may_need = [
+    servers_to_check = [
         name
         for name, credit in state.credits.held_by_server.items()
         if credit_demand.may_need_demand(credit, state.options, now)
     ]
     wanted: dict[ServerName, list[TierDemand]] = {}
-    if may_need:
+    if servers_to_check:
         for pool in state.queues.pools:
             wanted.update(credit_demand.wanted_credit(state, now, pool))
-    return effects + _demand(state, now, may_need, wanted)
+    return effects + _send_due_demands(state, now, servers_to_check, wanted)
 
 
 def on_peer_unreachable(state: State, now: float, peer: InstanceName) -> None:
@@ -175,8 +175,8 @@
 def must_probe(state: State, now: float, server: Server) -> bool:
     """Return whether this instance itself has to probe a server for its load.
 
-    An instance that uses local counts probes as well. Prevents it from missing the load of other
-    instances while no dispatcher is reachable.
+    An instance that uses local counts probes as well. Prevents it from ignoring the load that other
+    instances cause while no dispatcher is reachable.
     """
     if is_dispatcher(state, now, server):
         return True
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_allocation.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_allocation.py
@@ -1,8 +1,9 @@
 """Divide one server's slots among instances: a pure function of the capacity and the demand.
 
-The order: one slot for each tier that is due an assured slot; then tier by tier, the most urgent
-first, max-min fair among the instances of a tier; then the rest as spare slots. A spare slot is
-granted at the lowest tier, since upper tiers may use slots of lower tiers but not vice versa.
+Slots are allocated in this order: one for each tier with an assured slot; then tier by tier, the
+most urgent first, max-min fair among the instances of a tier; then the rest as spare slots. A spare
+slot is granted at the lowest tier, since upper tiers may use slots of lower tiers but not vice
+versa.
 """
 
 from __future__ import annotations
@@ -24,7 +25,7 @@
 
     @property
     def slots(self) -> int:
-        """Return the number of slots that it could use."""
+        """Return the number of slots that the instance could use."""
         return self.running + self.waiting
 
 
@@ -106,9 +107,9 @@
     level = _common_level([slots for _, slots in missing], free)
     left = free
     for instance, slots in missing:
-        part = min(slots, level)
-        shares[instance].add(tier, part)
-        left -= part
+        filled = min(slots, level)
+        shares[instance].add(tier, filled)
+        left -= filled
     for instance, slots in missing:
         if left > 0 and slots > level:
             shares[instance].add(tier, 1)
@@ -134,9 +135,9 @@
 def _allocate_spare(shares: dict[InstanceName, Share], capacity: Capacity, free: int) -> None:
     """Grant idle slots in advance to save a message for the next request."""
     left = free
-    remaining = len(shares)
+    remaining_instances = len(shares)
     for share in shares.values():
-        part = min(capacity.spare, left // remaining)
-        share.add(capacity.lowest, part)
-        left -= part
-        remaining -= 1
+        spare = min(capacity.spare, left // remaining_instances)
+        share.add(capacity.lowest, spare)
+        left -= spare
+        remaining_instances -= 1
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_assured.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_assured.py
@@ -1,7 +1,8 @@
 """The assured share of starved tiers at one dispatcher.
 
-A tier that waits without a running attempt earns slot seconds. With enough of them it gets an
-assured slot, which no other tier may use, and keeps it until the attempts there have ended.
+A tier that waits without a running attempt accrues slot seconds. With enough of them it gets an
+assured slot, which no other tier may use. The slot consumes the accrued slot seconds and ends when
+they are used up; an attempt that still runs may exceed them up to a limit.
 Prevents the most urgent tier from starving lower tiers for as long as its demand lasts.
 """
 
@@ -24,30 +25,32 @@
 ) -> None:
     """Credit slot seconds to starved tiers, and charge them to tiers that have an assured slot."""
     options = state.options
-    elapsed = min(1.0, now - ledger.settled_at) if ledger.settled_at != NEVER else 0.0
+    elapsed_s = min(1.0, now - ledger.settled_at) if ledger.settled_at != NEVER else 0.0
     shares = tier_shares(state.config)
     for tier in _active_tiers(ledger):
-        saved = ledger.accrued_slot_s.get(tier, 0.0)
+        accrued_slot_s = ledger.accrued_slot_s.get(tier, 0.0)
         waiting, running = _tier_totals(ledger, tier)
         if tier in ledger.assured:
-            saved -= elapsed
+            accrued_slot_s -= elapsed_s
         elif waiting and not running:
-            saved += elapsed * capacity.slots * shares.get(tier, 0.0)
-        ledger.accrued_slot_s[tier] = min(saved, 2.0 * options.credit_assured_s)
+            accrued_slot_s += elapsed_s * capacity.slots * shares.get(tier, 0.0)
+        ledger.accrued_slot_s[tier] = min(accrued_slot_s, 2.0 * options.credit_assured_s)
         _update_assured_tier(options, ledger, tier, bool(waiting), bool(running))
 
 
 def _update_assured_tier(
-    options: Options, ledger: CreditLedger, tier: int, waiting: bool, running: bool
+    options: Options, ledger: CreditLedger, tier: int, has_waiting: bool, has_running: bool
 ) -> None:
-    saved = ledger.accrued_slot_s[tier]
+    accrued_slot_s = ledger.accrued_slot_s[tier]
     if tier not in ledger.assured:
-        if saved >= options.credit_assured_s:
+        if accrued_slot_s >= options.credit_assured_s:
             ledger.assured.add(tier)
         return
-    # A running attempt may finish on the slot; its tier then has to earn the debt back.
-    ends = saved <= -options.credit_assured_debt_s or (saved <= 0.0 and not running)
-    if ends or not (waiting or running):
+    # A running attempt may exceed the accrued slot seconds; its tier then has to accrue the debt.
+    is_used_up = accrued_slot_s <= -options.credit_assured_debt_s or (
+        accrued_slot_s <= 0.0 and not has_running
+    )
+    if is_used_up or not (has_waiting or has_running):
         ledger.assured.discard(tier)
 
 
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -4,13 +4,13 @@
 
 - at once, if a more urgent tier waits than in the last demand, if credit was recalled, or if an
   attempt beyond its credit has ended;
-- after `credit_demand_gap_s`, if more requests wait, or if none wait any more, or if credit is idle
+- after `credit_demand_gap_s`, if more requests wait, if none wait any more, or if credit is idle
   under contention;
 - after `credit_lazy_s`, for any other change under contention.
 
-Messages are limited under contention. An upper request that waits on an instance with lower
-attempts therefore causes no demand: one of those attempts is displaced locally. The number of
-waiting requests is reported in powers of two, and only a few servers are asked.
+To limit the messages under contention, an upper request that waits on an instance with lower
+attempts causes no demand, since one of those attempts is displaced locally. A growing number of
+waiting requests is reported only at powers of two, and only a few dispatchers are asked.
 """
 
 from __future__ import annotations
@@ -47,34 +47,34 @@
 def wanted_credit(state: State, now: float, pool: str) -> dict[ServerName, list[TierDemand]]:
     """Return the demand for the waiting requests of a pool, by server and tier."""
     wanted: dict[ServerName, dict[int, TierDemand]] = {}
-    # Requests for which local lower attempts can be displaced.
+    # Requests that get the slots of displaceable local attempts.
     served_locally = 0
-    # Requests for which local attempts are already being displaced need none elsewhere.
+    # Requests for which local attempts are already being displaced need no displacement elsewhere.
     displacing = pool_load(state.pool_loads, pool).displacing
     queues = queue_state.pool_queues(state.queues, pool)
     for queue in sorted(queues, key=lambda queue: queue.service_class.priority):
         servers = preferred_servers(open_servers(state, now, queue.target), queue.head())
         unserved = len(queue)
-        if _is_contended(state, servers):
+        if _has_contended_server(state, servers):
             displaceable = _count_displaceable(state, now, servers, queue.service_class.priority)
             taken_locally = max(0, min(unserved, displaceable - served_locally))
             unserved -= taken_locally
             served_locally += taken_locally
         if unserved:
             asked_servers = _servers_to_ask(state, now, queue, servers, unserved)
-            ready = count_ready_to_displace(state.options, now, queue, unserved)
+            ready_requests = count_ready_to_displace(state.options, now, queue, unserved)
             if queue.service_class.priority >= lowest_tier(state.config):
                 # There is no lower tier to displace.
-                ready = 0
+                ready_requests = 0
             displacements = _displacements_by_server(
-                state.options, now, queue, max(0, ready - displacing), len(asked_servers)
+                state.options, now, queue, max(0, ready_requests - displacing), len(asked_servers)
             )
             _add_demand(wanted, queue, asked_servers, unserved, displacements)
         displacing = max(0, displacing - len(queue))
     return {name: list(tiers.values()) for name, tiers in wanted.items()}
 
 
-def _is_contended(state: State, servers: list[Server]) -> bool:
+def _has_contended_server(state: State, servers: list[Server]) -> bool:
     """Return whether a model server is known to have more demand than slots."""
     held_credit = state.credits.held_by_server
     return any(
@@ -97,7 +97,7 @@
 def _servers_to_ask(
     state: State, now: float, queue: queue_state.ClassQueue, servers: list[Server], requests: int
 ) -> list[Server]:
-    """Return a few servers to ask at first, and more the longer the oldest request waits.
+    """Return the servers to ask: a few at first, and more the longer the oldest request waits.
 
     Prevents all dispatchers from reserving a slot for a request that needs one.
     """
@@ -118,7 +118,7 @@
 
 
 def _server_to_ask_last(state: State, now: float, servers: list[Server]) -> Server | None:
-    """Return the one server that recalled all credit of this instance, to ask others before it.
+    """Return the server to ask after all others: the only one where all credit was recalled.
 
     Prevents instances that prefer the same server from recalling each other's idle slots while
     other servers have free ones. If credit was lost at several servers, there are more instances
@@ -153,19 +153,23 @@
 
 
 def _displacements_by_server(
-    options: Options, now: float, queue: queue_state.ClassQueue, ready: int, server_count: int
+    options: Options,
+    now: float,
+    queue: queue_state.ClassQueue,
+    ready_requests: int,
+    server_count: int,
 ) -> list[int]:
     """Return the number of requests for which each dispatcher is to displace lower attempts.
 
     Each ready request is reported to one dispatcher to displace one attempt for it. Later it is
-    reported to more of them, as the first server may run only upper attempts.
+    reported to more of them, as the first server may run no lower attempts.
     """
-    wait = displacement_wait_s(options, queue.service_class.target_s)
-    steps = int((now - queue.oldest_at() - wait) / options.credit_press_s)
+    wait_s = displacement_wait_s(options, queue.service_class.target_s)
+    steps = int((now - queue.oldest_at() - wait_s) / options.credit_press_s)
     # The exponent is bounded because the waiting time is not.
-    reached_servers = ready * options.credit_ask ** max(0, min(3, steps))
+    total_reports = ready_requests * options.credit_ask ** max(0, min(3, steps))
     return [
-        len(range(index, ready, server_count)) or int(index < reached_servers)
+        len(range(index, ready_requests, server_count)) or int(index < total_reports)
         for index in range(server_count)
     ]
 
@@ -178,13 +182,13 @@
     displacements: list[int],
 ) -> None:
     tier = queue.service_class.priority
-    for server, added_pressed in zip(servers, displacements, strict=True):
+    for server, added_displacements in zip(servers, displacements, strict=True):
         tiers = wanted.setdefault(server.entry.name, {})
         demand = tiers.get(tier, TierDemand(tier, 0, 0))
         waiting = demand.waiting + ceil(requests / len(servers))
-        total_pressed = demand.displacing + added_pressed
+        total_displacements = demand.displacing + added_displacements
         tiers[tier] = TierDemand(
-            tier, 0, min(server.slots, waiting), min(server.slots, total_pressed)
+            tier, 0, min(server.slots, waiting), min(server.slots, total_displacements)
         )
 
 
@@ -213,7 +217,7 @@
     if not _is_demand_due(credit, state.options, now, tiers):
         return None
     # Answers that the dispatcher waits for are exempt from the budget.
-    is_awaited = credit.needs_confirmation or _has_ended_beyond_credit(credit, tiers)
+    is_awaited = credit.needs_confirmation or _has_excess_attempt_ended(credit, tiers)
     reserved = _reserved_budget_share(tiers, credit.newest_demand)
     if not _take_from_budget(state, now, reserved) and not is_awaited:
         return None
@@ -231,15 +235,17 @@
     return CreditDemand(name, credit.seq, credit.grant_number, limit, list(tiers))
 
 
-def _reserved_budget_share(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> float:
+def _reserved_budget_share(
+    tiers: tuple[TierDemand, ...], last_demand: tuple[TierDemand, ...]
+) -> float:
     """Return the share of the budget that is reserved for more urgent demands than this one.
 
     Prevents updates during a long shortage from using up the budget of demands that displace lower
     attempts or report a more urgent tier.
     """
-    if _has_more_urgent_wait(tiers, asked):
+    if _has_more_urgent_wait(tiers, last_demand):
         return 0.0
-    return 0.25 if _has_more_displacements(tiers, asked) else 0.5
+    return 0.25 if _has_more_displacements(tiers, last_demand) else 0.5
 
 
 def _take_from_budget(state: State, now: float, reserved: float) -> bool:
@@ -248,16 +254,16 @@
     Prevents control traffic from displacing requests when all models are short of slots.
     """
     credits, options = state.credits, state.options
-    left = options.credit_demands_burst
+    demands_left = options.credit_demands_burst
     if credits.demands_left is not None:
         refilled = (now - credits.demands_at) * options.credit_demands_s
-        left = min(left, credits.demands_left + refilled)
+        demands_left = min(demands_left, credits.demands_left + refilled)
     credits.demands_at = now
-    credits.demands_left = left
-    if left < max(1.0, reserved * options.credit_demands_burst):
+    credits.demands_left = demands_left
+    if demands_left < max(1.0, reserved * options.credit_demands_burst):
         credits.demands_put_off += 1
         return False
-    credits.demands_left = left - 1.0
+    credits.demands_left = demands_left - 1.0
     return True
 
 
@@ -281,7 +287,7 @@
 def _is_demand_due(
     credit: HeldCredit, options: Options, now: float, tiers: tuple[TierDemand, ...]
 ) -> bool:
-    if credit.needs_confirmation or _has_ended_beyond_credit(credit, tiers):
+    if credit.needs_confirmation or _has_excess_attempt_ended(credit, tiers):
         # The dispatcher waits for this message to grant the slot to another instance.
         return True
     since_demand_s = now - credit.demand_sent_at
@@ -312,26 +318,28 @@
     return credit.used_at > credit.demand_sent_at and since_demand_s >= options.credit_renew_idle_s
 
 
-def _has_ended_beyond_credit(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
+def _has_excess_attempt_ended(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
     """Return whether an attempt beyond the credit has ended."""
     running = sum(each.running for each in tiers)
     reported = sum(each.running for each in credit.newest_demand)
     return running < reported > sum(credit.slots.values())
 
 
-def _has_more_demand(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
-    asked_by_tier = {demand.tier: demand for demand in asked}
+def _has_more_demand(tiers: tuple[TierDemand, ...], last_demand: tuple[TierDemand, ...]) -> bool:
+    last_by_tier = {demand.tier: demand for demand in last_demand}
     for demand in tiers:
-        last = asked_by_tier.get(demand.tier)
+        last_of_tier = last_by_tier.get(demand.tier)
         # Powers of two. Prevents a message for each request of a long queue.
-        if demand.waiting.bit_length() > (last.waiting.bit_length() if last else 0):
+        if demand.waiting.bit_length() > (last_of_tier.waiting.bit_length() if last_of_tier else 0):
             return True
-    return _has_more_displacements(tiers, asked)
+    return _has_more_displacements(tiers, last_demand)
 
 
-def _has_more_displacements(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
-    pressed = {each.tier: each.displacing for each in asked}
-    return any(each.displacing > pressed.get(each.tier, 0) for each in tiers)
+def _has_more_displacements(
+    tiers: tuple[TierDemand, ...], last_demand: tuple[TierDemand, ...]
+) -> bool:
+    last_displacing = {each.tier: each.displacing for each in last_demand}
+    return any(each.displacing > last_displacing.get(each.tier, 0) for each in tiers)
 
 
 def _has_unneeded_slots(credit: HeldCredit, tiers: tuple[TierDemand, ...]) -> bool:
@@ -345,10 +353,12 @@
     return credit.is_contended and running < reported
 
 
-def _has_more_urgent_wait(tiers: tuple[TierDemand, ...], asked: tuple[TierDemand, ...]) -> bool:
+def _has_more_urgent_wait(
+    tiers: tuple[TierDemand, ...], last_demand: tuple[TierDemand, ...]
+) -> bool:
     """Return whether a tier waits that is more urgent than all tiers of the last demand."""
     most_urgent_now = min((each.tier for each in tiers if each.waiting), default=None)
-    most_urgent_then = min((each.tier for each in asked if each.waiting), default=None)
+    most_urgent_then = min((each.tier for each in last_demand if each.waiting), default=None)
     if most_urgent_now is None:
         return False
     return most_urgent_then is None or most_urgent_now < most_urgent_then
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
@@ -35,7 +35,7 @@
 from turmericweir_core.credits.credit_settlement import (
     assign_displacements,
     divide,
-    pressed_tiers,
+    needed_displacements,
     raise_grants,
     recall_credit,
     recall_idle_slots,
@@ -73,7 +73,7 @@
 ) -> list[Outgoing]:
     """Answer a demand, and send new grants to the other holders that it affects."""
     server = state.servers.by_name.get(ServerName(demand.server))
-    if server is None or _is_cut_off(server, now):
+    if server is None or _is_unreachable(server, now):
         # Without an answer the sender uses its local counts.
         return []
     ledger = state.credits.granted_by_server.setdefault(server.entry.name, CreditLedger())
@@ -81,7 +81,7 @@
     if holding is None:
         return []
     capacity = _capacity(state, now, server, ledger)
-    if _grant_from_free(state.options, now, ledger, holding, capacity):
+    if _grant_from_free_slots(state.options, now, ledger, holding, capacity):
         return [_outgoing(state, now, server, ledger, sender, holding)]
     ledger.is_settlement_pending = True
     recalled_from = _recall_if_idle(state.options, now, ledger, holding, capacity)
@@ -91,17 +91,17 @@
             _outgoing(state, now, server, ledger, name, ledger.holdings[name])
             for name in (*recalled_from, sender)
         ]
-    changed = settle_if_due(state, now, server, ledger)
-    if any(each.instance == sender for each in changed):
-        return changed
-    return [*changed, _outgoing(state, now, server, ledger, sender, holding)]
+    grants = settle_if_due(state, now, server, ledger)
+    if any(each.instance == sender for each in grants):
+        return grants
+    return [*grants, _outgoing(state, now, server, ledger, sender, holding)]
 
 
-def _is_cut_off(server: Server, now: float) -> bool:
+def _is_unreachable(server: Server, now: float) -> bool:
     """Return whether this instance cannot reach a server.
 
-    Other instances may still reach it, so its dispatcher sends no answers and each instance uses
-    its local counts.
+    A dispatcher that cannot reach its server sends no answers, so each instance uses its local
+    counts. Other instances may still reach the server.
     """
     return now < server.unreachable_until
 
@@ -111,14 +111,14 @@
 ) -> CreditHolding | None:
     """Record a demand and return its holding, or None if a newer demand was received before."""
     holding = ledger.holdings.get(sender)
-    is_restarted = demand.seq == 1
-    if holding is not None and demand.seq <= holding.seq and not is_restarted:
+    is_first_demand = demand.seq == 1
+    if holding is not None and demand.seq <= holding.seq and not is_first_demand:
         return None
-    if holding is None or is_restarted or demand.grant_number < holding.confirmed:
-        # Numbers continue from the sender's. Prevents the sender from ignoring the answer as stale.
-        number = demand.grant_number + 1
+    if holding is None or is_first_demand or demand.grant_number < holding.confirmed:
+        # Continues the sender's grant numbers. Prevents it from ignoring the answer as stale.
+        grant_number = demand.grant_number + 1
         holding = ledger.holdings[sender] = CreditHolding(
-            demand.seq, now, number=number, used_at=now
+            demand.seq, now, number=grant_number, used_at=now
         )
     update_use_of(options, now, holding)
     holding.seq = demand.seq
@@ -131,7 +131,7 @@
     return holding
 
 
-def _grant_from_free(
+def _grant_from_free_slots(
     options: Options, now: float, ledger: CreditLedger, holding: CreditHolding, capacity: Capacity
 ) -> bool:
     """Grant an instance its demand from free slots; return False if there are too few."""
@@ -151,9 +151,9 @@
         return False
     spare = -additional
     if additional > 0:
-        # Leaves a part for the other instances. Prevents each of them from recalling it later.
-        others = max(len(ledger.holdings), capacity.sharing)
-        spare = min(options.credit_spare, (free - additional) // others)
+        # Leaves spare slots for the other instances. Prevents recalls when they need some.
+        sharing_instances = max(len(ledger.holdings), capacity.sharing)
+        spare = min(options.credit_spare, (free - additional) // sharing_instances)
     granted = dict(wants)
     granted[capacity.lowest] = granted.get(capacity.lowest, 0) + max(0, min(spare, lower_free))
     set_granted(holding, capacity, {tier: slots for tier, slots in granted.items() if slots}, {})
@@ -186,7 +186,7 @@
 def _capacity(state: State, now: float, server: Server, ledger: CreditLedger) -> Capacity:
     options = state.options
     limits = [each.limit for each in ledger.holdings.values() if each.limit > 0]
-    # The holders measure the server's latency; this instance may have no traffic there.
+    # The holders measure the server's latency; this instance may send no requests to it.
     limit = median_low(limits) if limits else server.slots
     limit = min(limit, limited_slots(state.server_limits, server.entry.name, server.slots))
     slots = limit + options.slack_slots if can_take_work(server, now) else 0
@@ -220,7 +220,7 @@
         not may_follow_at_once and now - ledger.settled_at < gap_s
     ):
         return []
-    _drop_lapsed(state, now, ledger)
+    _drop_lapsed_holdings(state, now, ledger)
     capacity = _capacity(state, now, server, ledger)
     update_use(state.options, now, ledger)
     update_assured_tiers(state, now, ledger, capacity)
@@ -228,19 +228,19 @@
     ledger.settlements += 1
     ledger.is_settlement_pending = False
     shares = divide(state.options, ledger, capacity)
-    changed = recall_credit(ledger, capacity, shares)
-    changed |= raise_grants(ledger, capacity, shares)
-    changed |= assign_displacements(ledger, pressed_tiers(ledger, capacity))
+    changed_instances = recall_credit(ledger, capacity, shares)
+    changed_instances |= raise_grants(ledger, capacity, shares)
+    changed_instances |= assign_displacements(ledger, needed_displacements(ledger, capacity))
     if not any(missing_slots(each, capacity) for each in ledger.holdings.values()):
         ledger.short_since = None
     return [
         _outgoing(state, now, server, ledger, name, holding)
         for name, holding in ledger.holdings.items()
-        if name in changed or holding.contended != is_contended
+        if name in changed_instances or holding.contended != is_contended
     ]
 
 
-def _drop_lapsed(state: State, now: float, ledger: CreditLedger) -> None:
+def _drop_lapsed_holdings(state: State, now: float, ledger: CreditLedger) -> None:
     for name, holding in list(ledger.holdings.items()):
         # Counts from the receipt of the last demand, so the holder's credit expires before this.
         has_lapsed = now - holding.received_at > state.options.credit_ttl_s
@@ -259,7 +259,7 @@
             # The holders fall back on local counts and send demands to a new dispatcher.
             del state.credits.granted_by_server[name]
             continue
-        if _is_cut_off(server, now):
+        if _is_unreachable(server, now):
             continue
         ledger.settlements = 0
         # Prevents the check from counting a slot that is already free as a shortage.
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
@@ -95,7 +95,7 @@
 
 
 def replacement_room(state: State, now: float, server: Server, tier: int) -> int:
-    """Return how many requests of a tier may replace lower attempts that have ended here.
+    """Return how many requests of a tier may replace local lower attempts that have ended.
 
     After a recall more attempts may run than the credit covers. The dispatcher counts all reported
     attempts as in use, so an upper request may replace one as long as their total does not grow.
@@ -105,7 +105,7 @@
     if credit is None or now >= credit.valid_until or server.service.kind is not ServiceKind.MODEL:
         return -1
     reported = sum(each.running for each in credit.newest_demand)
-    # Attempts displaced for other instances are not replaced here.
+    # Attempts displaced for other instances are not replaced.
     limit = reported if credit.attempts_to_keep is None else min(reported, credit.attempts_to_keep)
     reported_lower = sum(each.running for each in credit.newest_demand if each.tier > tier)
     running_lower = sum(1 for each in server.in_flight.values() if each > tier)
@@ -115,11 +115,11 @@
 def _slots_left(credit: HeldCredit, used: dict[int, int], slot_tier: int, tier: int) -> int:
     """Return how many slots of one tier are left for a request of the same or another tier."""
     slots = credit.slots.get(slot_tier, 0)
-    busy = used.get(slot_tier, 0)
+    used_slots = used.get(slot_tier, 0)
     if slot_tier == tier:
-        return slots - busy
+        return slots - used_slots
     assured = credit.assured.get(slot_tier, 0)
-    return slots - assured - max(0, busy - assured)
+    return slots - assured - max(0, used_slots - assured)
 
 
 def is_assured(state: State, server: Server, tier: int) -> bool:
@@ -173,20 +173,21 @@
 
 
 def apply_grant(state: State, now: float, sender: InstanceName, grant: CreditGrant) -> bool:
-    """Apply a grant; return False if it is stale or from another dispatcher."""
+    """Apply a grant; return False if it is stale or not from the current dispatcher."""
     name = ServerName(grant.server)
     credit = state.credits.held_by_server.get(name)
     if credit is None or credit.dispatcher != sender or grant.grant_number < credit.grant_number:
-        # Stale, or from a former dispatcher.
         return False
     sent_at = _take_sending_time(credit, grant.demand_seq)
     if sent_at is None:
         return False
-    before = sum(credit.slots.values())
+    slots_before = sum(credit.slots.values())
     if grant.grant_number > credit.grant_number:
         credit.slots = {each.tier: each.slots for each in grant.tiers}
         credit.assured = {each.tier: each.assured for each in grant.tiers if each.assured}
-        credit.needs_confirmation = credit.needs_confirmation or sum(credit.slots.values()) < before
+        credit.needs_confirmation = (
+            credit.needs_confirmation or sum(credit.slots.values()) < slots_before
+        )
     credit.grant_number = grant.grant_number
     credit.is_contended = grant.is_contended
     if (
@@ -211,7 +212,7 @@
 def _record_started(state: State, credit: HeldCredit, name: ServerName) -> None:
     """Record the waiting requests of the last demand as running, as the dispatcher does.
 
-    Prevents a second demand for each request, only to report that it no longer waits.
+    Prevents a second demand for each request that only reports that it no longer waits.
     """
     credit.newest_demand = demand_once_started(credit.newest_demand)
     state.credits.demanded_servers.discard(name)
@@ -226,7 +227,7 @@
         return None
     credit.answered_seq = seq
     credit.answered_at = sent_at
-    credit.sent_at = {each: at for each, at in credit.sent_at.items() if each > seq}
+    credit.sent_at = {number: sent for number, sent in credit.sent_at.items() if number > seq}
     return sent_at
 
 
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_ledger.py
@@ -1,4 +1,4 @@
-"""Queries on a ledger of credit, and `set_granted`, the only way to change a grant in it."""
+"""Queries on a ledger of credit, and `set_granted`, the only function that changes a grant."""
 
 from __future__ import annotations
 
@@ -75,10 +75,10 @@
     if is_unchanged and assured == holding.assured:
         holding.granted = slots
         return False
-    before = holding.total()
+    total_before = holding.total()
     holding.granted = slots
     holding.assured = assured
     holding.number += 1
-    if holding.total() < before:
-        holding.unconfirmed = max(holding.unconfirmed, before)
+    if holding.total() < total_before:
+        holding.unconfirmed = max(holding.unconfirmed, total_before)
     return True
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
@@ -3,7 +3,7 @@
 Recalls credit first. Recalled slots are granted to others only when the holder has confirmed the
 recall and runs no more than its new grant. The grants of one dispatcher therefore never exceed the
 capacity, even if messages are lost or delayed. If lower attempts of a holder are to be displaced,
-its grant says how many attempts may stay.
+its grant contains the number of attempts to keep.
 """
 
 from __future__ import annotations
@@ -27,14 +27,14 @@
 
 def divide(options: Options, ledger: CreditLedger, capacity: Capacity) -> dict[InstanceName, Share]:
     """Return the share of each instance."""
-    order = sorted(ledger.holdings, key=lambda name: _rank(options, ledger.holdings[name]))
+    names = sorted(ledger.holdings, key=lambda name: _rank(options, ledger.holdings[name]))
     wants = [
         Want(name, each.tier, each.running, each.waiting)
-        for name in order
+        for name in names
         for each in ledger.holdings[name].demand.values()
         if each.running + each.waiting
     ]
-    return allocate(capacity, order, wants, sorted(ledger.assured, reverse=True))
+    return allocate(capacity, names, wants, sorted(ledger.assured, reverse=True))
 
 
 def _rank(options: Options, holding: CreditHolding) -> tuple[int, bool, float]:
@@ -58,41 +58,41 @@
     Called before the reported demand changes. Prevents attempts that have just started from being
     counted for the whole time since the last update.
     """
-    elapsed = now - holding.used_at
+    elapsed_s = now - holding.used_at
     holding.used_at = now
-    holding.used_s *= exp(-elapsed / options.credit_use_window_s)
-    holding.used_s += holding.running() * min(options.credit_use_window_s, elapsed)
+    holding.used_s *= exp(-elapsed_s / options.credit_use_window_s)
+    holding.used_s += holding.running() * min(options.credit_use_window_s, elapsed_s)
 
 
-def pressed_tiers(ledger: CreditLedger, capacity: Capacity) -> dict[int, int]:
+def needed_displacements(ledger: CreditLedger, capacity: Capacity) -> dict[int, int]:
     """Return by tier the requests that need displacement here and that no grant covers yet."""
-    pressed: dict[int, int] = {}
+    needed: dict[int, int] = {}
     for holding in ledger.holdings.values():
         short = missing_slots(holding, capacity)
         for tier in sorted(holding.demand):
             count = min(short, holding.demand[tier].displacing)
             if count:
-                pressed[tier] = pressed.get(tier, 0) + count
+                needed[tier] = needed.get(tier, 0) + count
                 short -= count
-    return pressed
+    return needed
 
 
-def assign_displacements(ledger: CreditLedger, pressed: dict[int, int]) -> set[InstanceName]:
+def assign_displacements(ledger: CreditLedger, needed: dict[int, int]) -> set[InstanceName]:
     """Assign attempts to displace, the least urgent first; return the instances with a change."""
     changed: set[InstanceName] = set()
-    above = min(pressed, default=0)
+    displace_above = min(needed, default=0)
     assigned = 0
     for name in sorted(ledger.holdings, key=lambda name: -_lowest_running(ledger.holdings[name])):
         holding = ledger.holdings[name]
         lowest = _lowest_running(holding)
-        wanted = sum(count for tier, count in pressed.items() if tier < lowest)
-        displace = max(0, min(holding.running() - holding.total(), wanted - assigned))
-        assigned += displace
-        keep = holding.running() - displace if displace else None
-        if keep != holding.attempts_to_keep:
-            holding.attempts_to_keep = keep
+        wanted = sum(count for tier, count in needed.items() if tier < lowest)
+        displaced = max(0, min(holding.running() - holding.total(), wanted - assigned))
+        assigned += displaced
+        attempts_to_keep = holding.running() - displaced if displaced else None
+        if attempts_to_keep != holding.attempts_to_keep:
+            holding.attempts_to_keep = attempts_to_keep
             changed.add(name)
-        holding.displace_above = above
+        holding.displace_above = displace_above
     return changed
 
 
@@ -115,10 +115,10 @@
         is_enough = missing <= 0 and lower_fits and not ledger.assured
         if share.total() > holding.total() or (is_enough and not missing_slots(holding, capacity)):
             continue
-        before = holding.total()
+        total_before = holding.total()
         if set_granted(holding, capacity, share.slots, share.assured):
             changed.add(name)
-        missing -= before - holding.total()
+        missing -= total_before - holding.total()
     return changed
 
 
@@ -132,10 +132,10 @@
 def recall_idle_slots(
     options: Options, now: float, ledger: CreditLedger, capacity: Capacity
 ) -> list[InstanceName]:
-    """Recall a slot each from the holders with the oldest demands, or none if that is too little.
+    """Recall one slot from each of the holders with the oldest demands, or none if too few.
 
     Their credit is probably idle, as holders with running attempts renew it. A holder that still
-    runs an attempt reports it in its answer and continues it.
+    runs an attempt on the slot continues the attempt and reports it in its answer.
     """
     holdings = ledger.holdings.values()
     needed = sum(missing_slots(each, capacity) for each in holdings)
@@ -174,9 +174,9 @@
     # Slots that no instance may be using, with or without a grant.
     slots: int
     # Slots that are not granted; some of them may be in use without a grant.
-    grants: int
+    ungranted: int
     # The part of `slots` that is open to tiers below the most urgent one.
-    below: int
+    lower_slots: int
 
 
 def raise_grants(
@@ -203,15 +203,15 @@
     most_urgent = capacity.most_urgent
     # Slots in use without a grant can be granted without taking free slots.
     committed, usable = holding.committed(), holding.usable()
-    total = min(committed + max(0, free.slots), usable + max(0, free.grants))
-    below = holding.committed_below(most_urgent)
-    slots = _limited_share(share, total, below + max(0, free.below), most_urgent)
+    total = min(committed + max(0, free.slots), usable + max(0, free.ungranted))
+    committed_lower = holding.committed_below(most_urgent)
+    slots = _limited_share(share, total, committed_lower + max(0, free.lower_slots), most_urgent)
     if sum(slots.values()) <= holding.total():
         return False
     changed = set_granted(holding, capacity, slots, share.assured)
     free.slots -= holding.committed() - committed
-    free.grants -= holding.usable() - usable
-    free.below -= holding.committed_below(most_urgent) - below
+    free.ungranted -= holding.usable() - usable
+    free.lower_slots -= holding.committed_below(most_urgent) - committed_lower
     return changed
 
 
@@ -219,27 +219,27 @@
     ledger: CreditLedger, shares: dict[InstanceName, Share], name: InstanceName
 ) -> tuple[int, float]:
     holding = ledger.holdings[name]
-    short = [
+    short_tiers = [
         -1 if tier in shares[name].assured else tier
         for tier, slots in shares[name].slots.items()
         if slots > holding.granted.get(tier, 0)
     ]
-    return (min(short, default=1 << 30), holding.used_s)
+    return (min(short_tiers, default=1 << 30), holding.used_s)
 
 
-def _limited_share(share: Share, total: int, below: int, most_urgent: int) -> dict[int, int]:
-    """Return a share limited to a total, and to `below` for tiers below the most urgent one.
+def _limited_share(share: Share, total: int, lower_total: int, most_urgent: int) -> dict[int, int]:
+    """Return a share limited to a total, and to `lower_total` below the most urgent tier.
 
     Assured slots come first, then the most urgent tiers.
     """
     slots = {tier: min(count, total) for tier, count in share.assured.items()}
     left = total - sum(slots.values())
-    left_below = below - sum(slots.values())
+    lower_left = lower_total - sum(slots.values())
     for tier in sorted(share.slots):
         more = min(left, share.slots[tier] - slots.get(tier, 0))
         if tier != most_urgent:
-            more = min(more, left_below)
-            left_below -= max(0, more)
+            more = min(more, lower_left)
+            lower_left -= max(0, more)
         if more > 0:
             slots[tier] = slots.get(tier, 0) + more
             left -= more
