--- a/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
@@ -1,9 +1,9 @@
 """Keeps live claims within the retention of the log, and lets new readers learn all of them.
 
-A claim whose newest record is far behind the end of the log is carried, that is written again, by
-an instance drawn by lot. If two instances are drawn, the second record has no effect. A reader that
-started within the stream and has read no floor requests one with a record, and an instance that
-knows every live claim, also drawn by lot, answers it (see docs/design/claims.md).
+A claim whose newest record is far behind the end of the log is carried, that is written again, by a
+randomly selected instance. If two instances are selected, the second record has no effect. A reader
+that did not start at the beginning of the stream requests a floor (`claim_ledger`) with a record. A
+randomly selected instance that knows every live claim writes one (see docs/design/claims.md).
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Carry claims, and request or write a floor, if due."""
-    effects = _trust_after_retention(state, now)
+    effects = _mark_whole_after_retention(state, now)
     _update_carry_offset(state, now)
     outbox = state.claims.outbox
     is_carry_due = _is_carry_due(state)
@@ -32,9 +32,9 @@
 
 
 def _is_drawn(state: State, now: float) -> bool:
-    """Return whether a random draw selects this instance; one is drawn every few ticks."""
-    others = len(live_instances(state, now))
-    return state.rng.random() * max(1, others) < state.options.claim_lot
+    """Return whether a random draw selects this instance; one is selected every few ticks."""
+    instances = len(live_instances(state, now))
+    return state.rng.random() * max(1, instances) < state.options.claim_lot
 
 
 def _is_carry_due(state: State) -> bool:
@@ -48,14 +48,17 @@
     return any(_needs_carrying(state, each) for each in offsets)
 
 
-def _needs_carrying(state: State, kept_at: int) -> bool:
+def _needs_carrying(state: State, record_offset: int) -> bool:
     claims = state.claims
-    distance = claims.ledger.offset - kept_at
-    return distance > state.options.claim_carry_records or kept_at < claims.carry_below
+    distance = claims.ledger.offset - record_offset
+    return distance > state.options.claim_carry_records or record_offset < claims.carry_below
 
 
 def _update_carry_offset(state: State, now: float) -> None:
-    """Update the offset below which records are old by the local clock, for an idle stream."""
+    """Update the offset below which records are old by the local clock.
+
+    Prevents the log from deleting claims of an idle stream before they are carried.
+    """
     claims = state.claims
     if now < claims.next_age_mark_at:
         return
@@ -72,7 +75,7 @@
     return ledger.floor_request_offset < ledger.start_offset
 
 
-def _trust_after_retention(state: State, now: float) -> list[Effect]:
+def _mark_whole_after_retention(state: State, now: float) -> list[Effect]:
     """Mark the ledger as whole once all claims that may be missing from it have expired."""
     claims = state.claims
     if claims.ledger.has_all_claims:
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_members.py
@@ -30,15 +30,15 @@
     if view is None:
         return _apply_operator_epoch(state)
     if not state.options.claim_votes and not view.members:
-        # No instance has created a view, and this one does not create the first.
+        # No instance has created a view, and without votes this one does not create the first.
         return []
     if view.members and not is_member(view, writer_of(state)):
         _request_membership(state, now, view)
     elif not is_log_slow(claims.outbox, state.options, now):
         _replace_view(state, now, view)
     elif claims.outbox.failures > 0 and not claims.read_failed:
-        # Reads work, so appends may work again. Tries with an empty record, since a failed view
-        # change would prevent this instance from agreeing to claims.
+        # Reads work, so appends may work again. Tests this with an empty record, since a failed
+        # view change would prevent this instance from agreeing to claims.
         claims.outbox.needs_floor = True
     return flush(state, now)
 
@@ -81,7 +81,7 @@
     """Return whether the live instances have been stable for long enough to create a first view.
 
     Only members of a view may claim. Prevents a view of too few instances, which would block all
-    keys if these lose the log. Until the first view all instances may claim in the log.
+    keys while these cannot reach the log. Until the first view all instances may claim in the log.
     """
     claims = state.claims
     live = frozenset(each.incarnation for each in live_instances(state, now))
@@ -147,16 +147,16 @@
     return RecordWriter(member.name, member.incarnation, member.peer_address)
 
 
-def _is_present(state: State, now: float, writer: RecordWriter, live: Member | None) -> bool:
+def _is_present(state: State, now: float, writer: RecordWriter, live_member: Member | None) -> bool:
     """Return whether a member is live or has recently written to the log."""
-    quiet_members = state.claims.unresponsive_members
-    if live is not None:
-        quiet_members.pop(writer.incarnation, None)
-        return live.incarnation in ("", writer.incarnation)
+    unresponsive_members = state.claims.unresponsive_members
+    if live_member is not None:
+        unresponsive_members.pop(writer.incarnation, None)
+        return live_member.incarnation in ("", writer.incarnation)
     numbers = state.claims.ledger.append_numbers
-    number, _ = numbers.get((writer.instance, writer.incarnation), (0, 0))
-    last_number, quiet_since = quiet_members.get(writer.incarnation, (-1, now))
-    if number != last_number:
-        quiet_members[writer.incarnation] = (number, now)
+    append_number, _ = numbers.get((writer.instance, writer.incarnation), (0, 0))
+    last_number, unchanged_since = unresponsive_members.get(writer.incarnation, (-1, now))
+    if append_number != last_number:
+        unresponsive_members[writer.incarnation] = (append_number, now)
         return True
-    return now - quiet_since < state.options.claim_view_quiet_s
+    return now - unchanged_since < state.options.claim_view_quiet_s
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_outbox.py
@@ -3,7 +3,7 @@
 Only one append is in flight at a time; new entries are collected for the next one, and a token
 bucket limits the appends per second. Entries stay in the outbox until they have been read back from
 the log, which also covers lost acknowledgements. Entries of a failed append are written again under
-a higher number, which makes the earlier record void if it still lands.
+a higher number, which makes the earlier record void if it still reaches the log.
 """
 
 from __future__ import annotations
@@ -85,7 +85,7 @@
 
 
 def is_log_slow(outbox: Outbox, options: Options, now: float) -> bool:
-    """Return whether an append takes long or has failed, so that members should be asked."""
+    """Return whether an append takes long or has failed, so that members are asked instead."""
     return outbox.failures > 0 or _append_age_s(outbox, now) >= options.claim_vote_after_s
 
 
@@ -154,10 +154,10 @@
 def _compose_batch(state: State) -> ClaimBatch:
     claims = state.claims
     outbox = claims.outbox
-    landed = outbox.acknowledged_appends.values()
-    claimed = {each.request_id for batch in landed for each in batch.claims}
-    withdrawn = {each.request_id for batch in landed for each in batch.withdrawn}
-    ended = {each.request_id for batch in landed for each in batch.ends}
+    acknowledged = outbox.acknowledged_appends.values()
+    claimed = {each.request_id for batch in acknowledged for each in batch.claims}
+    withdrawn = {each.request_id for batch in acknowledged for each in batch.withdrawn}
+    ended = {each.request_id for batch in acknowledged for each in batch.ends}
     # An end has no effect before its claim has been read.
     ended |= set(outbox.claims)
     view = claims.ledger.views.current
@@ -275,7 +275,7 @@
 def fail_overdue_append(state: State, now: float) -> list[Effect]:
     """Treat an append as failed if it has not been answered within `claim_call_s`.
 
-    Prevents a task that ended by a bug from blocking all further appends.
+    Prevents a task that ended because of a bug from blocking all further appends.
     """
     outbox = state.claims.outbox
     batch = outbox.in_flight
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_peer.py
@@ -1,7 +1,7 @@
 """Messages between the instance that runs the call of a key and instances with repeated calls.
 
-The asking instance repeats its question until it is answered, so a lost message only causes delay.
-The instance that runs the call stores the askers only to answer them as soon as the call ends.
+The asking instance repeats its query until it is answered, so a lost message only causes delay.
+The instance that runs the call stores the askers to answer them as soon as the call ends.
 """
 
 from __future__ import annotations
@@ -26,11 +26,11 @@
 
 
 def on_ask(state: State, sender: InstanceName, ask: ClaimAsk) -> list[Effect]:
-    """Answer what became of a request that was claimed here."""
+    """Answer a query about the state of a request that this instance claimed."""
     asker = RemoteWaiter(sender, ask.address, ask.waiter)
-    kept_end = state.claims.answers.entries.get(ask.holder)
-    if kept_end is not None:
-        return [kept_message(state, asker, ask.holder, kept_end)]
+    stored_end = state.claims.answers.entries.get(ask.holder)
+    if stored_end is not None:
+        return [stored_end_message(state, asker, ask.holder, stored_end)]
     if RequestId(ask.holder) in state.requests:
         askers = state.claims.remote_waiters.setdefault(ask.holder, [])
         if asker not in askers:
@@ -43,15 +43,17 @@
     return [_reply(asker, ClaimUnheld(ask.waiter, ask.holder, state.claims.ledger.offset))]
 
 
-def kept_message(state: State, asker: RemoteWaiter, holder: str, kept_end: StoredEnd) -> Effect:
+def stored_end_message(
+    state: State, asker: RemoteWaiter, holder: str, stored_end: StoredEnd
+) -> Effect:
     """Return the message that reports the end of a call to an asker."""
-    answer = kept_end.answer
+    answer = stored_end.answer
     message = ClaimKept(
         waiter=asker.waiter,
         holder=holder,
-        outcome=kept_end.end.outcome.value,
-        reason=kept_end.end.reason.value,
-        status=kept_end.end.status,
+        outcome=stored_end.end.outcome.value,
+        reason=stored_end.end.reason.value,
+        status=stored_end.end.status,
         has_answer=answer is not None,
         headers=(
             [[_decode_header(part) for part in each] for each in answer.headers] if answer else []
@@ -71,7 +73,7 @@
 def ask_holder(
     state: State, now: float, wait: Wait, holder: str, peer: str, address: str
 ) -> list[Effect]:
-    """Ask the instance that holds the key, unless the next question is not due yet."""
+    """Query the instance that holds the key, unless the next query is not due yet."""
     if now < wait.next_query_at:
         return []
     wait.next_query_at = now + state.options.claim_ask_s
@@ -80,7 +82,7 @@
 
 
 def end_from_message(message: ClaimKept) -> StoredEnd | None:
-    """Return the end that a message reports, or None if this release does not know its values."""
+    """Return the end that a message reports, or None if it has values unknown to this release."""
     try:
         end = ClaimEnd(Outcome(message.outcome), Reason(message.reason), message.status)
     except ValueError:
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_vote.py
@@ -3,7 +3,7 @@
 An instance that cannot append its claim asks every member of its view, including itself
 (`claim_agreement`). A member agrees to one request per key, and only if no other request may hold
 the key: none in its ledger, none that it agreed to, and no local claim that may reach the log. If
-all members agree the request runs, and its claim is appended once the log is reachable.
+all members agree, the request runs, and its claim is appended once the log is reachable.
 
 A second run would need the log or the agreement of the same members. Only members of the newest
 view claim in the log, and each of them has agreed to the first request. A new view starts with a
@@ -33,7 +33,7 @@
 
 
 def known_holder(claims: ClaimState, options: Options, key: str, request_id: str) -> Claim | None:
-    """Return the holder of a key in the log, or another request that this instance agreed to."""
+    """Return the holder of a key in the log, else another request that this instance agreed to."""
     holder = holder_of(claims.ledger, options, key)
     vote = claims.votes.get(key)
     if holder is not None or vote is None or vote.claim.request_id == request_id:
@@ -85,25 +85,25 @@
     holder = RecordWriter(sender, ask.incarnation, ask.address)
     may_agree = view is not None and view.epoch == ask.epoch and is_member(view, holder)
     is_agreed = may_agree and agree(state, claim, holder)
-    other = known_holder(state.claims, state.options, ask.key, ask.request_id)
+    other_claim = known_holder(state.claims, state.options, ask.key, ask.request_id)
     vote = ClaimVote(ask.epoch, ask.request_id, state.me.incarnation, is_agreed)
-    if not is_agreed and other is not None and other.claim.request_id != ask.request_id:
-        vote = _refusal(state, vote, other)
+    if not is_agreed and other_claim is not None and other_claim.claim.request_id != ask.request_id:
+        vote = _refusal(state, vote, other_claim)
     return [SendPeer(sender, ask.address, vote)]
 
 
-def _refusal(state: State, vote: ClaimVote, other: Claim) -> ClaimVote:
+def _refusal(state: State, vote: ClaimVote, other_claim: Claim) -> ClaimVote:
     return ClaimVote(
         epoch=vote.epoch,
         request_id=vote.request_id,
         voter=vote.voter,
         is_agreed=False,
-        holder=other.claim.request_id,
-        holder_fingerprint=other.claim.fingerprint,
-        holder_instance=other.holder.instance,
-        holder_incarnation=other.holder.incarnation,
-        holder_address=other.holder.address,
-        is_in_log=holder_of(state.claims.ledger, state.options, other.claim.key) is not None,
+        holder=other_claim.claim.request_id,
+        holder_fingerprint=other_claim.claim.fingerprint,
+        holder_instance=other_claim.holder.instance,
+        holder_incarnation=other_claim.holder.incarnation,
+        holder_address=other_claim.holder.address,
+        is_in_log=holder_of(state.claims.ledger, state.options, other_claim.claim.key) is not None,
     )
 
 
@@ -138,7 +138,7 @@
 
 
 def apply_folded_record(state: State, now: float, offset: int, folded: ClaimFoldResult) -> None:
-    """Drop the agreements that a record of the log has settled."""
+    """Drop the agreements that a record of the log makes obsolete."""
     claims = state.claims
     for key in folded.touched_keys:
         holder = holder_of(claims.ledger, state.options, key)
@@ -179,11 +179,11 @@
 ) -> None:
     """Withdraw a local claim that a view change restored after its release.
 
-    Prevents it from holding its key for the whole retention without a request that runs.
+    Prevents the claim from holding its key for the whole retention without a running request.
     """
     claims = state.claims
-    entered = claims.ledger.claims.get(claim.key)
-    if entered is None or entered.claim_offset != offset or entered.holder != holder:
+    restored = claims.ledger.claims.get(claim.key)
+    if restored is None or restored.claim_offset != offset or restored.holder != holder:
         return
     request_id = RequestId(claim.request_id)
     if holder.incarnation != state.me.incarnation or _is_pending(claims, request_id):
@@ -193,7 +193,7 @@
 
 
 def _is_pending(claims: ClaimState, request_id: RequestId) -> bool:
-    """Return whether a request may still run, or its claim or end is still kept here."""
+    """Return whether a request may still run, or its claim or end is still stored."""
     return (
         request_id in claims.waits
         or request_id in claims.held_keys
