--- a/packages/turmericweir-core/turmericweir_core/trust/crash_records.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/crash_records.py
@@ -1,12 +1,12 @@
-"""Crash records, and how instances merge them: which requests were in flight or are cleared.
+"""Crash records: which requests were in flight at a crash, and which have been cleared since.
 
 A record consists of sets that only grow. Instances merge their own sightings (`quarantine`) and
 those of others in any order and reach the same state.
 
 Records of the same crash under different keys are joined by their time, as an instance without a
 report of the server does not know its incarnation. An instance withdraws its sighting of a request
-that it sent after the crash. Sightings of the same request by other instances stay, since it may
-have caused the crash through one of them.
+that it sent after the crash. Sightings of the same request by other instances stay, since a copy
+sent by one of them may have caused the crash.
 """
 
 from __future__ import annotations
@@ -34,20 +34,20 @@
 _SAME_CRASH_S: Final = 0.75
 
 
-def withdraw_late_sightings(state: State, now: float) -> None:
+def withdraw_sightings_after_crash(state: State, now: float) -> None:
     """Withdraw this instance's sightings of requests that were sent after the crash.
 
     Prevents such a request from becoming a suspect and being refused after one more crash. The
     recorded time of a crash is never too early, so these requests cannot have been in flight.
     """
     for key, crash in list(state.quarantine.crashes.items()):
-        late = frozenset(
+        sent_after = frozenset(
             Sighting(fingerprint, state.me.name)
-            for fingerprint, started in crash.local_started_at.items()
-            if started > crash.first_seen_at
+            for fingerprint, started_at in crash.local_started_at.items()
+            if started_at > crash.first_seen_at
         )
-        if late - crash.sent_after:
-            merge_record(state, now, key, crash.first_seen_at, CrashEvidence(sent_after=late))
+        if sent_after - crash.sent_after:
+            merge_record(state, now, key, crash.first_seen_at, CrashEvidence(sent_after=sent_after))
 
 
 def merge_record(
@@ -67,8 +67,8 @@
         crash = quarantine.crashes[key] = Crash(crashed_at, now)
         _limit_records(state)
     size_before = _size(crash)
-    free_suspects = state.options.crash_suspects_keep - len(crash.suspects)
-    crash.suspects.update(sorted(evidence.suspects - crash.suspects)[: max(0, free_suspects)])
+    free_entries = state.options.crash_suspects_keep - len(crash.suspects)
+    crash.suspects.update(sorted(evidence.suspects - crash.suspects)[: max(0, free_entries)])
     crash.sent_after.update(evidence.sent_after & crash.suspects)
     crash.cleared.update(evidence.cleared & {each.fingerprint for each in crash.suspects})
     crash.is_retracted = crash.is_retracted or evidence.is_retracted
@@ -79,7 +79,7 @@
     crash.has_verdict = False
     if send_on:
         quarantine.unsent_crashes[key] = SENDS_PER_UPDATE
-    update_counts(quarantine, now, state.options.suspect_keep_s)
+    update_crash_counts(quarantine, now, state.options.suspect_keep_s)
     quarantine.needs_check = True
 
 
@@ -127,7 +127,7 @@
         del crashes[min(crashes, key=lambda key: crashes[key].first_seen_at)]
 
 
-def update_counts(quarantine: QuarantineState, now: float, keep_s: float) -> None:
+def update_crash_counts(quarantine: QuarantineState, now: float, keep_s: float) -> None:
     """Count the crashes at which each fingerprint was in flight and not cleared."""
     counts: Counter[str] = Counter()
     for crash in quarantine.crashes.values():
--- a/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
@@ -1,10 +1,10 @@
-"""Isolated runs (trials) of suspects: at most one suspect runs on a server at a time.
+"""Isolated runs of suspects, *trials* in messages: at most one suspect runs on a server at a time.
 
-One instance of the region, the home picked by rendezvous hashing, grants all isolated runs: at most
-one per server and one per fingerprint. Prevents suspects of two instances from sharing a server,
-and copies of one suspect from crashing two more servers. While two instances act as the home, two
-suspects may share a server, and the verdict waits for a further run. If the home does not answer in
-time, a suspect runs without a grant.
+One instance of the region, the home picked by rendezvous hashing, permits all isolated runs: at
+most one per server and one per fingerprint. Prevents suspects of two instances from sharing a
+server, and copies of one suspect from crashing two more servers. While two instances act as the
+home, two suspects may share a server, and the verdict waits for a further run. If the home does not
+answer in time, a suspect runs without a permit.
 
 Suspects wait outside the queues, where they would block other requests. This module makes the
 decisions, and `quarantine_flow` carries them out.
@@ -35,11 +35,11 @@
 
 
 class StartIsolatedRun(Struct, frozen=True):
-    """Start a suspect, which is no longer held, on this server."""
+    """Start a suspect, which no longer waits, on this server."""
 
     req: Request
     server: Server
-    # The instance that granted the run; empty if none answered.
+    # The instance that permitted the run; empty if none answered.
     home: InstanceName
 
 
@@ -115,18 +115,18 @@
     for suspect in sorted(
         suspects.values(), key=lambda suspect: (suspect.req.priority, suspect.req.arrived_at)
     ):
-        decisions += _advance_one(state, now, suspect)
+        decisions += _decide_on_suspect(state, now, suspect)
     return decisions
 
 
-def _advance_one(state: State, now: float, suspect: WaitingSuspect) -> list[Decision]:
+def _decide_on_suspect(state: State, now: float, suspect: WaitingSuspect) -> list[Decision]:
     req = suspect.req
     decision = _decide_without_run(state, now, req)
     if decision is not None:
         remove_suspect(state, req.request_id)
         return [decision]
     if quarantine.may_have_crashed(state, now, req):
-        # Waits also if it is a suspect already, as this may be its second crash, and then for the
+        # A suspect waits too, as this may be its second crash. Afterwards it waits for the crash
         # records of other instances.
         suspect.next_request_at = now + state.options.trial_delay_s
         return []
@@ -156,13 +156,13 @@
 ) -> list[Decision]:
     if now - suspect.asked_at < state.options.trial_answer_s:
         return []
-    # Runs without a grant, as the home does not answer.
+    # Runs without a permit, as the home does not answer.
     suspect.asked_server = None
     return _start_run(state, suspect, asked_server, now, InstanceName(""))
 
 
 def _pick_server(state: State, now: float, suspect: WaitingSuspect) -> Server | None:
-    """Return the server with the fewest other requests that a further crash would affect."""
+    """Return the server where a further crash would affect the fewest other requests, if any."""
     busy_servers = {each.server for each in state.quarantine.isolated_runs.values()}
     busy_servers |= {
         each.asked_server
@@ -175,14 +175,14 @@
         name = server.entry.name
         if name in busy_servers or now < suspect.excluded_until.get(name, now):
             continue
-        rank = (int(name in suspect.req.failed_servers), _requests_on(server))
+        rank = (int(name in suspect.req.failed_servers), _request_count(server))
         if rank < best_rank:
             best = server
             best_rank = rank
     return best
 
 
-def _requests_on(server: Server) -> int:
+def _request_count(server: Server) -> int:
     report = server.report
     reported = report.running + report.waiting if report is not None else 0
     return max(len(server.in_flight), reported)
@@ -193,10 +193,10 @@
 ) -> list[Decision]:
     name = server.entry.name
     fingerprint = suspect.req.fingerprint
-    home = _home(state, now)
+    home = _home_instance(state, now)
     if home.name == state.me.name:
         may_run = _may_start(state, now, fingerprint)
-        if may_run and _grant_run(state, now, home.name, name, fingerprint):
+        if may_run and _permit_run(state, now, home.name, name, fingerprint):
             return _start_run(state, suspect, name, now, state.me.name)
         _record_denial(state, now, suspect, name)
         return []
@@ -248,7 +248,7 @@
 
 
 def review_isolated_runs(state: State, now: float) -> list[Effect]:
-    """End the isolated runs that have lasted long enough, and renew the others."""
+    """End the isolated runs that have lasted long enough, and renew the permits of the others."""
     effects: list[Effect] = []
     for attempt_id, run in list(state.quarantine.isolated_runs.items()):
         if _has_run_long_enough(state, now, run):
@@ -267,7 +267,8 @@
     if req is None or req.attempt is None:
         return False
     if quarantine.crash_count(state, run.fingerprint) > 1:
-        # It was in flight at two crashes together with another suspect: only its end clears it.
+        # It was in flight at two crashes together with another suspect, so it is cleared only when
+        # it completes.
         return False
     first_token_at = req.attempt.first_token_at
     return first_token_at is not None and now - first_token_at >= state.options.trial_s
@@ -275,7 +276,7 @@
 
 def _renew(state: State, now: float, run: IsolatedRun) -> list[Effect]:
     if run.home == state.me.name:
-        _grant_run(state, now, run.home, run.server, run.fingerprint)
+        _permit_run(state, now, run.home, run.server, run.fingerprint)
         return []
     return _send_to_home(state, run.home, TrialAsk(run.server, run.fingerprint))
 
@@ -295,7 +296,7 @@
 # --- the home --------------------------------------------------------------------------------
 
 
-def _home(state: State, now: float) -> Member:
+def _home_instance(state: State, now: float) -> Member:
     return max(
         membership.region_instances(state, now),
         key=lambda each: rendezvous_weight(_HOME_KEY, each.name),
@@ -314,19 +315,19 @@
     return now >= state.quarantine.runs_barred_until.get(fingerprint, now)
 
 
-def _grant_run(
+def _permit_run(
     state: State, now: float, holder: InstanceName, server: ServerName, fingerprint: str
 ) -> bool:
-    for name, grant in state.quarantine.permits.items():
+    for name, permit in state.quarantine.permits.items():
         # A renewal by the holder is not a conflict.
-        if (name, grant.fingerprint, grant.holder) == (server, fingerprint, holder):
+        if (name, permit.fingerprint, permit.holder) == (server, fingerprint, holder):
             continue
-        if name != server and grant.fingerprint != fingerprint:
+        if name != server and permit.fingerprint != fingerprint:
             continue
-        if now < grant.permitted_until and _is_live(state, now, grant.holder):
+        if now < permit.permitted_until and _is_live(state, now, permit.holder):
             return False
-    until = now + state.options.trial_lease_s
-    state.quarantine.permits[server] = IsolatedRunPermit(holder, fingerprint, until)
+    permitted_until = now + state.options.trial_lease_s
+    state.quarantine.permits[server] = IsolatedRunPermit(holder, fingerprint, permitted_until)
     return True
 
 
@@ -341,16 +342,16 @@
     if peer is None:
         return []
     server = ServerName(ask.server)
-    is_renewal = _holds_grant(state, sender, server, ask.fingerprint)
+    is_renewal = _holds_permit(state, sender, server, ask.fingerprint)
     may_run = is_renewal or _may_start(state, now, ask.fingerprint)
-    is_granted = may_run and _grant_run(state, now, sender, server, ask.fingerprint)
-    answer = TrialAnswer(ask.server, ask.fingerprint, is_granted)
+    is_permitted = may_run and _permit_run(state, now, sender, server, ask.fingerprint)
+    answer = TrialAnswer(ask.server, ask.fingerprint, is_permitted)
     return [SendDatagram(sender, peer.peer_address, answer)]
 
 
-def _holds_grant(state: State, name: InstanceName, server: ServerName, fingerprint: str) -> bool:
-    grant = state.quarantine.permits.get(server)
-    return grant is not None and (grant.holder, grant.fingerprint) == (name, fingerprint)
+def _holds_permit(state: State, name: InstanceName, server: ServerName, fingerprint: str) -> bool:
+    permit = state.quarantine.permits.get(server)
+    return permit is not None and (permit.holder, permit.fingerprint) == (name, fingerprint)
 
 
 def on_end(state: State, now: float, sender: InstanceName, end: TrialEnd) -> None:
@@ -360,14 +361,14 @@
         # Waits until a crash would have been detected and reported here.
         wait_s = state.options.crash_doubt_s + state.options.trial_delay_s
         state.quarantine.runs_barred_until[end.fingerprint] = now + wait_s
-    if _holds_grant(state, sender, server, end.fingerprint):
+    if _holds_permit(state, sender, server, end.fingerprint):
         del state.quarantine.permits[server]
 
 
 def on_answer(
     state: State, now: float, sender: InstanceName, answer: TrialAnswer
 ) -> list[Decision]:
-    """Start the suspect that was granted a run, or let it ask for another server."""
+    """Start the suspect if its run is permitted, or let it ask for another server."""
     name = ServerName(answer.server)
     for suspect in list(state.quarantine.waiting_suspects.values()):
         if suspect.asked_server != name or suspect.req.fingerprint != answer.fingerprint:
@@ -378,7 +379,7 @@
         _record_denial(state, now, suspect, name)
         return []
     if answer.granted and not _is_running(state, name, answer.fingerprint):
-        # The answer is late, or the request has ended.
+        # The suspect has started without waiting for the answer, or has ended.
         return _end_run(state, now, sender, TrialEnd(answer.server, answer.fingerprint))
     return []
 
--- a/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
@@ -9,8 +9,8 @@
    overdue as well, the server makes progress on other requests, or its report does not count the
    request.
 
-A stream of a lower tier that the engine may have preempted is left to the long wait. Wrong evidence
-costs one retry.
+A stream of a lower tier that the engine may have preempted is suspected only after the long wait.
+Wrong evidence costs one retry.
 """
 
 from __future__ import annotations
@@ -45,24 +45,24 @@
 
 def on_tick(state: State, now: float) -> list[Effect]:
     """Find overdue attempts; probe their servers and stop reusing connections to them."""
-    signs = state.server_liveness
-    signs.overdue.clear()
+    liveness = state.server_liveness
+    liveness.overdue.clear()
     if not state.options.probe_servers:
         return []
     _record_token_times(state)
-    was_paused = now - signs.checked_at > state.options.sign_tick_max_s
-    signs.checked_at = now
+    was_paused = now - liveness.checked_at > state.options.sign_tick_max_s
+    liveness.checked_at = now
     if was_paused:
         # This process was paused, and has not read the data that arrived meanwhile.
         return []
     for req in state.requests.values():
         attempt = req.attempt
         if attempt is not None and _is_overdue(state, now, req, attempt):
-            signs.overdue.add(attempt.server)
+            liveness.overdue.add(attempt.server)
     effects: list[Effect] = []
-    for name in sorted(signs.overdue):
+    for name in sorted(liveness.overdue):
         effects += _probe_overdue_server(state, now, name)
-    return effects + _distrust_all(state, now)
+    return effects + _retire_all_connections(state, now)
 
 
 def _record_token_times(state: State) -> None:
@@ -99,23 +99,23 @@
     ]
 
 
-def _distrust_all(state: State, now: float) -> list[Effect]:
+def _retire_all_connections(state: State, now: float) -> list[Effect]:
     """Stop reusing connections to all servers if attempts at several are overdue.
 
     Prevents further requests from being sent over other connections that were lost with them.
     """
-    signs = state.server_liveness
-    if len(signs.overdue) < 2 or now - signs.idle_discarded_at < state.options.sign_probe_s:
+    liveness = state.server_liveness
+    if len(liveness.overdue) < 2 or now - liveness.idle_discarded_at < state.options.sign_probe_s:
         return []
-    signs.idle_discarded_at = now
+    liveness.idle_discarded_at = now
     return [RetireConnections(each.entry.address) for each in state.servers.by_name.values()]
 
 
 def note_report(state: State, now: float, report: ServerReport) -> bool:
     """Record a server's answer to a probe; return whether to act on it at once.
 
-    A slower answer is acted on at the next tick, and a late one is ignored. Prevents wrong evidence
-    from a server that was frozen and answers waiting probes just before its overdue tokens.
+    A slower answer is acted on at the next tick, and an overdue one is ignored. Prevents wrong
+    evidence from a server that was frozen and answers waiting probes just before it sends tokens.
     """
     evidence = state.server_liveness.by_server.get(report.server)
     if evidence is None or now - report.probe_sent_at > state.options.sign_answer_s:
@@ -138,7 +138,7 @@
 
 
 def has_evidence_of_loss(state: State, now: float, req: Request, attempt: Attempt) -> bool:
-    """Return whether there is enough evidence to suspect an attempt before the long wait."""
+    """Return whether there is enough evidence to suspect an attempt before the long wait ends."""
     if attempt.server not in state.server_liveness.overdue or not _is_overdue(
         state, now, req, attempt
     ):
@@ -157,7 +157,7 @@
     if has_common_loss or len(state.server_liveness.overdue) > 1:
         return True
     if attempt.last_token_at is None:
-        return _is_uncounted(state, req, attempt)
+        return _is_missing_from_report(state, req, attempt)
     if max(evidence.newest_token_at.values(), default=_NEVER) - last_data_at >= limit_s:
         return True
     # A single server may only be paused. It has to answer another probe after twice the time.
@@ -177,7 +177,7 @@
     if not req.repeatable or attempt.cancelled is not None or not attempt.sent:
         return False
     if req.kind is ServiceKind.PLAIN and req.delivered:
-        # It cannot be retried.
+        # A plain answer that has begun cannot be retried.
         return False
     limit_s = _overdue_after_s(state, req, attempt)
     if waited_s < limit_s:
@@ -209,10 +209,10 @@
     if attempt.tier == most_urgent_configured_tier(state.config):
         return False
     last_data_at = _last_data_at(attempt)
-    newest = evidence_of(state, attempt.server).newest_token_at
+    newest_by_tier = evidence_of(state, attempt.server).newest_token_at
     if any(
         tier > attempt.tier and token_at - last_data_at > limit_s
-        for tier, token_at in newest.items()
+        for tier, token_at in newest_by_tier.items()
     ):
         # The engine would have preempted the less urgent stream first.
         return False
@@ -234,14 +234,14 @@
     return report.running <= share * report.slots
 
 
-def _is_uncounted(state: State, req: Request, attempt: Attempt) -> bool:
+def _is_missing_from_report(state: State, req: Request, attempt: Attempt) -> bool:
     """Return whether a probe answered after the attempt's start does not count the attempt.
 
     Requests of other instances can hide a loss, which the long wait then detects.
     """
     server = state.servers.by_name.get(attempt.server)
     evidence = evidence_of(state, attempt.server)
-    lag = state.options.report_lag_s if req.kind is ServiceKind.MODEL else 0.0
-    if server is None or evidence.answered_probe_at - lag <= attempt.started_at:
+    lag_s = state.options.report_lag_s if req.kind is ServiceKind.MODEL else 0.0
+    if server is None or evidence.answered_probe_at - lag_s <= attempt.started_at:
         return False
     return evidence.answered_count < len(server.in_flight)
--- a/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
@@ -1,14 +1,15 @@
 """The detection of lost connections, which stay open but no longer carry data.
 
-A network device can drop a connection that stays open for both ends while new connections work. An
-attempt whose connection is suspected to be lost is cancelled, and the request is retried elsewhere.
+A network device can lose a connection that both ends still consider open, while new connections
+work. An attempt on a connection that is suspected to be lost is cancelled, and the request is
+retried elsewhere.
 Prevents the caller from waiting for its deadline. A probe over a new connection finds out whether
 the server itself has failed.
 
 A wrong suspicion costs a retry, so it needs more than a long wait: the server's report does not
 account for this instance's requests, or a later request was served first, or
-`first_silence_share` of the time to the deadline is over. Requests that cannot be retried are never
-suspected.
+`first_silence_share` of the time to the deadline has passed. Attempts of requests that cannot be
+retried are never suspected.
 """
 
 from __future__ import annotations
@@ -55,8 +56,8 @@
 def _take_retry(state: State, now: float, req: Request, attempt: Attempt) -> bool:
     """Take the next attempt of a request from the budget; return False if there can be none.
 
-    Prevents several suspicions of one tick from relying on the same retry of the budget, as all but
-    one of these requests would fail.
+    Prevents several suspicions in one tick from counting on the same retry of the budget, as all
+    but one of these requests would fail.
     """
     if not req.repeatable or req.counted_attempts >= state.options.attempts_max:
         return False
@@ -83,7 +84,7 @@
         return False
     predicted_ms = engine_model.predicted_ms(state, attempt)
     if predicted_ms is not None:
-        # Prevents retries of long prompts, for which recent waits are no measure.
+        # Prevents retries of long prompts, which take longer than recent waits suggest.
         limit_s = (
             options.predicted_silence_s + options.predicted_silence_x * predicted_ms / _MS_PER_S
         )
--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -11,8 +11,8 @@
 verdicts that depend on it are retracted.
 
 Crash records only grow, so instances can merge them in any order and reach the same verdicts. An
-instance sends each update twice to its region. Instances also ask a random peer for missed records,
-once they have started and periodically.
+instance sends each update twice to its region. At its start and periodically it also asks a random
+peer for missed records.
 """
 
 from __future__ import annotations
@@ -41,8 +41,8 @@
     SENDS_PER_UPDATE,
     existing_key,
     merge_record,
-    update_counts,
-    withdraw_late_sightings,
+    update_crash_counts,
+    withdraw_sightings_after_crash,
 )
 
 if TYPE_CHECKING:
@@ -50,16 +50,17 @@
 
 # Number of crashes after which a fingerprint is refused.
 _CRASHES_FOR_REFUSAL: Final = 2
-_RESEND_S: Final = 1.0
-# A server that restarts fast answers a new connection before its report shows a new incarnation.
+# Interval between resends, between checks for expiry, and between searches for a peer.
+_INTERVAL_S: Final = 1.0
+# A server that restarts quickly accepts connections before its report shows a new incarnation.
 _BREAK_KEEP_S: Final = 10.0
-# A report from before a crash can arrive this late.
+# Maximum delay of a report that was sent before a crash.
 _REPORT_DELAY_S: Final = 1.0
 # The same on a busy machine.
-_REPORT_DELAY_MAX_S: Final = 2.5
+_BUSY_REPORT_DELAY_S: Final = 2.5
 
 
-# --- questions of other reducers -------------------------------------------------------------
+# --- queries by other reducers ---------------------------------------------------------------
 
 
 def refusal_remaining_s(state: State, now: float, fingerprint: str) -> float | None:
@@ -97,7 +98,7 @@
         return
     if alive:
         # No evidence of a crash, unless the next report has another incarnation.
-        _record_break(state, now, req, attempt, silent=False)
+        _record_break(state, now, req, attempt, is_unresponsive=False)
         return
     key = crash_key(attempt.server, attempt.incarnation, attempt.attempt_id)
     _record_sighting(state, now, key, now, req.fingerprint, attempt.started_at)
@@ -106,7 +107,7 @@
 def _has_streamed_long(state: State, attempt: Attempt) -> bool:
     """Return whether an answer had been streaming for too long to be the cause of a crash.
 
-    Prevents all long-running streams of a crashed engine from waiting for isolated runs.
+    Prevents all long streams of a crashed engine from having to wait for isolated runs.
     """
     first, last = attempt.first_token_at, attempt.last_token_at
     return first is not None and last is not None and last - first >= state.options.harmless_s
@@ -121,14 +122,14 @@
     network drops the end of the connection.
     """
     if req.fingerprint:
-        _record_break(state, now, req, attempt, silent=True)
+        _record_break(state, now, req, attempt, is_unresponsive=True)
 
 
 def _record_break(
-    state: State, now: float, req: Request, attempt: Attempt, *, silent: bool
+    state: State, now: float, req: Request, attempt: Attempt, *, is_unresponsive: bool
 ) -> None:
     connection_break = BrokenConnection(
-        now, attempt.incarnation, req.fingerprint, attempt.started_at, silent
+        now, attempt.incarnation, req.fingerprint, attempt.started_at, is_unresponsive
     )
     state.quarantine.breaks.setdefault(attempt.server, []).append(connection_break)
 
@@ -137,7 +138,7 @@
     """Return whether a model request has just broken on a server that may have crashed.
 
     Prevents all requests of a server that restarted quickly from moving together to the next server
-    before a report shows the crash. Plain calls do not wait, as their target is shorter.
+    before a report shows the crash. Plain calls do not wait, as they have shorter latency targets.
     """
     if req.kind is not ServiceKind.MODEL:
         return False
@@ -159,8 +160,8 @@
     """
     breaks = state.quarantine.breaks.get(attempt.server)
     if breaks:
-        proven_s = state.options.crash_doubt_s
-        remaining = [each for each in breaks if each.broke_at - attempt.started_at <= proven_s]
+        break_delay_s = state.options.crash_doubt_s
+        remaining = [each for each in breaks if each.broke_at - attempt.started_at <= break_delay_s]
         state.quarantine.breaks[attempt.server] = remaining
 
 
@@ -171,10 +172,10 @@
     evidence = CrashEvidence(suspects=frozenset({Sighting(fingerprint, state.me.name)}))
     merge_record(state, now, key, crashed_at, evidence)
     crash = state.quarantine.crashes[existing_key(state.quarantine, key, crashed_at)]
-    # Uses the earlier of two copies, as that one may have been in flight.
+    # Of two copies the earlier one counts, as it may have been in flight.
     earlier = crash.local_started_at.get(fingerprint, started_at)
     crash.local_started_at[fingerprint] = min(earlier, started_at)
-    withdraw_late_sightings(state, now)
+    withdraw_sightings_after_crash(state, now)
 
 
 def note_report(state: State, now: float, report: ServerReport) -> None:
@@ -186,7 +187,7 @@
         if broken.incarnation and broken.incarnation != report.incarnation:
             key = CrashKey(report.server, broken.incarnation)
             _record_sighting(state, now, key, broken.broke_at, broken.fingerprint, broken.started)
-        elif now - broken.broke_at < _REPORT_DELAY_MAX_S:
+        elif now - broken.broke_at < _BUSY_REPORT_DELAY_S:
             quarantine.breaks.setdefault(report.server, []).append(broken)
     key = CrashKey(report.server, report.incarnation)
     crash = quarantine.crashes.get(key)
@@ -234,7 +235,7 @@
     causes = [
         each for each in crash.possible_causes() if crash_count(state, each) >= _CRASHES_FOR_REFUSAL
     ]
-    # If two fingerprints were in flight at two crashes, only their isolated runs can tell which one
+    # If two fingerprints were in flight at two crashes, only their isolated runs can show which one
     # is the cause.
     if len(causes) != 1 or causes[0] in quarantine.refused:
         return []
@@ -264,7 +265,7 @@
     quarantine = state.quarantine
     if now < quarantine.next_expiry_at:
         return
-    quarantine.next_expiry_at = now + _RESEND_S
+    quarantine.next_expiry_at = now + _INTERVAL_S
     for key, crash in list(quarantine.crashes.items()):
         if now - crash.first_seen_at > state.options.quarantine_s:
             del quarantine.crashes[key]
@@ -279,7 +280,7 @@
         if now >= until:
             del quarantine.runs_barred_until[fingerprint]
     if quarantine.crash_counts:
-        update_counts(quarantine, now, state.options.suspect_keep_s)
+        update_crash_counts(quarantine, now, state.options.suspect_keep_s)
 
 
 def _send_updates(state: State, now: float) -> list[Effect]:
@@ -290,7 +291,7 @@
     )
     if not quarantine.unsent_crashes or (not has_new and now < quarantine.next_resend_at):
         return []
-    quarantine.next_resend_at = now + _RESEND_S
+    quarantine.next_resend_at = now + _INTERVAL_S
     keys = [key for key in quarantine.unsent_crashes if key in quarantine.crashes]
     for key, sends_left in list(quarantine.unsent_crashes.items()):
         if sends_left > 1:
@@ -321,14 +322,14 @@
 
 
 def _request_records(state: State, now: float) -> list[Effect]:
-    """Ask a random peer for missed records, as soon as there is one and then periodically."""
+    """Ask a random peer for missed records, once a peer is known and then periodically."""
     quarantine = state.quarantine
     if now < quarantine.next_request_at:
         return []
     me = state.me.name
     peers = [each for each in membership.region_instances(state, now) if each.name != me]
     if not peers:
-        quarantine.next_request_at = now + _RESEND_S
+        quarantine.next_request_at = now + _INTERVAL_S
         return []
     quarantine.next_request_at = now + state.options.crashes_ask_s
     peer = state.rng.choice(peers)
@@ -365,9 +366,9 @@
     return [SendPeer(sender, peer.peer_address, update)]
 
 
-def on_crash_update(state: State, now: float, news: CrashNews) -> list[Effect]:
+def on_crash_update(state: State, now: float, update: CrashNews) -> list[Effect]:
     """Merge the crash records of another instance, without sending them on."""
-    for record in news.crashes:
+    for record in update.crashes:
         if record.age_s > state.options.quarantine_s:
             continue
         key = CrashKey(ServerName(record.server), record.incarnation)
@@ -381,7 +382,7 @@
         if not record.retracted:
             _avoid_crashed_server(state, now, key.server, crashed_at)
         merge_record(state, now, key, crashed_at, evidence, send_on=False)
-    withdraw_late_sightings(state, now)
+    withdraw_sightings_after_crash(state, now)
     return []
 
 
--- a/packages/turmericweir-core/turmericweir_core/trust/retry.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/retry.py
@@ -1,12 +1,12 @@
 """The retry budget, which limits retries to a fraction of first attempts.
 
-Prevents retries from adding more than `retry_share` to the load of a slow cluster, however many
+Prevents retries from adding more than `retry_share` to the load of a slow cluster when many
 requests fail at once.
 
 There are two forms. A token bucket limits the retries of this instance. A window (`retry_window_s`)
-limits the retries of all instances together, per target: in any window an instance makes at most
-its share of its own first attempts plus its part of the burst. The part is computed from the
-largest recent number of instances, so a network partition does not double the burst.
+limits the retries of all instances together, per target: in any window an instance makes at most a
+fraction of its own first attempts plus its part of the burst. The part is computed from the largest
+recent number of instances, so a network partition does not double the burst.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 if TYPE_CHECKING:
     from turmericweir_core.state.state import State
 
-# Resolution of the counters; retries count for one bucket longer than the window.
+# Time covered by one counter; retries count for one bucket longer than the window.
 _BUCKET_S: Final = 0.25
-# A process that has just started assumes this number of instances for this time.
+# A process assumes this minimum number of instances for this time after its start.
 _START_INSTANCES: Final = 16
 _START_S: Final = 5.0
 # How long the largest number of instances is used. Prevents a partition from raising the burst
@@ -39,7 +39,7 @@
     """Count a first attempt, which adds a fraction of a retry to the budget."""
     budget, options = state.retries, state.options
     if options.retry_window_s:
-        _bucket(budget, now, req.target).first_attempts += 1
+        _current_bucket(budget, now, req.target).first_attempts += 1
         return
     tokens = _tokens_left(budget, options) + options.retry_share
     budget.tokens = min(options.retry_burst, tokens)
@@ -55,9 +55,9 @@
     budget, options = state.retries, state.options
     if not options.retry_window_s:
         return _tokens_left(budget, options)
-    firsts, retries = _window_counts(budget, options, now, target)
+    first_attempts, retries = _window_counts(budget, options, now, target)
     burst = options.retry_burst / _sharing_instances(budget, now)
-    return options.retry_use_share * (options.retry_share * firsts + burst) - retries
+    return options.retry_use_share * (options.retry_share * first_attempts + burst) - retries
 
 
 def spend_retry(state: State, now: float, req: Request) -> bool:
@@ -67,7 +67,7 @@
         budget.refused += 1
         return False
     if options.retry_window_s:
-        _bucket(budget, now, req.target).retries += 1
+        _current_bucket(budget, now, req.target).retries += 1
     else:
         budget.tokens = _tokens_left(budget, options) - 1.0
     return True
@@ -81,9 +81,9 @@
     budget.next_check_at = now + _INSTANCES_CHECK_S
     if budget.started_at is None:
         budget.started_at = now
-    live = len(membership.live_instances(state, now))
-    if live >= budget.peak_instances or now - budget.peak_at > _PEAK_KEEP_S:
-        budget.peak_instances = live
+    live_count = len(membership.live_instances(state, now))
+    if live_count >= budget.peak_instances or now - budget.peak_at > _PEAK_KEEP_S:
+        budget.peak_instances = live_count
         budget.peak_at = now
 
 
@@ -97,7 +97,7 @@
     return budget.peak_instances
 
 
-def _bucket(budget: RetryBudget, now: float, target: Target) -> RetryBucket:
+def _current_bucket(budget: RetryBudget, now: float, target: Target) -> RetryBucket:
     window = budget.windows.setdefault(target, deque())
     if not window or now - window[-1].since >= _BUCKET_S:
         window.append(RetryBucket(now))
@@ -111,8 +111,8 @@
     window = budget.windows.get(target)
     if window is None:
         return 0, 0
-    oldest = now - options.retry_window_s
-    while window and window[0].since < oldest - _BUCKET_S:
+    window_start = now - options.retry_window_s
+    while window and window[0].since < window_start - _BUCKET_S:
         window.popleft()
-    firsts = sum(each.first_attempts for each in window if each.since >= oldest)
-    return firsts, sum(each.retries for each in window)
+    first_attempts = sum(each.first_attempts for each in window if each.since >= window_start)
+    return first_attempts, sum(each.retries for each in window)
