--- a/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
@@ -1,9 +1,9 @@
 """Append operators' changes to the log, and report their verdicts.
 
 A submitted change is settled when its record is read back from the log, so all instances reach the
-same verdict. Until then the append is repeated with the same change id, which counts only once. A
-change that certainly did not reach the log is given up after `change_give_up_s`; one that may have
-reached it is appended until the log has the verdict.
+same verdict. Until then the append is repeated with the same change id, of which only the first
+record counts. A change that certainly did not reach the log is given up after `change_give_up_s`;
+one that may have reached it is appended until it is read back.
 """
 
 from __future__ import annotations
@@ -45,8 +45,8 @@
 from turmericweir_core.state.settings_state import SeenChange, settings_version
 from turmericweir_core.state.settings_sync import PendingChange, SettingsSync, settings_read_offset
 
-# Prefix of the operators in the process file. No path below `/operators` can have it. Prevents
-# settings from granting their authority.
+# Prefix of the operators in the process file. No name below `/operators` can have it. Prevents
+# the settings from granting the authority of these operators.
 BOOTSTRAP_PREFIX: Final = "bootstrap/"
 _UUID_VERSION_WITH_TIME: Final = 7
 
@@ -64,9 +64,9 @@
     if not is_successful(result):
         return [_rejection(event, result.failure())]
     change = result.unwrap()
-    seen = sync.settings.seen.get(event.change_id)
-    if seen is not None:
-        return [ReportVerdict(event.change_id, _repeated_verdict(change, seen))]
+    seen_change = sync.settings.seen.get(event.change_id)
+    if seen_change is not None:
+        return [ReportVerdict(event.change_id, _repeated_verdict(change, seen_change))]
     if len(sync.pending) >= options.change_pending_max:
         return [_rejection(event, "too many changes wait for the log; send it again later")]
     sync.pending[event.change_id] = PendingChange(change, submitted_at=now, tried_at=now)
@@ -174,8 +174,8 @@
         return _settle_pending(
             sync, change.change_id, NotAppended(change.change_id, change.path, reason)
         )
-    # The record is in the log at a known offset that has not been read yet.
     if pending.offset is not None and sync.settings.offset <= pending.offset:
+        # The record is in the log at a known offset that has not been read yet.
         return []
     pending.in_flight = True
     pending.tried_at = now
@@ -202,12 +202,14 @@
     """Settle the pending changes whose ids a loaded snapshot contains."""
     effects: list[Effect] = []
     for change_id, pending in list(sync.pending.items()):
-        seen = sync.settings.seen.get(change_id)
-        if seen is not None:
-            effects += _settle_pending(sync, change_id, _repeated_verdict(pending.record, seen))
+        seen_change = sync.settings.seen.get(change_id)
+        if seen_change is not None:
+            effects += _settle_pending(
+                sync, change_id, _repeated_verdict(pending.record, seen_change)
+            )
     return effects
 
 
-def _repeated_verdict(change: ChangeRecord, seen: SeenChange) -> Repeated:
-    subject = Subject(change.change_id, change.path, change.operator, change.at, seen.offset)
-    return Repeated(subject, seen.offset, seen.kind)
+def _repeated_verdict(change: ChangeRecord, seen_change: SeenChange) -> Repeated:
+    subject = Subject(change.change_id, change.path, change.operator, change.at, seen_change.offset)
+    return Repeated(subject, seen_change.offset, seen_change.kind)
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_dry_run.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_dry_run.py
@@ -1,4 +1,4 @@
-"""Dry runs: apply changes to a copy of the settings to get the verdicts that they would have."""
+"""Dry runs: apply changes to a copy of the settings to get the verdicts that they would get."""
 
 from __future__ import annotations
 
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_flow.py
@@ -1,4 +1,4 @@
-"""Connects the settings to the rest of the state: the list of peers, and the use of a new `Config`.
+"""Connects the settings to the rest of the state: lists the peers, and applies a new `Config`.
 
 The main reducer calls these functions; `settings_reducer` works on the `SettingsSync` alone.
 """
@@ -72,13 +72,13 @@
             return effects
 
 
-def on_heartbeat(state: State, sender: InstanceName, beat: Heartbeat) -> list[Effect]:
+def on_heartbeat(state: State, sender: InstanceName, heartbeat: Heartbeat) -> list[Effect]:
     """Compare a peer's settings with this instance's."""
-    return settings_reducer.on_heartbeat(state.settings, sender, beat)
+    return settings_reducer.on_heartbeat(state.settings, sender, heartbeat)
 
 
 def on_tick(state: State, now: float) -> list[Effect]:
-    """Run the periodic work, and use a new `Config`."""
+    """Run the periodic work, and apply a new `Config`."""
     effects = settings_reducer.on_tick(
         state.settings, state.options, now, state.me.name, lambda: _peer_settings(state, now)
     )
@@ -89,15 +89,15 @@
 def _peer_settings(state: State, now: float) -> Sequence[PeerSettings]:
     """Return the settings offsets of the other live instances.
 
-    For another data centre only the lowest offset of its live instances is known, from its relays.
+    Of another data centre, the gateways report only the lowest offset of its live instances.
     """
     centres = membership.data_centre_views(state, now)
-    lowest = {centre.name: centre.settings_offset for centre in centres if centre.reachable}
+    lowest_offsets = {centre.name: centre.settings_offset for centre in centres if centre.reachable}
     return [
         PeerSettings(
             name=each.name,
             address=each.peer_address,
-            offset=max(each.settings_offset, lowest.get(each.data_centre, 0)),
+            offset=max(each.settings_offset, lowest_offsets.get(each.data_centre, 0)),
         )
         for each in membership.live_instances(state, now)
         if each.name != state.me.name
@@ -118,7 +118,7 @@
 
 
 def _update_config(state: State) -> None:
-    """Use a new `Config`."""
+    """Apply the newest `Config` to the state if it has changed."""
     sync = state.settings
     state.has_settings = sync.has_been_complete
     if sync.config is not state.config:
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_reach.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_reach.py
@@ -1,8 +1,8 @@
 """Determine in which data centres a change is in force.
 
-Each heartbeat carries the offset of the settings that its sender uses, and relays report the lowest
-offset of their data centre. Settings never move back, so an old report of a sufficient offset is
-still valid. Of an unresponsive instance only the last report is known, if any.
+Each heartbeat carries the offset of the settings that its sender uses, and gateways report the
+lowest offset of their data centre. Settings never move back, so an old report of a sufficient
+offset is still valid. Of an unresponsive instance only the last report is known, if any.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class Reach(StrEnum):
-    """Whether a change is in force somewhere."""
+    """Whether a change is in force in a data centre."""
 
     # Every known instance has reported settings that are at least as new.
     IN_FORCE = "in_force"
@@ -63,13 +63,15 @@
     `not_live` are the known unresponsive instances; `named` are data centres that are known by name
     only, such as those of the servers in the settings.
     """
-    unresponsive = [it for it in not_live if not it.leaving and it.settings_offset < offset]
-    reaches = {it.name: _reach_of(now, offset, it, unresponsive) for it in centres}
-    for name in (*(it.data_centre for it in unresponsive), *named):
+    unresponsive = [each for each in not_live if not each.leaving and each.settings_offset < offset]
+    reaches = {each.name: _reach_of(now, offset, each, unresponsive) for each in centres}
+    for name in (*(each.data_centre for each in unresponsive), *named):
         if name and name not in reaches:
             # No report has been received from there.
             instances = tuple(
-                _unresponsive_instance(now, it) for it in unresponsive if it.data_centre == name
+                _unresponsive_instance(now, each)
+                for each in unresponsive
+                if each.data_centre == name
             )
             reaches[name] = CentreReach(name, Reach.OUT_OF_REACH, 0, 0, None, instances)
     return [reaches[name] for name in sorted(reaches)]
@@ -79,9 +81,9 @@
     now: float, offset: int, centre: CentreView, unresponsive_members: list[Member]
 ) -> CentreReach:
     unresponsive = tuple(
-        _unresponsive_instance(now, it)
-        for it in unresponsive_members
-        if it.data_centre == centre.name
+        _unresponsive_instance(now, member)
+        for member in unresponsive_members
+        if member.data_centre == centre.name
     )
     has_report = isfinite(centre.last_seen_at) and centre.live > 0
     if has_report and centre.settings_offset >= offset:
@@ -104,5 +106,5 @@
     )
 
 
-def _age_s(now: float, heard_at: float) -> float | None:
-    return max(0.0, now - heard_at) if isfinite(heard_at) else None
+def _age_s(now: float, last_seen_at: float) -> float | None:
+    return max(0.0, now - last_seen_at) if isfinite(last_seen_at) else None
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_reducer.py
@@ -68,7 +68,7 @@
     effects = _record_log_reachable(sync, now)
     sync.known_end = max(sync.known_end, event.end_offset)
     if settings_read_offset(sync) >= event.oldest_offset:
-        # The read is older than newer records that a peer sent.
+        # A peer has sent newer records since this read started.
         return effects
     sync.resume_at = event.oldest_offset
     sync.later_records.clear()
@@ -81,7 +81,7 @@
 
 
 def on_log_failed(sync: SettingsSync, now: float, event: LogFailed) -> list[Effect]:
-    """Record that the log is unreadable; from now on peers are asked without delay."""
+    """Record that the log is unreadable, so that peers are asked without delay."""
     if sync.log_failed_since is not None:
         return []
     sync.log_failed_since = now
@@ -98,9 +98,9 @@
 
 
 def _check_log_end(sync: SettingsSync, options: Options, now: float, end: int) -> list[Effect]:
-    """Report a truncated log, in which new changes would get offsets that were already read.
+    """Report a truncated log, in which new records would get offsets that were already read.
 
-    A single answer is not enough, as the read may be older than newer records that a peer sent.
+    A single answer is not enough, as a peer may have sent newer records since the read started.
     """
     if end >= sync.settings.offset:
         sync.log_shorter_since = None
@@ -120,16 +120,16 @@
 ) -> list[Effect]:
     """Apply the next records, and hold those beyond a gap."""
     effects: list[Effect] = []
-    beyond: list[LogRecord] = []
+    later_records: list[LogRecord] = []
     for record in records:
         if record.offset == sync.settings.offset:
             verdict = apply(sync.settings, record)
             store_record(sync, options, record)
             effects += _report_verdict(sync, now, verdict) + settle(sync, verdict)
         elif record.offset > sync.settings.offset:
-            beyond.append(record)
-    if beyond:
-        effects += _hold_beyond_gap(sync, options, now, beyond)
+            later_records.append(record)
+    if later_records:
+        effects += _hold_beyond_gap(sync, options, now, later_records)
     return effects
 
 
@@ -138,7 +138,7 @@
 ) -> list[Effect]:
     """Hold records beyond a gap, and apply them if a snapshot among them covers the gap."""
     if sync.later_records:
-        records = [it for it in records if it.offset > sync.later_records[-1].offset]
+        records = [each for each in records if each.offset > sync.later_records[-1].offset]
     if sync.later_records and records and sync.later_records[-1].offset + 1 != records[0].offset:
         sync.later_records.clear()
     sync.later_records.extend(records)
@@ -235,21 +235,25 @@
 # --- peers -----------------------------------------------------------------------------------
 
 
-def on_heartbeat(sync: SettingsSync, sender: InstanceName, beat: Heartbeat) -> list[Effect]:
-    """Report a peer with a different hash at the same offset, which means that one is damaged."""
-    own_digest = sync.settings.digests.get(beat.settings_offset)
-    if beat.settings_offset == sync.settings.offset:
-        own_digest = state_digest(sync.settings)
-    if not beat.settings_hash or own_digest is None or own_digest == beat.settings_hash:
+def on_heartbeat(sync: SettingsSync, sender: InstanceName, heartbeat: Heartbeat) -> list[Effect]:
+    """Report a peer whose hash differs at the same offset: one of the two copies is damaged."""
+    local_digest = sync.settings.digests.get(heartbeat.settings_offset)
+    if heartbeat.settings_offset == sync.settings.offset:
+        local_digest = state_digest(sync.settings)
+    if (
+        not heartbeat.settings_hash
+        or local_digest is None
+        or local_digest == heartbeat.settings_hash
+    ):
         return []
-    if sync.diverged_offsets.get(sender) == beat.settings_offset:
+    if sync.diverged_offsets.get(sender) == heartbeat.settings_offset:
         return []
-    sync.diverged_offsets[sender] = beat.settings_offset
+    sync.diverged_offsets[sender] = heartbeat.settings_offset
     fields = {
         "peer": sender,
-        "offset": beat.settings_offset,
-        "own_hash": own_digest,
-        "peer_hash": beat.settings_hash,
+        "offset": heartbeat.settings_offset,
+        "own_hash": local_digest,
+        "peer_hash": heartbeat.settings_hash,
     }
     return [Log("settings_diverged", fields), Count("settings.diverged")]
 
@@ -268,8 +272,10 @@
         sync.behind_since = now
     has_waited = now - sync.behind_since >= options.settings_ask_after_s
     is_log_unusable = sync.log_failed_since is not None or not sync.has_read_log or _has_gap(sync)
-    is_asked = sync.requested_at is not None and now - sync.requested_at < options.settings_ask_s
-    if is_asked or not (has_waited or is_log_unusable):
+    is_request_pending = (
+        sync.requested_at is not None and now - sync.requested_at < options.settings_ask_s
+    )
+    if is_request_pending or not (has_waited or is_log_unusable):
         return []
     sync.requested_at = now
     ask = SendPeer(newest.name, newest.address, SettingsAsk(sync.settings.offset))
@@ -287,7 +293,7 @@
     address: str,
     message: SettingsAsk,
 ) -> list[Effect]:
-    """Send a peer the records that it lacks, or a snapshot if they are no longer kept."""
+    """Send a peer the records that it lacks, or a snapshot if they are no longer stored."""
     # Prevents a starting instance from sending outdated settings.
     if not sync.has_been_complete or message.offset >= sync.settings.offset:
         return []
@@ -298,7 +304,9 @@
     if sync.recent_records and offset >= sync.recent_records[0].offset:
         start = offset - sync.recent_records[0].offset
         stop = min(len(sync.recent_records), start + options.settings_send_max)
-        return SettingsSend(offset, [sync.recent_records[at].value for at in range(start, stop)])
+        return SettingsSend(
+            offset, [sync.recent_records[index].value for index in range(start, stop)]
+        )
     return SettingsSend(sync.settings.offset, [], record_json(take_snapshot(sync.settings)))
 
 
@@ -313,14 +321,14 @@
     records = [
         LogRecord(message.first + index, value) for index, value in enumerate(message.records)
     ]
-    # Records beyond a gap are ignored, as the peer is asked for those before them.
+    # Records beyond a gap are ignored, as the peer is asked again for those before them.
     if records and records[0].offset <= sync.settings.offset:
         effects += _apply_records(sync, options, now, records)
     if sync.settings.offset == offset_before:
         return effects
     effects += _apply_held(sync, options, now)
     effects.append(Count("settings.from_peer"))
-    # Makes the next tick ask for the next part.
+    # Makes the next tick ask for further records.
     sync.requested_at = sync.peers_checked_at = None
     return effects + _put_in_force(sync, options, now)
 
@@ -357,8 +365,8 @@
     if sync.started_at is None:
         sync.started_at = now
     effects = retry_changes(sync, options, now)
-    checked_at = sync.peers_checked_at
-    if checked_at is None or now - checked_at >= options.settings_check_s:
+    peers_checked_at = sync.peers_checked_at
+    if peers_checked_at is None or now - peers_checked_at >= options.settings_check_s:
         peers = list_peers()
         effects += _ask_newest_peer(sync, options, now, peers)
         effects += write_snapshot(sync, options, now, me, peers)
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_snapshots.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_snapshots.py
@@ -1,7 +1,7 @@
 """Write snapshots of the settings to the log before the underlying records expire.
 
-There is no election: the instance with the lowest name writes first, and each next one after a
-further `snapshot_step_s`, in case the ones before it cannot reach the log.
+There is no election: the instance with the lowest name writes first. Each further instance waits
+`snapshot_step_s` longer, in case the instances before it cannot reach the log.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
     me: InstanceName,
     peers: Sequence[PeerSettings],
 ) -> list[Effect]:
-    """Append a snapshot if one is due and the delay of this instance's rank is over.
+    """Append a snapshot if one is due and this instance has waited for those before it.
 
-    Two snapshots do no harm, as readers check each against their own state.
+    Two snapshots do no harm, as each reader compares both with its own state.
     """
     if (
         not sync.has_been_complete
