--- a/packages/turmericweir-core/turmericweir_core/claims/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/__init__.py
@@ -1,1 +1,1 @@
-"""Run calls at most once across instances: claims, votes, handing them on. Own interface only."""
+"""Claims of idempotency keys, which run a call at most once; only with the log-based interface."""
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_allocation.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_allocation.py
@@ -56,7 +56,7 @@
     most_urgent: int
     lowest: int
     # A slot may be used only by the tier it was granted for and by more urgent ones.
-    by_tier: bool = False
+    is_tier_bound: bool = False
     # Instances that are likely to use the server.
     sharing: int = 1
 
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -102,11 +102,11 @@
     Prevents all dispatchers from reserving a slot for a request that needs one.
     """
     # Servers already asked come first. Prevents new demands with every load report.
-    asked = state.credits.demanded_servers
+    already_asked = state.credits.demanded_servers
     ask_last = _server_to_ask_last(state, now, servers)
     servers.sort(
         key=lambda server: (
-            server.entry.name not in asked,
+            server.entry.name not in already_asked,
             _is_reported_full(state, now, server),
             server is ask_last,
         )
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
@@ -84,7 +84,7 @@
     if _grant_from_free_slots(state.options, now, ledger, holding, capacity):
         return [_outgoing(state, now, server, ledger, sender, holding)]
     ledger.is_settlement_pending = True
-    recalled_from = _recall_if_idle(state.options, now, ledger, holding, capacity)
+    recalled_from = _recall_idle_credit(state.options, now, ledger, holding, capacity)
     if recalled_from:
         # The answers to the recall trigger the settlement.
         return [
@@ -160,7 +160,7 @@
     return True
 
 
-def _recall_if_idle(
+def _recall_idle_credit(
     options: Options, now: float, ledger: CreditLedger, holding: CreditHolding, capacity: Capacity
 ) -> list[InstanceName]:
     """Recall idle slots of other holders for an instance that is short; return those holders.
@@ -200,7 +200,7 @@
         spare=options.credit_spare,
         most_urgent=most_urgent_configured_tier(state.config),
         lowest=lowest_tier(state.config),
-        by_tier=server.service.kind is ServiceKind.PLAIN,
+        is_tier_bound=server.service.kind is ServiceKind.PLAIN,
         sharing=instances_per_server(state, any_target(server)),
     )
 
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_ledger.py
@@ -37,7 +37,7 @@
     If slots are granted by tier, those of a more urgent tier do not count for a lower one.
     """
     wants = demand_by_tier(holding)
-    if not capacity.by_tier:
+    if not capacity.is_tier_bound:
         return max(0, sum(wants.values()) - holding.total())
     short = 0
     missing = 0
@@ -70,7 +70,7 @@
 ) -> bool:
     """Set the grant of an instance; return whether its slots changed."""
     is_unchanged = slots == holding.granted
-    if not capacity.by_tier:
+    if not capacity.is_tier_bound:
         is_unchanged = sum(slots.values()) == holding.total()
     if is_unchanged and assured == holding.assured:
         holding.granted = slots
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
@@ -65,15 +65,15 @@
 
 
 def needed_displacements(ledger: CreditLedger, capacity: Capacity) -> dict[int, int]:
-    """Return by tier the requests that need displacement here and that no grant covers yet."""
+    """Return, by tier, the number of uncovered requests for which attempts are to be displaced."""
     needed: dict[int, int] = {}
     for holding in ledger.holdings.values():
-        short = missing_slots(holding, capacity)
+        uncovered = missing_slots(holding, capacity)
         for tier in sorted(holding.demand):
-            count = min(short, holding.demand[tier].displacing)
+            count = min(uncovered, holding.demand[tier].displacing)
             if count:
                 needed[tier] = needed.get(tier, 0) + count
-                short -= count
+                uncovered -= count
     return needed
 
 
@@ -84,8 +84,8 @@
     assigned = 0
     for name in sorted(ledger.holdings, key=lambda name: -_lowest_running(ledger.holdings[name])):
         holding = ledger.holdings[name]
-        lowest = _lowest_running(holding)
-        wanted = sum(count for tier, count in needed.items() if tier < lowest)
+        lowest_tier = _lowest_running(holding)
+        wanted = sum(count for tier, count in needed.items() if tier < lowest_tier)
         displaced = max(0, min(holding.running() - holding.total(), wanted - assigned))
         assigned += displaced
         attempts_to_keep = holding.running() - displaced if displaced else None
@@ -106,13 +106,13 @@
     """Lower grants above their share if others need the slots; return the changed instances."""
     holdings = ledger.holdings.values()
     needed = sum(missing_slots(each, capacity) for each in holdings)
-    lower_fits = _missing_lower_slots(ledger, capacity) <= free_lower_slots(ledger, capacity)
+    is_lower_covered = _missing_lower_slots(ledger, capacity) <= free_lower_slots(ledger, capacity)
     # Starts with the largest surplus to recall from few instances, since each has to answer.
     missing = needed - free_slots(ledger, capacity)
     changed: set[InstanceName] = set()
     for name in sorted(shares, key=lambda each: -_surplus(ledger, shares, each)):
         holding, share = ledger.holdings[name], shares[name]
-        is_enough = missing <= 0 and lower_fits and not ledger.assured
+        is_enough = missing <= 0 and is_lower_covered and not ledger.assured
         if share.total() > holding.total() or (is_enough and not missing_slots(holding, capacity)):
             continue
         total_before = holding.total()
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer.py
@@ -169,7 +169,7 @@
             | RegistryRead()
             | EntryUnreadable()
         ):
-            # Only on platforms whose store has the settings and servers; see `reducer_store`.
+            # Events of platforms whose store has the settings and servers; see `reducer_store`.
             return []
         case unreachable:
             assert_never(unreachable)
@@ -190,8 +190,8 @@
             return claim_flow.on_message(state, now, sender, message)
         case (SettingsAsk() | SettingsSend()) as message:
             return settings_flow.on_message(state, now, sender, message)
-        case Heartbeat() as beat:
-            return _on_heartbeat(state, now, sender, beat)
+        case Heartbeat() as heartbeat:
+            return _on_heartbeat(state, now, sender, heartbeat)
         case LimitAsk() as ask:
             return limit.on_ask(state, now, sender, ask)
         case LimitGrant() as grant:
@@ -214,13 +214,15 @@
     effects += model_demand.on_tick(state, now)
     effects += model_flow.on_tick(state, now)
     effects += tick_others(state, now)
-    # Flushing withdraws unused claims, which would block their keys, and reports the ends of calls.
-    # `exit_when_done` limits the time, because the log may be down.
+    # The outbox is flushed before the exit, as it withdraws unused claims, which would block their
+    # keys, and reports the ends of calls. `exit_when_done` limits the time, as the log may be down.
     return effects + exit_when_done(state, now, flushed=is_flushed(state.claims.outbox))
 
 
-def _on_heartbeat(state: State, now: float, sender: InstanceName, beat: Heartbeat) -> list[Effect]:
-    effects, full_beat = membership_reducer.on_heartbeat(state, now, sender, beat)
-    if full_beat is None:
+def _on_heartbeat(
+    state: State, now: float, sender: InstanceName, heartbeat: Heartbeat
+) -> list[Effect]:
+    effects, full_heartbeat = membership_reducer.on_heartbeat(state, now, sender, heartbeat)
+    if full_heartbeat is None:
         return effects
-    return effects + settings_flow.on_heartbeat(state, sender, full_beat)
+    return effects + settings_flow.on_heartbeat(state, sender, full_heartbeat)
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_common.py
@@ -1,6 +1,6 @@
 """The part of the reducers that does not depend on where settings and servers are published.
 
-Requests and their attempts, servers, members, loads of peers, quarantine and the graceful stop are
+Requests and their attempts, servers, members, load updates, quarantine and the graceful stop are
 handled in the same way everywhere. `reducer` adds the log of settings, claims and leases;
 `reducer_store` adds a platform whose store has the settings as one document and the servers'
 entries. A process runs one of the two.
@@ -97,8 +97,8 @@
             quarantine.note_report(state, now, event)
             attempt_accounting.reset_if_restarted(state, now, event)
             server_table.note_report(state.servers, state.options, now, event)
-            answered = lifecycle.on_server_answered(state, now, event)
-            return answered + dispatch.dispatch_all(state, now)
+            effects = lifecycle.on_server_answered(state, now, event)
+            return effects + dispatch.dispatch_all(state, now)
         case ServerUnreachable(server, _):
             server_table.note_unreachable(state.servers, state.options, now, server)
             return []
@@ -132,8 +132,8 @@
 def _on_peer(state: State, now: float, event: PeerReceived) -> list[Effect]:
     sender = event.sender
     match event.message:
-        case Heartbeat() as beat:
-            effects, _ = membership_reducer.on_heartbeat(state, now, sender, beat)
+        case Heartbeat() as heartbeat:
+            effects, _ = membership_reducer.on_heartbeat(state, now, sender, heartbeat)
             return effects
         case (
             MembersAsk() | MembersSend() | MarksAsk() | MarksSend() | ServersAsk() | ServersSend()
@@ -143,14 +143,14 @@
             return quarantine_flow.on_message(state, now, sender, message)
         case (CreditDemand() | CreditGrant()) as message:
             return dispatch.on_credit(state, now, sender, message)
-        case LoadNews() as news:
-            load_updates.on_load_update(state, now, sender, news)
+        case LoadNews() as update:
+            load_updates.on_load_update(state, now, sender, update)
             return dispatch.dispatch_all(state, now)
         case LoadBundle() as bundle:
             load_updates.on_load_bundle(state, now, sender, bundle)
             return dispatch.dispatch_all(state, now)
         case _:
-            # The message is for a concern that this process does not have.
+            # The message is for a reducer that this process does not run.
             return []
 
 
@@ -187,8 +187,8 @@
         return []
     elapsed_s = now - stopping_since
     if elapsed_s >= state.options.stop_limit_s:
-        # Prevents a kill by the supervisor, which would give callers less information than a cut
-        # answer.
+        # Prevents the supervisor from killing the process, which would tell callers less than a
+        # truncated answer.
         return [Log("stop_limit", {"in_flight": len(state.requests)}), Exit()]
     if state.requests or elapsed_s <= state.options.stop_grace_s:
         return []
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
@@ -1,6 +1,6 @@
-"""The reducer for platforms that have duties with one holder at a time; extends `reducer_store`.
+"""The reducer for platforms with duties that one instance holds at a time; extends `reducer_store`.
 
-Imported only if the settings of the process name such duties.
+Imported only if the settings of the process configure such duties.
 """
 
 from __future__ import annotations
@@ -55,7 +55,7 @@
             _note_store_result(state, now, works=isinstance(event, AppendDone))
             return lease_flow.on_append(state, now, event)
         case DutyAnswered():
-            return _on_answered(state, now, event)
+            return _on_duty_answered(state, now, event)
         case _:
             return reducer_store.reduce(state, now, event)
 
@@ -96,7 +96,7 @@
         election.note_call_outcome(state, now, works=works)
 
 
-def _on_answered(state: State, now: float, event: DutyAnswered) -> list[Effect]:
+def _on_duty_answered(state: State, now: float, event: DutyAnswered) -> list[Effect]:
     effects = usage.on_answered(state, now, event) + capacity.on_answered(state, now, event)
     if event.outcome is DutyOutcome.STALE:
         effects += lease_flow.drop_lease(state, now, election.SCOPE)
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_store.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_store.py
@@ -2,7 +2,8 @@
 
 The settings come as one document (`document`), and the servers register themselves (`registry`).
 Claims, leases, limits and the log of settings belong to the log-based interface (`reducer`). On
-this platform a caller's attempt runs on only one instance, so instances need not agree on it.
+this platform a caller's attempt runs on only one instance, so instances need not agree on which one
+runs it.
 """
 
 from __future__ import annotations
@@ -103,15 +104,15 @@
             effects = reduce_common(state, now, event)
             return effects + dead_server.on_unreachable(state, now, server)
         case AttemptEnded(request_id, _, EndUnsent()):
-            # A request that could not be sent shows the same as a failed probe.
+            # Like a failed probe, a request that could not be sent shows an unreachable server.
             req = state.requests.get(request_id)
             attempt = None if req is None else req.attempt
             effects = reduce_common(state, now, event)
             if attempt is None:
                 return effects
             return effects + dead_server.on_unreachable(state, now, attempt.server)
-        case PeerReceived(sender, RegistryNews() as news):
-            effects = registry.on_registry_update(state, now, sender, news)
+        case PeerReceived(sender, RegistryNews() as update):
+            effects = registry.on_registry_update(state, now, sender, update)
             effects += leaving.create_leaving_notices(state, now)
             return effects + dispatch.dispatch_all(state, now)
         case PeerReceived(sender, CachesAsk()):
--- a/packages/turmericweir-core/turmericweir_core/trust/__init__.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/__init__.py
@@ -1,1 +1,1 @@
-"""Decide whom to trust again: retries, silent connections, requests that crash servers."""
+"""Detect lost connections and requests that crash servers, and limit retries."""
--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -155,8 +155,8 @@
 def note_progress(state: State, attempt: Attempt) -> None:
     """Drop the breaks that tokens over an older connection to the server disprove.
 
-    A break is recorded up to a second late, so an attempt that started later than that may already
-    run on the restarted server and proves nothing.
+    A break may be recorded up to `crash_doubt_s` after the crash, so an attempt that started within
+    that time before the record may already run on the restarted server.
     """
     breaks = state.quarantine.breaks.get(attempt.server)
     if breaks:
