--- a/packages/turmericweir-core/turmericweir_core/credits/credit_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_ledger.py
@@ -1,4 +1,4 @@
-"""Queries on a ledger of credit, and `set_granted`, the only way to change a grant in it."""
+"""Queries on a ledger of credit, and `set_granted`, the only function that changes a grant."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
     If slots are granted by tier, those of a more urgent tier do not count for a lower one.
     """
     wants = demand_by_tier(holding)
-    if not capacity.by_tier:
+    if not capacity.is_tier_bound:
         return max(0, sum(wants.values()) - holding.total())
     short = 0
     missing = 0
@@ -70,15 +70,15 @@
 ) -> bool:
     """Set the grant of an instance; return whether its slots changed."""
     is_unchanged = slots == holding.granted
-    if not capacity.by_tier:
+    if not capacity.is_tier_bound:
         is_unchanged = sum(slots.values()) == holding.total()
     if is_unchanged and assured == holding.assured:
         holding.granted = slots
         return False
-    before = holding.total()
+    total_before = holding.total()
     holding.granted = slots
     holding.assured = assured
     holding.number += 1
-    if holding.total() < before:
-        holding.unconfirmed = max(holding.unconfirmed, before)
+    if holding.total() < total_before:
+        holding.unconfirmed = max(holding.unconfirmed, total_before)
     return True
