--- a/packages/turmericweir-ctl/turmericctl/rollout.py
+++ b/packages/turmericweir-ctl/turmericctl/rollout.py
@@ -1,7 +1,7 @@
 """Wait until a settings change is in force in every data centre, and report the exceptions.
 
-A data centre counts as in force only by its own status message. An unreachable data centre is
-reported as unreachable, with the age of its last status message.
+The settings count as in force in a data centre only if a status message from it confirms them. An
+unreachable data centre is reported with the age of its last status message.
 """
 
 from __future__ import annotations
--- a/packages/turmericweir/turmericweir/answers/caller_answer.py
+++ b/packages/turmericweir/turmericweir/answers/caller_answer.py
@@ -108,18 +108,18 @@
 class TokenAnswer:
     """An answer that consists of an engine's token events."""
 
-    __slots__ = ("_event_chunks", "_whole_answer", "caller")
+    __slots__ = ("_event_chunks", "_unstreamed_answer", "caller")
 
     caller: Caller
     # Chunks of complete events from all attempts, in order.
     _event_chunks: list[bytes]
     # The engine's answer if it is not a stream: status, content type, body.
-    _whole_answer: tuple[int, bytes, bytes] | None
+    _unstreamed_answer: tuple[int, bytes, bytes] | None
 
     def __init__(self, caller: Caller) -> None:
         self.caller = caller
         self._event_chunks = []
-        self._whole_answer = None
+        self._unstreamed_answer = None
 
     def prepare_resume(self, tokens: int) -> None:
         """Prepare for an attempt that resumes after this number of tokens."""
@@ -137,9 +137,9 @@
         """Return the text of the first tokens."""
         return sse.join_token_texts(self._event_chunks, tokens)
 
-    def set_whole_answer(self, status: int, content_type: bytes, body: bytes) -> None:
+    def set_unstreamed_answer(self, status: int, content_type: bytes, body: bytes) -> None:
         """Record an answer that is not a stream, for example an error status."""
-        self._whole_answer = (status, content_type, body)
+        self._unstreamed_answer = (status, content_type, body)
 
     async def finish(self, account: Account) -> bool:
         """Write the end of the answer; return False if the connection must be reset instead."""
@@ -193,8 +193,8 @@
     async def finish(self, account: Account) -> bool:
         """Write the outcome event, and [DONE] if the answer is complete."""
         completed = account.outcome is Outcome.COMPLETED
-        if completed and self._whole_answer is not None:
-            await self._write_whole_answer(account, self._whole_answer)
+        if completed and self._unstreamed_answer is not None:
+            await self._write_whole_answer(account, self._unstreamed_answer)
             return True
         if not completed and not self.caller.is_started:
             await self.caller.write_problem(make_account_problem(account))
@@ -229,8 +229,8 @@
         """Write the complete answer or a problem."""
         if account.outcome is not Outcome.COMPLETED:
             await self.caller.write_problem(make_account_problem(account))
-        elif self._whole_answer is not None:
-            await self._write_whole_answer(account, self._whole_answer)
+        elif self._unstreamed_answer is not None:
+            await self._write_whole_answer(account, self._unstreamed_answer)
         else:
             value = sse.aggregate(self._event_chunks, account.request_id, self.prompt_tokens)
             body = orjson.dumps(value)
@@ -260,7 +260,7 @@
     _received_bytes: int
     # Received bytes that were not written yet.
     _unsent: bytes
-    # Bodies up to this length are stored for replays with the same idempotency key.
+    # Bodies up to this length are stored to replay the answer for the same idempotency key.
     _stored_max_bytes: int
     _stored_body: bytes
 
@@ -300,7 +300,7 @@
         self.buffer_body(effect.body)
 
     @property
-    def has_announced_length(self) -> bool:
+    def has_received_announced_length(self) -> bool:
         """Whether the announced length was received."""
         return self._received_bytes == self._announced_bytes
 
--- a/packages/turmericweir/turmericweir/answers/forward_wire.py
+++ b/packages/turmericweir/turmericweir/answers/forward_wire.py
@@ -1,8 +1,8 @@
 """The interface between the forwarding of requests and a platform's HTTP headers.
 
-Each platform has its own headers for the customer, the time left, the request of an answer and the
-refusal of a request. An adapter translates them to and from these types. The core decides on the
-request, and `servers.forward` executes the decisions.
+Each platform has its own headers for the customer, the remaining time, the request that an answer
+belongs to, and refusals. An adapter translates them to and from these types. The core decides on
+the request, and `servers.forward` executes the decisions.
 """
 
 from __future__ import annotations
@@ -108,7 +108,7 @@
         """Return the answer to a request that ended without a server's answer."""
 
     def server_headers(
-        self, call: ForwardCall, start: StartAttempt, left_s: float, last_event: bytes
+        self, call: ForwardCall, start: StartAttempt, remaining_s: float, last_event: bytes
     ) -> Headers:
         """Return all headers for one server; `last_event` is empty unless a stream is resumed."""
 
--- a/packages/turmericweir/turmericweir/callers/caller_app.py
+++ b/packages/turmericweir/turmericweir/callers/caller_app.py
@@ -100,7 +100,7 @@
         )
 
     async def _answer_internal_error(self, scope: HTTPScope, caller: Caller) -> None:
-        """Answer that the outcome is unknown, or reset a connection with a started answer."""
+        """Answer that the outcome is unknown; if the answer was started, reset the connection."""
         if caller.is_started:
             _connection(scope).reset_connection()
             return
--- a/packages/turmericweir/turmericweir/callers/caller_request.py
+++ b/packages/turmericweir/turmericweir/callers/caller_request.py
@@ -32,13 +32,13 @@
 # A prompt's prefixes are hashed at the end of each message and at each multiple of this length
 # within a message, which detects prefixes that end within a message.
 PREFIX_STEP_CHARS: Final = 512
-# Further prefixes of a prompt are not recorded.
+# The maximum number of prefixes that are recorded for a prompt.
 PREFIXES_MAX: Final = 256
-# Headers that only the router reads.
+# Request headers that the router evaluates.
 DEADLINE_HEADER: Final = b"turmericweir-deadline-ms"
-KEY_HEADER: Final = b"idempotency-key"
+IDEMPOTENCY_KEY_HEADER: Final = b"idempotency-key"
 DEADLINE_MAX_MS: Final = 86_400_000
-KEY_MAX_CHARS: Final = 256
+IDEMPOTENCY_KEY_MAX_CHARS: Final = 256
 _BEARER: Final = b"bearer "
 _SAFE_METHODS: Final = frozenset({"GET", "HEAD", "OPTIONS"})
 _WILDCARD: Final = "*"
@@ -69,10 +69,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptSummary:
-    """The prefix hashes and the word count of a prompt."""
+    """The prefix hashes of a prompt, and its word count, which approximates its token count."""
 
     prefixes: tuple[str, ...]
-    words: int
+    word_count: int
 
 
 def authenticate(config: Config, headers: HeadersByName) -> Customer:
@@ -105,7 +105,7 @@
     request = _make_request(request_id, ServiceKind.MODEL, target, customer, service_class, headers)
     request.fingerprint = _fingerprint(target, engine_body)
     request.prefixes = prompt.prefixes
-    request.prompt_tokens = prompt.words
+    request.prompt_tokens = prompt.word_count
     request.max_tokens = chat.max_tokens
     request.streamed = chat.stream
     return request, engine_body
@@ -221,11 +221,11 @@
 
 
 def _parse_idempotency_key(headers: HeadersByName) -> str | None:
-    value = headers.get(KEY_HEADER)
+    value = headers.get(IDEMPOTENCY_KEY_HEADER)
     if value is None:
         return None
-    if not 0 < len(value) <= KEY_MAX_CHARS or not value.isascii():
-        detail = f"Idempotency-Key is not 1 to {KEY_MAX_CHARS} ASCII characters long."
+    if not 0 < len(value) <= IDEMPOTENCY_KEY_MAX_CHARS or not value.isascii():
+        detail = f"Idempotency-Key is not 1 to {IDEMPOTENCY_KEY_MAX_CHARS} ASCII characters long."
         raise RefusedError(Reason.BAD_REQUEST, detail)
     return value.decode("ascii")
 
@@ -240,17 +240,17 @@
 def _summarize_prompt(chat: ChatBody) -> PromptSummary:
     hasher = xxhash.xxh3_64()
     prefixes: list[str] = []
-    words = 0
+    word_count = 0
     for message in chat.messages:
         text = _message_text(message)
-        words += len(text.split())
+        word_count += len(text.split())
         # The engine includes the role in the prompt.
         hasher.update(message.role.encode() + b"\0")
         for piece in _split_text(text):
             hasher.update(piece.encode(errors="surrogatepass"))
             if len(prefixes) < PREFIXES_MAX:
                 prefixes.append(hasher.hexdigest())
-    return PromptSummary(tuple(prefixes), words)
+    return PromptSummary(tuple(prefixes), word_count)
 
 
 def _split_text(text: str) -> Iterator[str]:
--- a/packages/turmericweir/turmericweir/callers/exchange.py
+++ b/packages/turmericweir/turmericweir/callers/exchange.py
@@ -1,7 +1,7 @@
 """Run one caller's request as the reducer decides.
 
-An exchange passes its request to the reducer, waits for a decision, runs the attempt that it names
-and reports its end, until the reducer returns the final account. All of this runs in the caller's
+An exchange passes its request to the reducer. It then runs each attempt that the reducer starts and
+reports how it ended, until the reducer returns the final account. All of this runs in the caller's
 task, which avoids queues and task switches.
 """
 
@@ -103,7 +103,7 @@
     request: Request
     caller: Caller
     job: RequestJob
-    # Decisions of the reducer that were not executed yet.
+    # Decisions of the reducer that have not been executed yet.
     _decisions: deque[StartAttempt | FinishRequest]
     # Set when a decision arrives; None while the exchange does not wait for one.
     _decision_event: anyio.Event | None
@@ -112,9 +112,9 @@
     _attempt_scope: anyio.CancelScope | None
     # Attempts that were cancelled before they were started.
     _cancelled_attempts: set[AttemptId]
-    # Since when a write to the caller is blocked; None while none is.
+    # Since when a write to the caller is blocked; None while no write is blocked.
     _blocked_since: float | None
-    # An internal error in an event of this request, after which no decision may arrive.
+    # An internal error in the handling of an event of this request; no decision may follow it.
     _fault: BaseException | None
     # The final account; None before the request ends.
     account: Account | None
@@ -260,5 +260,5 @@
         if end is None:
             end = self._cancelled_end(attempt)
             if attempt.may_have_started:
-                self._node.in_background(self.job.on_attempt_cancelled, self._pool, start)
+                self._node.run_in_background(self.job.on_attempt_cancelled, self._pool, start)
         self._node.handle(AttemptEnded(start.request_id, start.attempt_id, end))
--- a/packages/turmericweir/turmericweir/daemon.py
+++ b/packages/turmericweir/turmericweir/daemon.py
@@ -55,7 +55,7 @@
     streams: PeerStreams
     datagrams: PeerDatagrams
     servers: ServerCalls
-    operators: VerdictWaiters
+    verdict_waiters: VerdictWaiters
     metrics: Metrics
 
 
@@ -79,16 +79,16 @@
 
 
 async def _make_parts(cfg: ProcessSettings, stack: AsyncExitStack) -> DaemonParts:
-    own_name = InstanceName(cfg.name)
+    local_name = InstanceName(cfg.name)
     peer_address = cfg.peer_listen_address or cfg.peer_address
     pool = await stack.enter_async_context(BackendPool())
     return DaemonParts(
         pool=pool,
         platform=PlatformClient(pool, cfg.platform.address, cfg.platform.source or cfg.name),
-        streams=await stack.enter_async_context(PeerStreams(own_name, peer_address)),
-        datagrams=await stack.enter_async_context(PeerDatagrams(own_name, peer_address)),
+        streams=await stack.enter_async_context(PeerStreams(local_name, peer_address)),
+        datagrams=await stack.enter_async_context(PeerDatagrams(local_name, peer_address)),
         servers=ServerCalls(pool),
-        operators=VerdictWaiters(),
+        verdict_waiters=VerdictWaiters(),
         metrics=_make_metrics(cfg, stack),
     )
 
@@ -119,7 +119,7 @@
         peers=parts.streams,
         datagrams=parts.datagrams,
         servers=parts.servers,
-        operators=parts.operators,
+        operators=parts.verdict_waiters,
         metrics=parts.metrics,
     )
     node = Node(_make_state(cfg), reduce, adapters, group, unread_s=cfg.limits.unread_s)
@@ -154,20 +154,20 @@
         "traffic": lambda: node.traffic,
         "live_instances": lambda: _live_instance_names(node),
     }
-    operators = OperatorPort(node, views, parts.operators, cfg.admin_tokens)
+    operators = OperatorPort(node, views, parts.verdict_waiters, cfg.admin_tokens)
     admin = HttpServer(operators, cfg.limits)
-    forced = anyio.Event()
+    force_stop_requested = anyio.Event()
     async with anyio.create_task_group() as group:
         group.start_soon(_serve_http, admin, admin_socket)
-        group.start_soon(_handle_signals, node, forced)
-        group.start_soon(_cancel_on_event, forced, group.cancel_scope)
+        group.start_soon(_handle_signals, node, force_stop_requested)
+        group.start_soon(_cancel_on_event, force_stop_requested, group.cancel_scope)
         addresses = (bound_address(caller_socket), bound_address(admin_socket))
         group.start_soon(_report_listening, cfg.name, callers, admin, addresses)
         group.start_soon(_stop_callers_on_exit, node, callers)
         await _serve_http(callers, caller_socket)
         # `_serve_http` returns after the last answer.
         group.cancel_scope.cancel()
-    return FORCED_STOP_STATUS if forced.is_set() else 0
+    return FORCED_STOP_STATUS if force_stop_requested.is_set() else 0
 
 
 def _live_instance_names(node: Node) -> list[str]:
@@ -195,12 +195,12 @@
         sys.stdout.flush()
 
 
-async def _handle_signals(node: Node, forced: anyio.Event) -> None:
+async def _handle_signals(node: Node, force_stop_requested: anyio.Event) -> None:
     with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
         async for signum in signals:
             if node.is_stopping and signum == signal.SIGINT:
                 logs.write("forced_stop", signal=signum.name, in_flight=len(node.active_requests))
-                forced.set()
+                force_stop_requested.set()
             elif not node.is_stopping:
                 logs.write("signal", signal=signum.name)
                 node.stop()
@@ -211,6 +211,6 @@
     callers.stop()
 
 
-async def _cancel_on_event(forced: anyio.Event, scope: anyio.CancelScope) -> None:
-    await forced.wait()
+async def _cancel_on_event(event: anyio.Event, scope: anyio.CancelScope) -> None:
+    await event.wait()
     scope.cancel()
--- a/packages/turmericweir/turmericweir/entry_daemon.py
+++ b/packages/turmericweir/turmericweir/entry_daemon.py
@@ -77,7 +77,7 @@
 # How much longer than a lease a successor waits, as clocks may differ in rate.
 _LEASE_MARGIN_SHARE: Final = 0.1
 _RELOAD_INTERVAL_S: Final = 1.0
-# How much longer than the documented time idle connections are kept.
+# How much longer idle connections are kept than the settings document states.
 _KEEP_ALIVE_EXTRA_S: Final = 1.0
 # Collections are rare because reference counting frees nearly all objects.
 _GC_THRESHOLD: Final = 20_000
@@ -252,7 +252,7 @@
 async def run(
     path: Path,
     cfg: EntrySettings,
-    border: PlatformAdapters,
+    platform_adapters: PlatformAdapters,
     callers: socket.socket,
     is_stop_requested: Callable[[], bool],
 ) -> int:
@@ -264,18 +264,18 @@
         pipe = stack.enter_context(LogPipe(sys.stdout.fileno(), cfg.name))
         logs.write("starting", data_centre=cfg.data_centre, store=cfg.store.address)
         sockets = _bind_all(cfg, callers, stack)
-        own_name = InstanceName(cfg.name)
+        local_name = InstanceName(cfg.name)
         pool = await stack.enter_async_context(BackendPool())
-        streams = await stack.enter_async_context(PeerStreams(own_name, cfg.peer_address))
-        datagrams = await stack.enter_async_context(PeerDatagrams(own_name, cfg.peer_address))
+        streams = await stack.enter_async_context(PeerStreams(local_name, cfg.peer_address))
+        datagrams = await stack.enter_async_context(PeerDatagrams(local_name, cfg.peer_address))
         servers = ConnectionProbes(pool)
         metrics = PrometheusMetrics()
-        follower = border.make_follower(pool, cfg)
+        follower = platform_adapters.make_follower(pool, cfg)
         state = make_state(cfg)
         reduce: Reducer = reducer_store.reduce
         duties: DutyAdapters | None = None
         if cfg.duties is not None:
-            duties = border.make_duty_adapters(pool, cfg, cfg.duties)
+            duties = platform_adapters.make_duty_adapters(pool, cfg, cfg.duties)
             reduce = _add_duties(state, cfg.duties, duties)
         adapters = Adapters(
             streams,
@@ -305,7 +305,7 @@
             _start_tasks(node, pool, streams, datagrams, follower, group)
             _tune_garbage_collector()
             group.start_soon(_handle_signals, node, is_stop_requested)
-            await _serve(cfg, node, pool, border, metrics, sockets)
+            await _serve(cfg, node, pool, platform_adapters, metrics, sockets)
             group.cancel_scope.cancel()
         logs.write("stopped", in_flight=len(node.active_requests))
     return 0
@@ -369,13 +369,13 @@
     cfg: EntrySettings,
     node: Node,
     pool: BackendPool,
-    border: PlatformAdapters,
+    platform_adapters: PlatformAdapters,
     metrics: PrometheusMetrics,
     sockets: _Sockets,
 ) -> None:
     limits: HttpLimits = SettingsHttpLimits(node.state)
-    callers = HttpServer(ForwardApp(node, pool, border.wire), limits)
-    readiness = HttpServer(border.make_readiness_app(lambda: is_ready(node)), limits)
+    callers = HttpServer(ForwardApp(node, pool, platform_adapters.wire), limits)
+    readiness = HttpServer(platform_adapters.make_readiness_app(lambda: is_ready(node)), limits)
     async with anyio.create_task_group() as group:
         group.start_soon(_serve_http, readiness, sockets.readiness)
         if sockets.admin is not None:
--- a/packages/turmericweir/turmericweir/operations/dump.py
+++ b/packages/turmericweir/turmericweir/operations/dump.py
@@ -29,7 +29,7 @@
 _MAX_DEPTH: Final = 24
 
 
-# Any: a plain JSON value is whatever the state holds.
+# Any: the structure of the result depends on the value.
 def dump(value: object, depth: int = 0) -> Any:
     """Return a value as plain JSON."""
     if value is None or isinstance(value, bool | int):
--- a/packages/turmericweir/turmericweir/operations/operator_http.py
+++ b/packages/turmericweir/turmericweir/operations/operator_http.py
@@ -102,7 +102,7 @@
         """Send a JSON answer."""
         await self._send(status, _JSON, value)
 
-    async def problem(self, error: ProblemError) -> None:
+    async def answer_problem(self, error: ProblemError) -> None:
         """Send a problem as the answer."""
         status = error.status
         value = {
@@ -148,8 +148,8 @@
     try:
         await handler(request)
     except ProblemError as exc:
-        await request.problem(exc)
+        await request.answer_problem(exc)
     except Exception as exc:
         logs.write_fault("answer operator", request.path, exc)
         problem = ProblemError(HTTPStatus.INTERNAL_SERVER_ERROR, describe_error(exc))
-        await request.problem(problem)
+        await request.answer_problem(problem)
--- a/packages/turmericweir/turmericweir/operations/operator_port.py
+++ b/packages/turmericweir/turmericweir/operations/operator_port.py
@@ -28,11 +28,11 @@
         self,
         node: Node,
         views: Mapping[str, Callable[[], object]],
-        operators: VerdictWaiters,
+        verdict_waiters: VerdictWaiters,
         tokens: Iterable[AdminToken],
     ) -> None:
         auth = OperatorAuth(tokens)
-        self._admin = AdminApp(node, auth, views, SettingsApp(node, operators, auth))
+        self._admin = AdminApp(node, auth, views, SettingsApp(node, verdict_waiters, auth))
         self._drain = DrainApp(node, auth)
 
     async def __call__(
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -101,12 +101,12 @@
     """Answers requests to read or change settings."""
 
     _node: Node
-    _operators: VerdictWaiters
+    _verdict_waiters: VerdictWaiters
     _auth: OperatorAuth
 
-    def __init__(self, node: Node, operators: VerdictWaiters, auth: OperatorAuth) -> None:
+    def __init__(self, node: Node, verdict_waiters: VerdictWaiters, auth: OperatorAuth) -> None:
         self._node = node
-        self._operators = operators
+        self._verdict_waiters = verdict_waiters
         self._auth = auth
 
     async def __call__(
@@ -266,7 +266,7 @@
         task_status: TaskStatus[None],
     ) -> None:
         task_status.started()
-        verdicts.append(await self._operators.wait(change_id, wait_s))
+        verdicts.append(await self._verdict_waiters.wait(change_id, wait_s))
 
 
 def _read_change_value(request: OperatorRequest, path: str, body: ChangeBody) -> Any:
--- a/packages/turmericweir/turmericweir/peers/peer_datagrams.py
+++ b/packages/turmericweir/turmericweir/peers/peer_datagrams.py
@@ -18,7 +18,7 @@
 from turmericweir_core.messages.effects import SendDatagram
 from turmericweir_core.messages.peer_messages import PeerMessage
 
-# The network fragments larger datagrams, and loses the whole if a fragment is lost.
+# Below the limit of UDP over IPv4, 65,507 bytes.
 DATAGRAM_MAX_BYTES: Final = 60_000
 
 
@@ -31,7 +31,7 @@
     _local_name: InstanceName
     _address: str
     _transport: asyncio.DatagramTransport
-    # The send buffer is full; datagrams sent meanwhile are dropped and counted.
+    # Whether the send buffer is full; until it has space, datagrams are dropped and counted.
     _is_write_paused: bool
     # The last encoded message and its frame, since most messages go to several peers.
     _encoded_message: PeerMessage | None
--- a/packages/turmericweir/turmericweir/peers/peer_streams.py
+++ b/packages/turmericweir/turmericweir/peers/peer_streams.py
@@ -212,7 +212,7 @@
             source_ip = self._address.rpartition(":")[0]
             link = PeerLink(self._node, effect.peer, effect.address, source_ip)
             self._links[effect.peer] = link
-            self._node.in_background(link.run)
+            self._node.run_in_background(link.run)
         frame = encode(self._local_name, effect.message)
         self._node.traffic.counter_for(effect.message).sent.add(len(frame))
         link.send(frame)
--- a/packages/turmericweir/turmericweir/platform_client.py
+++ b/packages/turmericweir/turmericweir/platform_client.py
@@ -168,13 +168,13 @@
         )
 
     def _protocol_error(self, step: str, detail: str) -> CallError:
-        return CallError(step, self._address, detail, sent=True)
+        return CallError(step, self._address, detail, was_sent=True)
 
     # Appends.
 
     def append(self, effect: AppendRecords) -> None:
         """Append records in the background."""
-        self._node.in_background(self._append, effect)
+        self._node.run_in_background(self._append, effect)
 
     async def _append(self, effect: AppendRecords) -> None:
         target = f"/log/{effect.stream}/append"
@@ -182,12 +182,12 @@
         try:
             answer = await self._call(b"POST", target, value=value, timeout_s=_CALL_TIMEOUT_S)
         except CallError as exc:
-            self._append_failed(effect, str(exc), may_have_applied=exc.sent)
+            self._append_failed(effect, str(exc), may_have_applied=exc.was_sent)
             return
         if answer.status != 200:
             # Only a 4xx status proves that the platform has rejected the append.
-            refused = 400 <= answer.status < 500
-            self._append_failed(effect, f"status {answer.status}", may_have_applied=not refused)
+            is_rejected = 400 <= answer.status < 500
+            self._append_failed(effect, f"status {answer.status}", may_have_applied=not is_rejected)
             return
         try:
             body = AppendBody.model_validate(answer.json())
@@ -228,7 +228,7 @@
             self._stream_reads[effect.stream] = effect
             return
         self._stream_reads[effect.stream] = None
-        self._node.in_background(self._read_for_effect, effect)
+        self._node.run_in_background(self._read_for_effect, effect)
 
     async def _read_for_effect(self, effect: ReadLog) -> None:
         stream = effect.stream
@@ -302,12 +302,12 @@
 
     def request_load_permit(self, effect: RequestLoadPermit) -> None:
         """Request a permit to load a model, in the background."""
-        self._node.in_background(self._request_load_permit, effect)
+        self._node.run_in_background(self._request_load_permit, effect)
 
     async def _request_load_permit(self, effect: RequestLoadPermit) -> None:
         value = {"model": effect.model, "version": effect.version}
         retry_after_s = _DEFAULT_RETRY_AFTER_S
-        granted = False
+        is_granted = False
         try:
             answer = await self._call(
                 b"POST", "/weights/grant", value=value, timeout_s=_CALL_TIMEOUT_S
@@ -315,11 +315,11 @@
         except CallError as exc:
             logs.write("weights_unanswered", step=exc.step, peer=exc.peer, error=exc.detail)
         else:
-            granted = answer.status == 200
+            is_granted = answer.status == 200
             if answer.status == _STATUS_TOO_MANY_REQUESTS:
                 retry_after_s = _retry_after_s(answer)
         event = WeightsAnswered(
-            effect.model, effect.version, granted, 0.0 if granted else retry_after_s
+            effect.model, effect.version, is_granted, 0.0 if is_granted else retry_after_s
         )
         self._node.handle(event)
 
--- a/packages/turmericweir/turmericweir/process/entry_settings.py
+++ b/packages/turmericweir/turmericweir/process/entry_settings.py
@@ -44,14 +44,14 @@
 class StoreSettings(msgspec.Struct, frozen=True, kw_only=True):
     """The address of the platform's store."""
 
-    # ip:port
+    # ip:port.
     address: str
 
 
 class DutiesSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Calls to the platform that only one instance at a time makes."""
 
-    # Where the platform accepts the calls, ip:port
+    # Where the platform accepts the calls, ip:port.
     address: str
     # Kinds of duties; unknown ones are ignored.
     kinds: list[str] = []
@@ -59,7 +59,7 @@
     calls_per_s: float = 50
     # Whether the platform rejects calls whose fencing number is below an earlier one.
     checks_fence: bool = True
-    # Milliseconds in which an instance that lost its lease must not act again.
+    # Duration of a lease, in milliseconds. An instance must not act on a lease that has expired.
     lease_ms: float = 3_000
     # Length of a usage window, and the delay after its end until its report, in seconds.
     window_s: float = 60
@@ -69,9 +69,9 @@
 class BoundsSettings(msgspec.Struct, frozen=True, kw_only=True):
     """Limits that the platform sets for every process."""
 
-    # Time after which a leaving server receives no new requests.
+    # Maximum time until a leaving server receives no new requests.
     drain_ms: float = 2_000
-    # Time after which settings are in force everywhere.
+    # Maximum time until changed settings are in force everywhere.
     settings_ms: float = 2_000
     # Time after which a stopping process is killed, in seconds.
     grace_s: float = 8
@@ -168,8 +168,8 @@
     host, _, port = text.rpartition(":")
     try:
         ipaddress.ip_address(host)
-        number = int(port)
+        port_number = int(port)
     except ValueError:
-        number = -1
-    if not 0 <= number <= _PORT_MAX:
+        port_number = -1
+    if not 0 <= port_number <= _PORT_MAX:
         raise ValueError(f"{name}: expected ip:port, got {text!r}")
--- a/packages/turmericweir/turmericweir/process/errors.py
+++ b/packages/turmericweir/turmericweir/process/errors.py
@@ -31,10 +31,10 @@
 class CallError(DaemonError):
     """A call to a backend server or the platform returned no usable answer."""
 
-    def __init__(self, step: str, peer: str, detail: str, *, sent: bool) -> None:
+    def __init__(self, step: str, peer: str, detail: str, *, was_sent: bool) -> None:
         super().__init__(step, peer, detail)
         # Whether the first byte was written, after which the peer may have run the call.
-        self.sent = sent
+        self.was_sent = was_sent
 
 
 class PeerError(DaemonError):
--- a/packages/turmericweir/turmericweir/process/log_pipe.py
+++ b/packages/turmericweir/turmericweir/process/log_pipe.py
@@ -115,7 +115,7 @@
             except BlockingIOError:
                 return
             except OSError:
-                # The reader is gone for the rest of the process.
+                # The reader has closed the pipe; nothing can be written any more.
                 self._buffered_lines.clear()
                 self._buffered_bytes = 0
                 return
--- a/packages/turmericweir/turmericweir/process/node.py
+++ b/packages/turmericweir/turmericweir/process/node.py
@@ -1,8 +1,8 @@
 """The loop around the core: reduce one event at a time and perform its effects.
 
 Any task of the thread may call `handle`. If performing an effect causes another event, that event
-waits in a queue until all effects of the current one are performed. Therefore one reduce runs at a
-time, and effects keep their order.
+waits in a queue until all effects of the current one are performed. Therefore one event is reduced
+at a time, and effects keep their order.
 """
 
 from __future__ import annotations
@@ -299,7 +299,7 @@
         """Add to a counter, for an adapter."""
         self._adapters.metrics.count(name, by)
 
-    def in_background(
+    def run_in_background(
         self, work: Callable[[Unpack[PosArgs]], Awaitable[Any]], *args: *PosArgs
     ) -> None:
         """Run a background task; log its failure."""
--- a/packages/turmericweir/turmericweir/process/process_settings.py
+++ b/packages/turmericweir/turmericweir/process/process_settings.py
@@ -57,7 +57,7 @@
     name: str = Field(min_length=1)
     # SHA-256 of the token, 64 hex digits.
     token_sha256: str = Field(pattern=r"^[0-9a-f]{64}$")
-    # Settings paths that the operator may change.
+    # Settings paths below which the operator may make changes.
     paths: tuple[str, ...] = ("/",)
 
 
--- a/packages/turmericweir/turmericweir/process/prometheus_metrics.py
+++ b/packages/turmericweir/turmericweir/process/prometheus_metrics.py
@@ -10,7 +10,7 @@
 if TYPE_CHECKING:
     from uvicorn._types import ASGIReceiveCallable, ASGISendCallable, Scope
 
-# Fine around the targets of plain calls (100 ms) and of first tokens (0.4 to 2 s).
+# Narrow buckets around the targets of plain calls (100 ms) and of first tokens (0.4 to 2 s).
 _BUCKETS_S: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.4, 0.6, 1.0, 2.0, 4.0, 8.0, 16.0)
 _CONTENT_TYPE: Final = b"text/plain; version=0.0.4; charset=utf-8"
 
--- a/packages/turmericweir/turmericweir/process/verdict_waiters.py
+++ b/packages/turmericweir/turmericweir/process/verdict_waiters.py
@@ -50,7 +50,7 @@
     __slots__ = ("settled", "verdict")
 
     settled: anyio.Event
-    # Any: see `Operators.wait`.
+    # Any: see `VerdictWaiters.wait`.
     verdict: Any | None
 
     def __init__(self) -> None:
--- a/packages/turmericweir/turmericweir/servers/backend_attempt.py
+++ b/packages/turmericweir/turmericweir/servers/backend_attempt.py
@@ -69,7 +69,7 @@
     # The connection error that occurred after the first byte was written; empty without one.
     connection_error: str
     _first_byte: FirstByteCallback
-    # The connection has carried an earlier request.
+    # Whether the connection has carried an earlier request.
     _is_reused: bool
     _check_alive: AliveCheck
 
@@ -91,13 +91,13 @@
     @property
     def may_have_started(self) -> bool:
         """Return whether the server may have started."""
-        return self._first_byte.sent
+        return self._first_byte.was_called
 
     def _report_sent(self) -> None:
         start = self.start
         self.node.handle(AttemptSent(start.request_id, start.attempt_id, self._is_reused))
 
-    async def run(self, make: MakeRequest, consume: Consume) -> AttemptEnd:
+    async def run(self, make_request: MakeRequest, consume: Consume) -> AttemptEnd:
         """Run the attempt until it ends or is cancelled.
 
         The request is built after the connection is open, since it may contain the remaining time.
@@ -107,7 +107,7 @@
             conn = await self.pool.acquire(address, idle_max_s=_idle_max_s(self.start))
             self._is_reused = conn.is_reused
             try:
-                response = await conn.send(make(), self._first_byte)
+                response = await conn.send(make_request(), self._first_byte)
                 end = await consume(response)
                 # Marks the connection as idle if the answer was read completely.
                 await response.aclose()
@@ -190,7 +190,7 @@
     """
     try:
         answer = await call(
-            pool, b"GET", address, "/v1/load", timeout_s=PROBE_TIMEOUT_S, fresh=True
+            pool, b"GET", address, "/v1/load", timeout_s=PROBE_TIMEOUT_S, needs_new_connection=True
         )
     except CallError:
         return False
--- a/packages/turmericweir/turmericweir/servers/backend_call.py
+++ b/packages/turmericweir/turmericweir/servers/backend_call.py
@@ -40,18 +40,18 @@
 class FirstByteCallback:
     """Records that the first byte of a request is about to be written."""
 
-    __slots__ = ("_callback", "sent")
+    __slots__ = ("_callback", "was_called")
 
-    sent: bool
+    was_called: bool
     _callback: Callable[[], None] | None
 
     def __init__(self, callback: Callable[[], None] | None = None) -> None:
-        self.sent = False
+        self.was_called = False
         self._callback = callback
 
     def __call__(self) -> None:
         """Record that the first byte is about to be written, and run the callback."""
-        self.sent = True
+        self.was_called = True
         if self._callback is not None:
             self._callback()
 
@@ -81,10 +81,10 @@
     raw: bytes = b"",
     headers: tuple[tuple[bytes, bytes], ...] = (),
     timeout_s: float,
-    fresh: bool = False,
+    needs_new_connection: bool = False,
     traffic: TrafficCounter | None = None,
 ) -> Answer:
-    """Make one call with an optional JSON or raw body; raise CallError without a full answer."""
+    """Make one call with a JSON or raw body, if any; raise CallError without a complete answer."""
     body = raw if value is None else orjson.dumps(value)
     sent_headers = [*headers, *([_JSON] if value is not None else [])]
     request = make_request(method, address, target.encode("ascii"), sent_headers, body)
@@ -93,16 +93,20 @@
         traffic.sent.add(_wire_size(method + target.encode("ascii"), request.headers, body))
     try:
         with anyio.fail_after(timeout_s):
-            conn = await pool.acquire(address, idle_max_s=0.0 if fresh else IDLE_MAX_S)
+            conn = await pool.acquire(
+                address, idle_max_s=0.0 if needs_new_connection else IDLE_MAX_S
+            )
             try:
                 return await _exchange(conn, request, first_byte, traffic)
             finally:
                 await pool.release(address, conn)
     except TimeoutError:
         detail = f"no complete answer within {timeout_s} s"
-        raise CallError(target, address, detail, sent=first_byte.sent) from None
+        raise CallError(target, address, detail, was_sent=first_byte.was_called) from None
     except TRANSPORT_ERRORS as exc:
-        raise CallError(target, address, describe_error(exc), sent=first_byte.sent) from exc
+        raise CallError(
+            target, address, describe_error(exc), was_sent=first_byte.was_called
+        ) from exc
 
 
 def _wire_size(first_line: bytes, headers: Iterable[tuple[bytes, bytes]], body: bytes) -> int:
@@ -134,18 +138,18 @@
     return aiter(response.stream)
 
 
-async def read_body(response: httpcore.Response, limit: int) -> bytes:
+async def read_body(response: httpcore.Response, max_bytes: int) -> bytes:
     """Read a complete body of limited size."""
     chunks: list[bytes] = []
     size = 0
     async for chunk in body_of(response):
         chunks.append(chunk)
         size += len(chunk)
-        if size > limit:
-            raise httpcore.RemoteProtocolError(f"the answer body exceeds {limit} bytes")
+        if size > max_bytes:
+            raise httpcore.RemoteProtocolError(f"the answer body exceeds {max_bytes} bytes")
     return b"".join(chunks)
 
 
 def lower_headers(response: httpcore.Response) -> dict[bytes, bytes]:
-    """Return the headers of a response by lower-case name; the last of repeated ones."""
+    """Return the headers of a response by lower-case name; of repeated ones, the last."""
     return {name.lower(): value for name, value in response.headers}
--- a/packages/turmericweir/turmericweir/servers/backend_engine.py
+++ b/packages/turmericweir/turmericweir/servers/backend_engine.py
@@ -115,7 +115,7 @@
             return EndBroken("the answer belongs to another attempt", server_alive=True)
         if is_stream:
             return await self._stream(response)
-        self._answer.set_whole_answer(
+        self._answer.set_unstreamed_answer(
             status, content_type, await read_body(response, _BODY_MAX_BYTES)
         )
         return EndComplete(status)
@@ -180,7 +180,7 @@
             "/v1/cancel",
             value=value,
             timeout_s=_CANCEL_TIMEOUT_S,
-            fresh=True,
+            needs_new_connection=True,
         )
     except CallError:
         return
--- a/packages/turmericweir/turmericweir/servers/backend_pool.py
+++ b/packages/turmericweir/turmericweir/servers/backend_pool.py
@@ -17,8 +17,8 @@
 
 from turmericweir.servers.backend_stream import BackendStream, connect
 
-# Prevents requests on idle connections that a device on the path or the server has dropped. Shorter
-# than the keep-alive time of any server.
+# How long a connection may be idle before it is reused. Shorter than any server's keep-alive time.
+# Prevents sending requests on connections that a server or a device on the path has dropped.
 IDLE_MAX_S: Final = 2.0
 # Limit of idle connections for one address; those beyond it are closed.
 MAX_IDLE_CONNECTIONS: Final = 64
@@ -36,9 +36,9 @@
     _http: httpcore.AsyncHTTP11Connection
     _stream: BackendStream
     opened_at: float
-    # It has carried a request before the current one.
+    # Whether it has carried a request before the current one.
     is_reused: bool
-    # A request was sent on it.
+    # Whether a request was sent on it.
     _has_sent: bool
 
     def __init__(self, address: str, stream: BackendStream) -> None:
--- a/packages/turmericweir/turmericweir/servers/backend_service.py
+++ b/packages/turmericweir/turmericweir/servers/backend_service.py
@@ -133,7 +133,7 @@
         answer.begin_answer(response.status, _end_to_end_headers(response_headers, _NOT_RETURNED))
         async for chunk in body_of(response):
             answer.buffer_body(chunk)
-            if not answer.has_announced_length:
+            if not answer.has_received_announced_length:
                 # Reports that the caller receives a part, which rules out a retry.
                 start = self._start
                 self._node.handle(AttemptProgress(start.request_id, start.attempt_id, 1))
--- a/packages/turmericweir/turmericweir/servers/backend_stream.py
+++ b/packages/turmericweir/turmericweir/servers/backend_stream.py
@@ -42,13 +42,13 @@
     # Chunks that were received and not read yet, and their total size.
     received_chunks: deque[bytes]
     _unread_bytes: int
-    # The other end has closed its side, or the connection is lost.
+    # Whether the other end has closed its side, or the connection is lost.
     has_ended: bool
     # Why the connection was lost; None if it was closed normally.
     error: Exception | None
     # Set when data arrives, writing resumes or the connection ends; None while no task waits.
     _progressed: anyio.Event | None
-    # The send buffer is full.
+    # Whether the send buffer is full.
     _is_write_paused: bool
 
     def __init__(self) -> None:
--- a/packages/turmericweir/turmericweir/servers/connection_probes.py
+++ b/packages/turmericweir/turmericweir/servers/connection_probes.py
@@ -39,7 +39,7 @@
         """Start a connection probe in the background."""
         if self._probe_counts[effect.server] < _MAX_CONCURRENT_PROBES:
             self._probe_counts[effect.server] += 1
-            self._node.in_background(self._run_probe, effect)
+            self._node.run_in_background(self._run_probe, effect)
 
     async def _run_probe(self, effect: ProbeServer) -> None:
         try:
--- a/packages/turmericweir/turmericweir/servers/forward.py
+++ b/packages/turmericweir/turmericweir/servers/forward.py
@@ -148,21 +148,21 @@
     async def _deliver_stream(self, response: httpcore.Response, headers: Headers) -> AttemptEnd:
         answer = self._job.answer
         answer.begin_answer(response.status, headers)
-        cutter = EventSplitter(answer.last_event_id) if self._call.resumable else None
+        splitter = EventSplitter(answer.last_event_id) if self._call.resumable else None
         async for chunk in body_of(response):
-            if cutter is None:
+            if splitter is None:
                 data, events = chunk, count_event_ends(chunk)
             else:
                 try:
-                    data, events = cutter.split_chunk(chunk)
+                    data, events = splitter.split_chunk(chunk)
                 except ValueError as exc:
                     return EndBroken(str(exc), server_alive=True)
-                answer.last_event_id = cutter.last_event_id
+                answer.last_event_id = splitter.last_event_id
             answer.buffer_body(data)
             if events:
                 self._report_progress(events)
             await answer.flush()
-        if cutter is not None and cutter.has_partial_event:
+        if splitter is not None and splitter.has_partial_event:
             return EndBroken("the stream ended within an event", server_alive=True)
         return EndComplete(response.status)
 
--- a/packages/turmericweir/turmericweir/servers/server_calls.py
+++ b/packages/turmericweir/turmericweir/servers/server_calls.py
@@ -66,10 +66,10 @@
         """Request the load of a server in the background."""
         if effect.server not in self._probing:
             self._probing.add(effect.server)
-            self._node.in_background(self._probe, effect)
+            self._node.run_in_background(self._probe, effect)
 
     async def _probe(self, effect: ProbeServer) -> None:
-        asked_at = anyio.current_time()
+        probe_sent_at = anyio.current_time()
         try:
             answer = await call(
                 self._pool,
@@ -77,10 +77,10 @@
                 effect.address,
                 "/v1/load",
                 timeout_s=_LOAD_TIMEOUT_S,
-                fresh=True,
+                needs_new_connection=True,
                 traffic=self._node.traffic.probes,
             )
-            self._node.handle(_read_report(effect, answer, asked_at))
+            self._node.handle(_read_report(effect, answer, probe_sent_at))
         except CallError as exc:
             self._node.handle(ServerUnreachable(effect.server, str(exc)))
         finally:
@@ -92,7 +92,7 @@
 
     def order(self, effect: SendOrder) -> None:
         """Send an order to a server in the background."""
-        self._node.in_background(self._order, effect)
+        self._node.run_in_background(self._order, effect)
 
     async def _order(self, effect: SendOrder) -> None:
         value: dict[str, Any] = {
@@ -123,7 +123,9 @@
         # The process may have been suspended since the reducer checked the lease.
         remaining_s = effect.not_after - anyio.current_time()
         if remaining_s <= 0:
-            raise CallError("order", effect.address, "the lease expired before sending", sent=False)
+            raise CallError(
+                "order", effect.address, "the lease expired before sending", was_sent=False
+            )
         return await call(
             self._pool,
             b"POST",
@@ -131,20 +133,20 @@
             "/v1/orders",
             value=value,
             timeout_s=min(effect.timeout_s, remaining_s),
-            fresh=True,
+            needs_new_connection=True,
         )
 
 
-def _read_report(effect: ProbeServer, answer: Answer, asked_at: float) -> ServerReport:
+def _read_report(effect: ProbeServer, answer: Answer, probe_sent_at: float) -> ServerReport:
     """Return the validated report; raise CallError for an unusable one."""
     server, address = effect.server, effect.address
     if answer.status != 200:
-        raise CallError("load report", address, f"status {answer.status}", sent=True)
+        raise CallError("load report", address, f"status {answer.status}", was_sent=True)
     try:
         body = LoadBody.model_validate(answer.json())
     except (ValidationError, orjson.JSONDecodeError) as exc:
         logs.write("bad_load_report", peer=server, error=str(exc))
-        raise CallError("load report", address, "the report is malformed", sent=True) from exc
+        raise CallError("load report", address, "the report is malformed", was_sent=True) from exc
     return ServerReport(
         server=server,
         incarnation=body.incarnation,
@@ -158,5 +160,5 @@
         leaving=body.leaving,
         fence=-1 if body.fence is None else body.fence,
         loading=body.loading,
-        probe_sent_at=asked_at,
+        probe_sent_at=probe_sent_at,
     )
