--- a/packages/turmericweir-ctl/turmericctl/settings_commands.py
+++ b/packages/turmericweir-ctl/turmericctl/settings_commands.py
@@ -231,11 +231,11 @@
 
 def _conflict_lines(body: dict[str, Any]) -> list[str]:
     expected = body["expected_version"]
-    first = messages.CONFLICT.format(**body, expected=expected)
+    first_line = messages.CONFLICT.format(**body, expected=expected)
     if body["value"] is None:
-        return [first, messages.CONFLICT_ABSENT]
+        return [first_line, messages.CONFLICT_ABSENT]
     value = compact(body["value"])
-    return [first, messages.CONFLICT_VALUE.format(won_by=body["won_by"], value=value)]
+    return [first_line, messages.CONFLICT_VALUE.format(won_by=body["won_by"], value=value)]
 
 
 def _problem_line(problem: dict[str, str]) -> str:
--- a/packages/turmericweir/turmericweir/callers/caller_transport.py
+++ b/packages/turmericweir/turmericweir/callers/caller_transport.py
@@ -16,31 +16,31 @@
     # The transport that asyncio created.
     _transport: asyncio.Transport
     # Whether the next write is delayed.
-    _delays_next_write: bool
+    _is_next_write_delayed: bool
     # Bytes of the delayed write.
     _delayed_bytes: bytes
 
     def __init__(self, transport: asyncio.Transport) -> None:
         super().__init__()
         self._transport = transport
-        self._delays_next_write = False
+        self._is_next_write_delayed = False
         self._delayed_bytes = b""
 
     def delay_next_write(self) -> None:
         """Delay the next write until another write or `flush_delayed`."""
-        self._delays_next_write = True
+        self._is_next_write_delayed = True
 
     def flush_delayed(self) -> None:
         """Send the delayed write, for example the head of an answer without a body."""
-        self._delays_next_write = False
+        self._is_next_write_delayed = False
         if self._delayed_bytes:
             delayed, self._delayed_bytes = self._delayed_bytes, b""
             self._transport.write(delayed)
 
     def write(self, data: bytes | bytearray | memoryview) -> None:
         """Send the data together with the delayed write, or delay it."""
-        if self._delays_next_write:
-            self._delays_next_write = False
+        if self._is_next_write_delayed:
+            self._is_next_write_delayed = False
             self._delayed_bytes += data
         elif self._delayed_bytes:
             delayed, self._delayed_bytes = self._delayed_bytes, b""
--- a/packages/turmericweir/turmericweir/callers/exchange.py
+++ b/packages/turmericweir/turmericweir/callers/exchange.py
@@ -165,7 +165,7 @@
             self._cancelled_attempts.add(effect.attempt_id)
 
     def check_blocked_caller(self, now: float, unread_s: float) -> None:
-        """Report a blocked caller as progress, or as gone after `unread_s` seconds.
+        """Report a blocked caller as progress, or as disconnected after `unread_s` seconds.
 
         Nothing is read from the server while a write to the caller is blocked. Prevents the reducer
         from treating the server as unresponsive and retrying.
--- a/packages/turmericweir/turmericweir/callers/http_server.py
+++ b/packages/turmericweir/turmericweir/callers/http_server.py
@@ -38,7 +38,7 @@
 # The maximum time for which a closed port keeps connections that have not sent a request.
 FIRST_REQUEST_WAIT_S: Final = 2.0
 _POLL_INTERVAL_S: Final = 0.01
-# Passes of the event loop after which all data that had arrived is read.
+# Number of event loop passes after which all data that has arrived is read.
 _READ_LOOP_PASSES: Final = 2
 _STATUS_HEADERS_TOO_LARGE: Final = 431
 # The SO_LINGER option with a timeout of zero, with which closing a socket resets the connection.
@@ -250,7 +250,7 @@
     async def _await_first_requests(self) -> None:
         wait_until = anyio.current_time() + FIRST_REQUEST_WAIT_S
         # uvicorn has no event for the first data on a connection.
-        while any(map(_awaits_first_request, self.server_state.connections)):
+        while any(map(_is_awaiting_first_request, self.server_state.connections)):
             if anyio.current_time() >= wait_until:
                 return
             await asyncio.sleep(_POLL_INTERVAL_S)
@@ -264,5 +264,5 @@
 
 
 # Any: uvicorn has several protocol classes.
-def _awaits_first_request(conn: Any) -> bool:
+def _is_awaiting_first_request(conn: Any) -> bool:
     return isinstance(conn, LimitedProtocol) and conn.is_unused
--- a/packages/turmericweir/turmericweir/peers/peer_streams.py
+++ b/packages/turmericweir/turmericweir/peers/peer_streams.py
@@ -235,7 +235,7 @@
     origin = f"{address[0]}:{address[1]}"
     set_options(stream.extra(SocketAttribute.raw_socket))
     unpacker = msgpack.Unpacker(max_buffer_size=FRAME_MAX_BYTES)
-    received = 0
+    received_frames = 0
     # Bytes of the stream up to the end of the last frame.
     parsed_bytes = 0
     try:
@@ -243,14 +243,14 @@
             data = await stream.receive(_READ_MAX_BYTES)
             traffic.received.add(len(data))
             unpacker.feed(data)
-            previously_received = received
+            previous_frames = received_frames
             for frame in unpacker:
-                received += 1
+                received_frames += 1
                 size = unpacker.tell() - parsed_bytes
                 parsed_bytes += size
                 frame_reader.process_result(read_frame(frame, origin), size)
-            if received > previously_received:
-                ack = msgpack.packb(received)
+            if received_frames > previous_frames:
+                ack = msgpack.packb(received_frames)
                 await stream.send(ack)
                 traffic.sent.add(len(ack))
     except _CONNECTION_ERRORS as exc:
--- a/packages/turmericweir/turmericweir/process/process_settings.py
+++ b/packages/turmericweir/turmericweir/process/process_settings.py
@@ -122,13 +122,13 @@
         defaults = Options()
         changed: dict[str, float] = {"stop_grace_s": self.stop_grace_s, **self.options}
         # Options with an integer default stay integers.
-        typed = {
+        typed_values = {
             name: int(value) if isinstance(getattr(defaults, name), int) else value
             for name, value in changed.items()
             if name in OPTION_NAMES
         }
         # Any: each name is a checked field with a value of the type of its default.
-        overrides: dict[str, Any] = typed
+        overrides: dict[str, Any] = typed_values
         return Options(**overrides)
 
 
--- a/packages/turmericweir/turmericweir/process/verdict_waiters.py
+++ b/packages/turmericweir/turmericweir/process/verdict_waiters.py
@@ -49,6 +49,7 @@
 
     __slots__ = ("settled", "verdict")
 
+    # Set when the verdict has arrived.
     settled: anyio.Event
     # Any: see `VerdictWaiters.wait`.
     verdict: Any | None
--- a/packages/turmericweir/turmericweir/servers/server_calls.py
+++ b/packages/turmericweir/turmericweir/servers/server_calls.py
@@ -110,14 +110,14 @@
         except CallError as exc:
             self._node.handle(OrderDone(effect.server, effect.token, False, False, str(exc)))
             return
-        done = OrderDone(
+        order_done = OrderDone(
             effect.server,
             effect.token,
             is_accepted=answer.status == 200,
             stale_fence=answer.status == _STALE_FENCE_STATUS,
             error="" if answer.status == 200 else f"status {answer.status}",
         )
-        self._node.handle(done)
+        self._node.handle(order_done)
 
     async def _send_order(self, effect: SendOrder, value: dict[str, Any]) -> Answer:
         # The process may have been suspended since the reducer checked the lease.
