--- a/packages/turmericweir/turmericweir/servers/backend_attempt.py
+++ b/packages/turmericweir/turmericweir/servers/backend_attempt.py
@@ -2,7 +2,7 @@
 
 An attempt is one request on one connection. Its end is one of the core's `AttemptEnd` types and
 determines whether the request may be retried. This module distinguishes three cases: nothing was
-written, the server reported that it had not started, or the outcome is unknown.
+written, the server reported that it had not started the request, or the outcome is unknown.
 """
 
 from __future__ import annotations
@@ -66,7 +66,7 @@
     node: Node
     pool: BackendPool
     start: StartAttempt
-    # The connection error that occurred after the first byte was written; empty without one.
+    # The connection error that occurred after the first byte was written; empty if none did.
     connection_error: str
     _first_byte: FirstByteCallback
     # Whether the connection has carried an earlier request.
@@ -90,7 +90,7 @@
 
     @property
     def may_have_started(self) -> bool:
-        """Return whether the server may have started."""
+        """Return whether the server may have started the request."""
         return self._first_byte.was_called
 
     def _report_sent(self) -> None:
@@ -127,7 +127,7 @@
     async def read_refusal(
         self, response: httpcore.Response, headers: Mapping[bytes, bytes]
     ) -> EndRefused | None:
-        """Return the refusal if the server reported that it had not started."""
+        """Return the refusal if the server reported that it had not started the request."""
         if headers.get(NOT_STARTED) != _TRUE:
             return None
         await read_tail(response)
--- a/packages/turmericweir/turmericweir/servers/backend_engine.py
+++ b/packages/turmericweir/turmericweir/servers/backend_engine.py
@@ -79,12 +79,12 @@
 
     @property
     def may_have_started(self) -> bool:
-        """Return whether the engine may have started."""
+        """Return whether the engine may have started the request."""
         return self._attempt.may_have_started
 
     @property
     def connection_error(self) -> str:
-        """Return the error that broke the connection; empty without one."""
+        """Return the error that broke the connection; empty if it did not break."""
         return self._attempt.connection_error
 
     async def run(self) -> AttemptEnd:
