--- a/packages/turmericweir/turmericweir/process/verdict_waiters.py
+++ b/packages/turmericweir/turmericweir/process/verdict_waiters.py
@@ -49,8 +49,9 @@
 
     __slots__ = ("settled", "verdict")
 
+    # Set when the verdict has arrived.
     settled: anyio.Event
-    # Any: see `Operators.wait`.
+    # Any: see `VerdictWaiters.wait`.
     verdict: Any | None
 
     def __init__(self) -> None:
