--- a/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
@@ -90,7 +90,7 @@
     start_offset: int = 0
     # Every live claim has an entry in this ledger.
     has_all_claims: bool = True
-    # Holders by key, ordered by `kept_at`, oldest first.
+    # Holders by key, ordered by `record_offset`, lowest first; unsure ones are not in order.
     claims: OrderedDict[str, Claim] = field(default_factory=OrderedDict)
     # Keys of the unsure entries.
     unsure_keys: set[str] = field(default_factory=set)
@@ -130,7 +130,7 @@
     if not ledger.has_all_claims:
         return NO_FLOOR
     record_offsets = [ledger.claims[key].record_offset for key in ledger.unsure_keys]
-    # Sure entries are ordered by `kept_at`, so the first has the lowest.
+    # Sure entries are ordered by `record_offset`, so the first has the lowest.
     record_offsets += [claim.record_offset for claim in islice(ledger.claims.values(), 1)]
     if epoch_of(ledger.views) > NO_VIEW:
         # Readers that start at the floor must also learn the view.
@@ -176,7 +176,7 @@
         note_clock(ledger.clock, instance, at_ms)
     note_reported_view(ledger.views, offset, batch)
     _note_floor(ledger, offset, batch, result)
-    sure = ledger.has_all_claims and is_number_certain
+    is_sure = ledger.has_all_claims and is_number_certain
     for carried in batch.carried:
         _fold_carried(ledger, offset, batch, carried, result)
     if batch.withdrawn:
@@ -187,12 +187,12 @@
         _fold_end(ledger, batch.writer, end, result)
     if fold_view(ledger.views, offset, batch) and batch.change is not None:
         for agreed in batch.change.agreed:
-            _fold_agreed(ledger, options, offset, agreed, sure, result)
+            _fold_agreed(ledger, options, offset, agreed, is_sure, result)
     is_eligible = can_claim(ledger.views, batch.writer)
     for claim in batch.claims:
         if is_eligible:
             at_ms = max(ledger.clock.now_ms, batch.at_ms)
-            _fold_claim(ledger, options, offset, at_ms, claim, batch.writer, sure, result)
+            _fold_claim(ledger, options, offset, at_ms, claim, batch.writer, is_sure, result)
         else:
             # The writer evaluates the key again and claims it once it is in the view.
             result.touched_keys.add(claim.key)
@@ -259,13 +259,13 @@
         return
     is_settled = _is_settled_by(ledger, batch, entry, carried)
     if entry is None or is_settled:
-        _add_entry(ledger, _claim_from_carried(carried, offset, unsure=not is_settled))
+        _add_entry(ledger, _claim_from_carried(carried, offset, is_unsure=not is_settled))
         result.touched_keys.add(key)
         return
     # Still unsure: block the key for as long as any of the possible holders would hold it.
     entry.retention_from_ms = max(entry.retention_from_ms, carried.at_ms)
     entry.touched_offset = offset
-    # Records about the key after `upto` may not be reflected in any carried claim yet.
+    # A record about the key after `upto` may not be contained in any carried claim yet.
     entry.record_offset = max(entry.record_offset, batch.upto)
     ledger.claims.move_to_end(key)
 
@@ -285,7 +285,7 @@
     return last_changed_offset < batch.upto
 
 
-def _claim_from_carried(carried: CarriedClaim, offset: int, *, unsure: bool) -> Claim:
+def _claim_from_carried(carried: CarriedClaim, offset: int, *, is_unsure: bool) -> Claim:
     return Claim(
         claim=carried.claim,
         holder=carried.holder,
@@ -293,7 +293,7 @@
         record_offset=offset,
         touched_offset=offset,
         retention_from_ms=carried.at_ms,
-        is_unsure=unsure,
+        is_unsure=is_unsure,
         end=carried.end,
     )
 
@@ -336,12 +336,12 @@
     options: Options,
     offset: int,
     agreed: AgreedClaim,
-    sure: bool,
+    is_sure: bool,
     result: ClaimFoldResult,
 ) -> None:
     """Enter a claim that may have run before it was in the log, by agreement of the members."""
     at_ms = max(ledger.clock.now_ms, agreed.at_ms)
-    _fold_claim(ledger, options, offset, at_ms, agreed.claim, agreed.holder, sure, result)
+    _fold_claim(ledger, options, offset, at_ms, agreed.claim, agreed.holder, is_sure, result)
 
 
 def _fold_claim(
@@ -351,7 +351,7 @@
     at_ms: int,
     claim: NewClaim,
     holder: RecordWriter,
-    sure: bool,
+    is_sure: bool,
     result: ClaimFoldResult,
 ) -> None:
     result.touched_keys.add(claim.key)
@@ -362,7 +362,7 @@
             entry.touched_offset = offset
             entry.retention_from_ms = max(entry.retention_from_ms, at_ms)
         return
-    _add_entry(ledger, Claim(claim, holder, offset, offset, offset, at_ms, is_unsure=not sure))
+    _add_entry(ledger, Claim(claim, holder, offset, offset, offset, at_ms, is_unsure=not is_sure))
 
 
 def _add_entry(ledger: ClaimLedger, entry: Claim) -> None:
--- a/packages/turmericweir-core/turmericweir_core/state/claim_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_state.py
@@ -71,12 +71,12 @@
     failures: int = 0
     # The holder, if its instance is gone or has no record of it.
     lost_holder: str = ""
-    # The view under which members were asked for their votes, the incarnations that have agreed,
-    # and when the others are asked again.
+    # The view whose members were asked for their votes, the incarnations that have agreed, and
+    # when the other members are asked again.
     vote_epoch: int = NO_VIEW
     voters: set[str] = field(default_factory=set)
     next_vote_request_at: float = 0.0
-    # When they were first asked, and the number of failed streams to them.
+    # When the members were first asked, and the number of failed streams to them.
     votes_requested_at: float = 0.0
     vote_failures: int = 0
     # A member did not agree, so only the log can decide.
@@ -111,7 +111,7 @@
     waiting: dict[str, list[RequestId]] = field(default_factory=dict)
     # Keys held by requests that have no account yet.
     held_keys: dict[RequestId, str] = field(default_factory=dict)
-    # Holders of this instance that are being withdrawn but are still in the ledger.
+    # Requests of this instance whose claims are being withdrawn but are still in the ledger.
     withdrawing: set[str] = field(default_factory=set)
     remote_waiters: dict[str, list[RemoteWaiter]] = field(default_factory=dict)
     # Keys whose waiting requests have to be evaluated again.
@@ -138,7 +138,7 @@
     next_read_at: float = 0.0
     # Since when the ledger is not whole; None while it is.
     not_whole_since: float | None = None
-    # Claims in records below this offset are old and have to be carried; see `claim_carry`.
+    # Claims in records below this offset have to be carried forward; see `claim_carry`.
     carry_below: int = 0
     # Offset of the stream at the last age mark, and when the next mark is set.
     age_mark_offset: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/claim_view.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_view.py
@@ -1,15 +1,15 @@
 """Views: which instances may claim keys, and must all agree to a claim that is not in the log.
 
 A view is a record of the `claims` stream; its offset is its *epoch*. It names its members and the
-view that it follows, and is valid only if that is the newest one: of two that follow the same view
-the first wins. A claim in the log is valid only if its writer is a member of the newest view before
-it. Before the first view, and after an empty one, any instance may claim.
+view that it follows, and is valid only if that view is the newest one. If two records follow the
+same view, the first one wins. A claim in the log is valid only if its writer is a member of the
+newest view before it. Before the first view, and after an empty one, any instance may claim.
 
 A member of the preceding view writes the change to the next one. The record contains every key that
 this member has agreed to under the preceding view (`claim_vote`). Since a claim outside the log
 needs the agreement of all members, the record includes every such claim.
 
-A reader that starts at an offset above 0 does not know the view until a reader that does names it.
+A reader that starts at an offset above 0 learns the view from the record of a writer that knows it.
 """
 
 from __future__ import annotations
--- a/packages/turmericweir-core/turmericweir_core/state/concurrency.py
+++ b/packages/turmericweir-core/turmericweir_core/state/concurrency.py
@@ -69,14 +69,14 @@
     now: float,
     server: ServerName,
     slots: int,
-    latency: float,
+    latency_s: float,
 ) -> None:
     """Record the latency of a completed plain call and adjust the limit if it is time to."""
     limit = _get_or_create_limit(state, server)
     if limit.short_s is None or limit.long_s is None:
-        limit.short_s = limit.long_s = latency
-    limit.short_s += options.limit_short_weight * (latency - limit.short_s)
-    limit.long_s += options.limit_long_weight * (latency - limit.long_s)
+        limit.short_s = limit.long_s = latency_s
+    limit.short_s += options.limit_short_weight * (latency_s - limit.short_s)
+    limit.long_s += options.limit_long_weight * (latency_s - limit.long_s)
     # Prevents a long peak load from becoming the baseline for later latencies.
     limit.long_s = min(limit.long_s, 2.0 * limit.short_s)
     limit.new_samples += 1
--- a/packages/turmericweir-core/turmericweir_core/state/engine_speed.py
+++ b/packages/turmericweir-core/turmericweir_core/state/engine_speed.py
@@ -7,7 +7,7 @@
 is a least-squares line through the latest requests that were sent to an engine with nothing else to
 prefill. It starts with some simulated requests to the reference engine.
 
-`EngineBook.pace` is how one engine differs from the other engines of its service.
+`EngineInfo.pace` is the prefill time of one engine, over the prediction for its service.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 # Bounds of the factor.
 _FACTOR_MIN: Final = 0.1
 _FACTOR_MAX: Final = 8.0
-# Cap on the time taken, over the prediction. Longer times are due to requests of other instances
-# that were not announced yet.
+# Maximum ratio of the time taken to the prediction; longer times are capped. They are caused by
+# requests of other instances that are not known here yet.
 _MAX_RATIO: Final = 3.0
 
 
--- a/packages/turmericweir-core/turmericweir_core/state/engine_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/engine_state.py
@@ -53,8 +53,9 @@
     """Total load of all instances on a server at one time."""
 
     at: float
-    # `EngineBook.load_version` when this was computed.
+    # `EngineInfo.load_version` when this was computed.
     load_version: int
+    # Number of this instance's prompts without a first token, and of its running requests.
     own: tuple[int, int]
     # Prompts that the server has not begun to answer.
     pending: list[PendingPrompt]
@@ -80,7 +81,7 @@
     # assumed. They are not in its cache yet.
     uncached_parts: dict[str, float] = field(default_factory=dict)
     pace: float = 1.0
-    # When the engine began the prefill of the prompts that wait there now.
+    # When the engine began the prefill of the prompts that wait for it now.
     prefilling_since: float = 0.0
     # Number of changes of the load, except in the length of this instance's running answers.
     load_version: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/lease_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_ledger.py
@@ -6,8 +6,8 @@
 A valid record replaces the lease of its scope, since its writer had read everything before it.
 
 The condition depends only on records from `upto` on. A reader can therefore start at the end of the
-stream: every grant that it can win is read from there on. For leases that it has not read it waits
-(`free_at`): by then a live holder has renewed its lease, and any other lease has expired.
+stream. Before it takes a scope whose lease it has not read, it waits (`free_at`): by then a live
+holder has renewed its lease, and any other lease has expired.
 
 If the log retains the newest record of each scope, a reader starts with these records
 (`start_from_newest`). Such a log supports conditional appends, so every record in it was valid when
@@ -98,7 +98,9 @@
             malformed.append(log_record.offset)
             continue
         ledger.last_offsets[record.scope] = log_record.offset
-        ledger.leases[record.scope] = _lease_from_record(now, log_record.offset, record, sure=True)
+        ledger.leases[record.scope] = _lease_from_record(
+            now, log_record.offset, record, is_sure=True
+        )
     return malformed
 
 
@@ -112,12 +114,12 @@
     ledger.last_offsets[record.scope] = offset
     if previous_offset >= record.upto or record.upto > offset:
         return LeaseFoldResult(record, is_valid=False)
-    sure = ledger.start is not None and record.upto >= ledger.start
-    ledger.leases[record.scope] = _lease_from_record(now, offset, record, sure=sure)
-    return LeaseFoldResult(record, is_valid=True, is_sure=sure)
+    is_sure = ledger.start is not None and record.upto >= ledger.start
+    ledger.leases[record.scope] = _lease_from_record(now, offset, record, is_sure=is_sure)
+    return LeaseFoldResult(record, is_valid=True, is_sure=is_sure)
 
 
-def _lease_from_record(now: float, offset: int, record: LeaseRecord, *, sure: bool) -> Lease:
+def _lease_from_record(now: float, offset: int, record: LeaseRecord, *, is_sure: bool) -> Lease:
     return Lease(
         fence=offset if record.act is LeaseAction.GRANT else record.fence,
         instance=record.instance,
@@ -125,8 +127,8 @@
         lease_s=record.lease_s,
         read_at=now,
         # An unsure release may be void, so the lease may still be held.
-        released=record.act is LeaseAction.RELEASE and sure,
-        is_sure=sure,
+        released=record.act is LeaseAction.RELEASE and is_sure,
+        is_sure=is_sure,
         note=record.note,
     )
 
--- a/packages/turmericweir-core/turmericweir_core/state/leaving_notices.py
+++ b/packages/turmericweir-core/turmericweir_core/state/leaving_notices.py
@@ -4,9 +4,9 @@
 report or a peer that lags cannot reactivate a leaving server. A new incarnation has another key and
 starts without a notice.
 
-A notice may be deleted only when no source can contradict it any more. It has the time when any
-instance last saw the server leaving. An instance that still sees it leaving renews the notice. A
-notice that is not renewed expires at the same age on all instances.
+A notice may be deleted only when no source can contradict it any more. It contains the time when
+any instance last saw the server leaving. An instance that still sees it leaving renews the notice.
+A notice that is not renewed expires at the same age on all instances.
 """
 
 from __future__ import annotations
@@ -42,7 +42,7 @@
 
 
 def note_notice(
-    marks: LeavingNotices,
+    notices: LeavingNotices,
     options: Options,
     seen_at: float,
     now: float,
@@ -53,59 +53,63 @@
     """Add or renew a notice; return whether it is new or changed."""
     if now - seen_at > options.mark_keep_s:
         return False
-    mark = marks.by_key.get((server, incarnation))
-    if mark is None:
-        _add_mark(marks, LeavingNotice(server, incarnation, drained, now, seen_at))
-        _evict_excess(marks, options)
+    notice = notices.by_key.get((server, incarnation))
+    if notice is None:
+        _add_notice(notices, LeavingNotice(server, incarnation, drained, now, seen_at))
+        _evict_excess(notices, options)
         return True
-    mark.seen_at = max(mark.seen_at, seen_at)
-    if drained and not mark.is_drained:
-        marks.digest ^= _hash_of_mark(mark)
-        mark.is_drained = True
-        mark.noted_at = now
-        marks.digest ^= _hash_of_mark(mark)
+    notice.seen_at = max(notice.seen_at, seen_at)
+    if drained and not notice.is_drained:
+        notices.digest ^= _hash_of_notice(notice)
+        notice.is_drained = True
+        notice.noted_at = now
+        notices.digest ^= _hash_of_notice(notice)
         return True
     return False
 
 
-def notices_on(marks: LeavingNotices, server: ServerName) -> list[LeavingNotice]:
+def notices_on(notices: LeavingNotices, server: ServerName) -> list[LeavingNotice]:
     """Return the notices on all incarnations of a server."""
-    return [marks.by_key[server, incarnation] for incarnation in marks.incarnations.get(server, ())]
+    return [
+        notices.by_key[server, incarnation] for incarnation in notices.incarnations.get(server, ())
+    ]
 
 
-def expire_notices(marks: LeavingNotices, options: Options, now: float) -> None:
+def expire_notices(notices: LeavingNotices, options: Options, now: float) -> None:
     """Delete notices that have not been renewed within their retention time."""
-    for mark in list(marks.by_key.values()):
-        if now - mark.seen_at > options.mark_keep_s:
-            _remove_mark(marks, mark)
+    for notice in list(notices.by_key.values()):
+        if now - notice.seen_at > options.mark_keep_s:
+            _remove_notice(notices, notice)
 
 
-def recent_notices(marks: LeavingNotices, options: Options, now: float) -> list[LeavingNotice]:
+def recent_notices(notices: LeavingNotices, options: Options, now: float) -> list[LeavingNotice]:
     """Return the notices that are recent enough to be sent to peers, newest first."""
-    recent = [mark for mark in marks.by_key.values() if now - mark.noted_at <= options.mark_hot_s]
-    return sorted(recent, key=lambda mark: -mark.noted_at)
+    recent = [
+        notice for notice in notices.by_key.values() if now - notice.noted_at <= options.mark_hot_s
+    ]
+    return sorted(recent, key=lambda notice: -notice.noted_at)
 
 
-def _add_mark(marks: LeavingNotices, mark: LeavingNotice) -> None:
-    marks.by_key[mark.server, mark.incarnation] = mark
-    marks.incarnations.setdefault(mark.server, []).append(mark.incarnation)
-    marks.digest ^= _hash_of_mark(mark)
+def _add_notice(notices: LeavingNotices, notice: LeavingNotice) -> None:
+    notices.by_key[notice.server, notice.incarnation] = notice
+    notices.incarnations.setdefault(notice.server, []).append(notice.incarnation)
+    notices.digest ^= _hash_of_notice(notice)
 
 
-def _remove_mark(marks: LeavingNotices, mark: LeavingNotice) -> None:
-    del marks.by_key[mark.server, mark.incarnation]
-    incarnations = marks.incarnations[mark.server]
-    incarnations.remove(mark.incarnation)
+def _remove_notice(notices: LeavingNotices, notice: LeavingNotice) -> None:
+    del notices.by_key[notice.server, notice.incarnation]
+    incarnations = notices.incarnations[notice.server]
+    incarnations.remove(notice.incarnation)
     if not incarnations:
-        del marks.incarnations[mark.server]
-    marks.digest ^= _hash_of_mark(mark)
+        del notices.incarnations[notice.server]
+    notices.digest ^= _hash_of_notice(notice)
 
 
-def _evict_excess(marks: LeavingNotices, options: Options) -> None:
-    while len(marks.by_key) > options.mark_keep:
-        _remove_mark(marks, min(marks.by_key.values(), key=lambda mark: mark.seen_at))
+def _evict_excess(notices: LeavingNotices, options: Options) -> None:
+    while len(notices.by_key) > options.mark_keep:
+        _remove_notice(notices, min(notices.by_key.values(), key=lambda notice: notice.seen_at))
 
 
-def _hash_of_mark(mark: LeavingNotice) -> int:
-    text = f"{mark.server}\0{mark.incarnation}\0{int(mark.is_drained)}"
+def _hash_of_notice(notice: LeavingNotice) -> int:
+    text = f"{notice.server}\0{notice.incarnation}\0{int(notice.is_drained)}"
     return xxhash.xxh32_intdigest(text.encode())
--- a/packages/turmericweir-core/turmericweir_core/state/load_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/load_state.py
@@ -37,7 +37,7 @@
 
 
 class RelayedUpdates(Struct):
-    """Updates that a relay has received but not forwarded yet, and its last total."""
+    """Updates that a relay has received but not forwarded yet, and its last combined update."""
 
     # Instances that this one relays for, with their address and when they last sent.
     relayed_peers: dict[InstanceName, tuple[str, float]] = field(default_factory=dict)
@@ -59,15 +59,15 @@
     # Counter of this instance's updates.
     seq: int = 0
     origins: dict[InstanceName, UpdateSource] = field(default_factory=dict)
-    # No update is sent before the first time; an unchanged one is sent again after the second.
+    # Earliest time of the next update, and the time at which an unchanged one is sent again.
     next_send_at: float = _NEVER
     next_renewal_at: float = _NEVER
-    # The newest update had load, or an empty update still has to be repeated once.
+    # The newest update contained load, or an empty one still has to be repeated once.
     needs_renewal: bool = False
     plan: RelayPlan = field(default_factory=RelayPlan)
-    # When a message of the relay was last received; an unresponsive relay, and until when another
-    # one is used in its place.
+    # When a message of the relay was last received.
     relay_seen_at: float = _NEVER
+    # An unresponsive relay, and until when another one is used in its place.
     unresponsive_relay: InstanceName | None = None
     avoid_relay_until: float = _NEVER
     relayed_updates: RelayedUpdates = field(default_factory=RelayedUpdates)
--- a/packages/turmericweir-core/turmericweir_core/state/membership_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/membership_state.py
@@ -49,14 +49,14 @@
 
 
 class RemoteCentre(Struct):
-    """Another data centre, as its relays describe it."""
+    """Another data centre, as described by the status messages of its gateways."""
 
     name: str
     region: str = ""
     last_seen_at: float = NEVER
     # The newest status message that was accepted.
     status_message: Word | None = None
-    # The newest counter received from each relay, by its key; older status messages are ignored.
+    # The newest counter received from each gateway, by its key; older status messages are ignored.
     seqs: dict[int, int] = field(default_factory=dict)
     # The members, as last reported, and the hash of that roster.
     roster: frozenset[InstanceName] = frozenset()
@@ -107,8 +107,8 @@
     next_key_request_at: float = NEVER
     # When the list of servers may be requested again.
     next_servers_request_at: float = NEVER
-    # Since when the leaving notices of a peer differ from this instance's. Recorded per peer, so
-    # that the agreement of other peers does not prevent a request to the one that has more.
+    # Since when the leaving notices of a peer differ from this instance's. Recorded per peer,
+    # because one peer may have more notices although all others agree with this instance.
     notices_differ_since: dict[InstanceName, float] = field(default_factory=dict)
     # Time of the first tick.
     started_at: float | None = None
--- a/packages/turmericweir-core/turmericweir_core/state/model_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/model_state.py
@@ -100,8 +100,8 @@
 class DirectReport(Struct, frozen=True):
     """A report received directly from the server.
 
-    Reports forwarded by other instances are delayed and less complete. Orders that are checked
-    against those would be sent twice.
+    Reports forwarded by other instances are delayed and less complete: an order that is checked
+    against one would be sent twice.
     """
 
     report: ServerReport
--- a/packages/turmericweir-core/turmericweir_core/state/retry_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/retry_state.py
@@ -18,7 +18,7 @@
 
 
 class RetryBudget(Struct):
-    """The available retries, and the recent use of them."""
+    """The available retries, and their recent use."""
 
     # Retries available now; None until the first use sets it to the burst size.
     tokens: float | None = None
--- a/packages/turmericweir-core/turmericweir_core/state/server_table.py
+++ b/packages/turmericweir-core/turmericweir_core/state/server_table.py
@@ -41,7 +41,7 @@
     # It restarted while its entry stayed the same, so leaving notices on the entry's incarnation do
     # not apply to it.
     has_outlived_entry: bool = False
-    # No source names it any more; it is only kept for the requests in flight.
+    # No source names it any more; it is retained only until its requests in flight have ended.
     is_unlisted: bool = False
     # Not used before this time because a new connection to it failed.
     unreachable_until: float = 0.0
@@ -130,8 +130,8 @@
     server.entry = entry
     server.service = service
     if server.is_unlisted and table.is_self_registered and not server.refused_leaving:
-        # Its entry had expired and the server has written it again. Prevents a server that was kept
-        # for a request in flight from being excluded permanently.
+        # Its entry had expired and the server has written it again. Prevents a server that was
+        # retained for a request in flight from being excluded permanently.
         server.leaving = entry.leaving
         apply_notices(table, server)
         table.version += 1
@@ -192,15 +192,15 @@
     if server.report is not None and server.report.incarnation == report.incarnation:
         if report.seq < server.report.seq:
             return
-        report_leaving = server.leaving or report.leaving
+        is_leaving = server.leaving or report.leaving
     else:
         # The entry of a new incarnation may lag, so only the report counts. For a first report the
         # entry and a refusal count as well. Leaving notices are applied below.
-        is_reported_leaving = server.refused_leaving or server.entry.leaving
-        report_leaving = report.leaving or (is_reported_leaving and server.report is None)
+        was_leaving_before = server.refused_leaving or server.entry.leaving
+        is_leaving = report.leaving or (was_leaving_before and server.report is None)
     if server.report is None or server.report.models != report.models:
         table.version += 1
-    if server.leaving != report_leaving:
+    if server.leaving != is_leaving:
         table.version += 1
     if server.report is not None and server.report.incarnation != report.incarnation:
         server.has_outlived_entry = True
@@ -209,7 +209,7 @@
     server.report = report
     server.report_at = now
     server.in_flight_at_report = len(server.in_flight)
-    server.leaving = report_leaving
+    server.leaving = is_leaving
     server.unreachable_until = 0.0
     # A delayed report may belong to an incarnation that already has a leaving notice.
     apply_notices(table, server)
@@ -254,24 +254,24 @@
     Prevents an entry from an outdated list from reactivating a leaving server.
     """
     before = (server.leaving, server.drained)
-    for mark in notices_on(table.leaving_notices, server.entry.name):
-        if _is_mark_for(table, mark, server):
-            server.leaving = server.leaving or not mark.is_drained
-            server.drained = server.drained or mark.is_drained
+    for notice in notices_on(table.leaving_notices, server.entry.name):
+        if _is_notice_for(table, notice, server):
+            server.leaving = server.leaving or not notice.is_drained
+            server.drained = server.drained or notice.is_drained
     if before != (server.leaving, server.drained):
         table.version += 1
 
 
-def _is_mark_for(table: ServerTable, mark: LeavingNotice, server: Server) -> bool:
+def _is_notice_for(table: ServerTable, notice: LeavingNotice, server: Server) -> bool:
     if table.is_self_registered:
         # Prevents the notice on an earlier incarnation from excluding a server that came back.
-        return mark.incarnation == server.entry.incarnation
+        return notice.incarnation == server.entry.incarnation
     if server.report is None:
         # Its incarnation is unknown until its first report, so the notice applies until then.
         return True
-    if mark.incarnation == server.report.incarnation:
+    if notice.incarnation == server.report.incarnation:
         return True
-    return mark.incarnation == server.entry.incarnation and not server.has_outlived_entry
+    return notice.incarnation == server.entry.incarnation and not server.has_outlived_entry
 
 
 def servers_to_probe(table: ServerTable, options: Options, now: float) -> Iterator[Server]:
--- a/packages/turmericweir-core/turmericweir_core/state/settings_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/settings_state.py
@@ -8,8 +8,9 @@
 - If two operators change a path concurrently, the first record wins, and the other operator gets a
   conflict with the winning change.
 - A record that was appended twice, because its acknowledgement was lost, is applied once: its id is
-  among the seen ids. Their number is bounded, oldest evicted first. They are part of the state, so
-  that all readers evict the same ones. A later repetition fails on its expected version.
+  among the seen ids. Their number is bounded, and the oldest are evicted first. They are part of
+  the state, so that all readers evict the same ones. A repetition of a change whose id was evicted
+  fails on its expected version.
 - The state never goes back: `apply` accepts only the next record, `load_snapshot` only a newer
   state.
 
@@ -238,9 +239,9 @@
         state.providers[ref] = path
 
 
-def _add_seen(state: SettingsState, change_id: str, seen: SeenChange) -> None:
-    state.seen[change_id] = seen
-    state.seen_hash = (state.seen_hash + _hash_seen(change_id, seen)) % _HASH_SPACE
+def _add_seen(state: SettingsState, change_id: str, change: SeenChange) -> None:
+    state.seen[change_id] = change
+    state.seen_hash = (state.seen_hash + _hash_seen(change_id, change)) % _HASH_SPACE
     while len(state.seen) > SEEN_KEEP:
         oldest_id, oldest = state.seen.popitem(last=False)
         state.seen_hash = (state.seen_hash - _hash_seen(oldest_id, oldest)) % _HASH_SPACE
@@ -277,15 +278,17 @@
         if not is_successful(result):
             return Failure(str(result.failure()))
         entries[path] = SettingsEntry(item.version, result.unwrap(), item.operator, item.at)
-    seen = OrderedDict(
+    seen_changes = OrderedDict(
         (item.change_id, SeenChange(item.offset, item.kind)) for item in snapshot.seen_ids
     )
     state = SettingsState(
         offset=snapshot.offset,
         entries=entries,
-        seen=seen,
+        seen=seen_changes,
         entries_hash=_sum_hashes(_hash_entry(path, entry) for path, entry in entries.items()),
-        seen_hash=_sum_hashes(_hash_seen(change_id, item) for change_id, item in seen.items()),
+        seen_hash=_sum_hashes(
+            _hash_seen(change_id, item) for change_id, item in seen_changes.items()
+        ),
         providers=index_providers(entries),
     )
     if state_digest(state) != snapshot.hash:
@@ -343,8 +346,8 @@
         path: (item.version, item.written, item.operator, item.at)
         for path, item in state.entries.items()
     }
-    seen = [(item.change_id, item.offset, item.kind) for item in snapshot.seen_ids]
-    return entries == own_entries and seen == [
+    seen_changes = [(item.change_id, item.offset, item.kind) for item in snapshot.seen_ids]
+    return entries == own_entries and seen_changes == [
         (key, item.offset, item.kind) for key, item in state.seen.items()
     ]
 
@@ -366,8 +369,8 @@
     return _hash([path, entry.version, entry.written, entry.operator, entry.at])
 
 
-def _hash_seen(change_id: str, seen: SeenChange) -> int:
-    return _hash([change_id, seen.offset, seen.kind.value])
+def _hash_seen(change_id: str, change: SeenChange) -> int:
+    return _hash([change_id, change.offset, change.kind.value])
 
 
 def _hash(parts: list[Any]) -> int:
--- a/packages/turmericweir-core/turmericweir_core/state/state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/state.py
@@ -17,7 +17,7 @@
 from turmericweir_core.base.request import Request
 from turmericweir_core.state.account_store import AccountStore
 from turmericweir_core.state.claim_state import ClaimState
-from turmericweir_core.state.concurrency import ConcurrencyLimits as ServerLimits
+from turmericweir_core.state.concurrency import ConcurrencyLimits
 from turmericweir_core.state.credit_state import CreditState
 from turmericweir_core.state.dead_state import DeadState
 from turmericweir_core.state.document_state import DocumentState
@@ -109,8 +109,8 @@
     reliability: ReliabilityState = field(default_factory=ReliabilityState)
     stragglers: StragglerState = field(default_factory=StragglerState)
     overdue_ranks: OverdueRanks = field(default_factory=OverdueRanks)
-    # Adaptive limits of servers.
-    server_limits: ServerLimits = field(default_factory=ServerLimits)
+    # Adaptive limits on the requests in flight on each server.
+    server_limits: ConcurrencyLimits = field(default_factory=ConcurrencyLimits)
     retries: RetryBudget = field(default_factory=RetryBudget)
     members: Membership = field(default_factory=Membership)
     claims: ClaimState = field(default_factory=ClaimState)
