--- a/packages/turmericweir-core/turmericweir_core/messages/events.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/events.py
@@ -27,7 +27,7 @@
 
 
 class CallerLeft(Struct, frozen=True):
-    """The caller closed its connection before the account was given."""
+    """The caller closed its connection before it received the account."""
 
     request_id: RequestId
 
@@ -127,7 +127,7 @@
     fence: int = -1
     # Models that are being loaded.
     loading: tuple[str, ...] = ()
-    # When the probe for this report was sent; long ago if another instance forwarded the report.
+    # When the probe for this report was sent; -inf if another instance forwarded the report.
     probe_sent_at: float = float("-inf")
 
 
@@ -362,7 +362,7 @@
 
 
 class Tick(Struct, frozen=True):
-    """Time passed; every reducer runs what is due. Ticks are `Options.tick_s` apart."""
+    """Time passed; every reducer does its periodic work. Ticks are `Options.tick_s` apart."""
 
 
 class StopRequested(Struct, frozen=True):
--- a/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
@@ -14,10 +14,10 @@
 
 
 class Word(Struct, frozen=True, array_like=True):
-    """Status message of a relay about its data centre."""
+    """Status message of a gateway about its data centre."""
 
     data_centre: str
-    # The key of the relay, and its heartbeat counter at the time of sending.
+    # The key of the gateway, and its heartbeat counter at the time of sending.
     relay_key: int
     seq: int
     # Hash of the keys of the live members.
@@ -33,7 +33,7 @@
     server: str
     incarnation: str
     drained: bool
-    # Seconds since an instance first saw that the server is leaving.
+    # Seconds since an instance last saw that the server is leaving.
     age_s: int
 
 
@@ -43,7 +43,7 @@
     Heartbeats are most of the control traffic and must be small. `counters` holds one ASCII
     character for each member, the lowest seven bits of its counter, in the order of the roster that
     `members_hash` identifies. A receiver with a different roster cannot decode them; for a while
-    after any difference, `server_entries` holds the counters with their keys instead. Details are
+    after any difference, `entries` holds the counters with their keys instead. Details are
     requested when a summary differs.
     """
 
@@ -213,7 +213,7 @@
     part: str
     tokens: int
     is_prefilled: bool
-    # How long it counts as being prefilled.
+    # Time for which the prefill of the part is assumed to last.
     prefill_ms: int
 
 
@@ -239,12 +239,12 @@
     rows: list[LoadRow] = []
     parts: list[SentPart] = []
     demand: list[DemandRow] = []
-    # The sender has no load on servers without a row; if false, their load is unchanged.
+    # True: the sender has no load on servers without a row. False: their load is unchanged.
     is_complete: bool = True
 
 
 class BundledNews(Struct, frozen=True, array_like=True):
-    """A forwarded load update, with its origin and the time it was delayed."""
+    """A forwarded load update, with its origin and its delay at the relay."""
 
     origin: str
     update: LoadNews
