--- a/packages/turmericweir-core/turmericweir_core/base/ids.py
+++ b/packages/turmericweir-core/turmericweir_core/base/ids.py
@@ -15,9 +15,9 @@
 Target = NewType("Target", str)
 
 
-def request_id_of(name: AttemptId) -> RequestId:
+def request_id_of(attempt_id: AttemptId) -> RequestId:
     """Return the id of the request that an attempt belongs to."""
-    return RequestId(name.rpartition(".")[0])
+    return RequestId(attempt_id.rpartition(".")[0])
 
 
 def make_attempt_id(request_id: RequestId, number: int) -> AttemptId:
--- a/packages/turmericweir-core/turmericweir_core/base/options.py
+++ b/packages/turmericweir-core/turmericweir_core/base/options.py
@@ -116,7 +116,8 @@
     credit_fallback_s: float = 1.0
     # Share of a server's slots that an instance uses without a grant, at least one slot.
     credit_fallback_share: float = 0.1
-    # A holder without a message for this long is asked first whether it still uses its credit.
+    # Time without a message from a holder after which its credit is probably idle, and is recalled
+    # if others need it.
     credit_unheard_s: float = 0.25
     # Minimum duration of unmet demand that counts as a shortage; by then reclaimed idle slots have
     # been returned.
@@ -206,9 +207,9 @@
     straggler_slow: float = 1.6
     straggler_stop: float = 3.0
     straggler_well: float = 1.3
-    # Consecutive late gaps between tokens after which an answer is moved to another server.
+    # Consecutive overdue gaps between tokens after which an answer is moved to another server.
     move_late_gaps: int = 2
-    # Time without a late token after which a server counts as recovered.
+    # Time without an overdue token after which a server counts as recovered.
     move_well_s: float = 1.0
     # Time between probes of a stopped straggler with requests of less urgent tiers.
     straggler_probe_s: float = 2.0
@@ -242,7 +243,8 @@
     deadline_grace_s: float = 0.5
 
     # --- stopping ---
-    # Time after a stop during which new requests are accepted, as the load balancer reacts late.
+    # Time after a stop during which new requests are accepted, because the load balancer reacts
+    # with a delay.
     stop_grace_s: float = 2.0
     # Maximum time from the stop request to the end of the process, whatever is in flight.
     stop_limit_s: float = float("inf")
@@ -272,8 +274,8 @@
     # --- membership ---
     # Time between gossip rounds; each sends one datagram to one peer in the local data centre.
     heartbeat_s: float = 0.2
-    # Time without progress after which a peer is excluded from decisions. Longer than heartbeats
-    # are normally delayed by gossip and packet loss.
+    # Time without progress after which a peer is excluded from decisions. Longer than the usual
+    # delay of heartbeats by gossip and packet loss.
     suspect_s: float = 2.2
     # Time after which a peer is removed from the roster. It is long because each change of the
     # roster enlarges datagrams for a while, and a short disconnection should not cause one.
@@ -287,8 +289,8 @@
     forget_outage_s: float = 3_600.0
     # A longer gap between ticks counts as a pause of the process.
     pause_s: float = 1.0
-    # Time after a pause before peers are judged again; messages buffered by the sockets are read
-    # first.
+    # Time after a pause before the liveness of peers is evaluated again; messages buffered by the
+    # sockets are read first.
     trust_delay_s: float = 0.3
     # Time between datagrams to a peer that is known by name only, or is unresponsive.
     candidate_s: float = 1.0
@@ -304,9 +306,9 @@
     records_max: int = 10
 
     # --- other data centres ---
-    # Instances per data centre that exchange status messages with other data centres.
+    # Gateways per data centre: instances that exchange status messages with other data centres.
     relays: int = 3
-    # Time between the status messages of one relay to another data centre.
+    # Time between the status messages of one gateway to another data centre.
     relay_s: float = 1.5
     # Maximum number of status messages of other data centres that one datagram forwards.
     words_max: int = 2
@@ -344,7 +346,7 @@
     # --- claims of idempotency keys ---
     # Retention of a key after it was claimed, by the clock of the stream.
     claim_retention_s: float = 86_400.0
-    # Maximum number of live keys; more are refused. Each takes some 620 bytes on every instance.
+    # Maximum number of live keys, which all instances hold in memory; more are refused.
     claim_live_max: int = 100_000
     # Appends per second of all live instances together, shared evenly, and the burst of each. Well
     # below the limit of the platform.
@@ -399,8 +401,8 @@
     # value. Off by default, as new keys would need an operator after a loss of all instances at
     # once.
     claim_votes: bool = False
-    # Maximum number of instances with a view. Each claim takes two messages per member, and a
-    # change of the view 50 bytes per member.
+    # Maximum number of instances with a view. Each claim takes two messages per member, and
+    # the record of a view grows with their number.
     claim_view_max: int = 32
     # Duration of an append after which a vote is started in parallel. Well below the shortest
     # target of a class, and longer than a normal append.
@@ -410,7 +412,8 @@
     # Time between requests to a member that has not answered.
     claim_vote_again_s: float = 0.3
     # Time without a change of membership before the first view is created, which lets instances
-    # that start together discover each other; and the same while some known instances are not live.
+    # that start together discover each other; and this time while some known instances are not
+    # live.
     claim_view_met_s: float = 5.0
     claim_view_first_s: float = 8.0
     # Time between join requests in the log of an instance outside the view.
@@ -472,14 +475,15 @@
     model_demand_window_s: float = 180.0
     # Time for which demand is observed before any change is based on it.
     model_warm_s: float = 300.0
-    # Load of the servers with a model, as a share of their slots, above which another server gets
-    # it, and below which, after removing one, one loses it. The distance prevents oscillation.
+    # Load of the servers with a model, as a share of their slots: above the first, another server
+    # loads it; if the load with one server less would be below the second, one unloads it. The
+    # distance prevents oscillation.
     model_grow_share: float = 0.8
     model_shrink_share: float = 0.5
-    # Slots in use above which a data centre without a required server of the model gets a first
-    # one.
+    # Slots in use above which a first server loads a model that its data centre does not require.
     model_first_slots: float = 0.1
-    # Time without any use of a model after which its last server that is not required gives it up.
+    # Time without any use of a model after which the last server unloads it, unless its data centre
+    # requires one.
     model_last_s: float = 3_600.0
     # Minimum time between changes of the intended number of servers with a model.
     model_change_s: float = 120.0
@@ -503,7 +507,7 @@
     # Time behind a peer after which an instance requests its records; the long poll of the log is
     # usually faster.
     settings_ask_after_s: float = 0.3
-    # Time between requests; replaces an answer that was lost with its stream.
+    # Time between these requests. Repeats one whose answer was lost with its stream.
     settings_ask_s: float = 0.5
     # Maximum time that a starting instance with settings from the log waits for newer ones of
     # peers.
@@ -567,7 +571,7 @@
 
     # --- quarantine ---
     # Time for which a request that was in flight at a crash is a suspect, and for which one that
-    # was in flight at two crashes is refused. The second limits the harm of a wrong verdict.
+    # was in flight at two crashes is refused. The second is limited because a verdict may be wrong.
     suspect_keep_s: float = 300.0
     quarantine_s: float = 600.0
     # Time from the last report on a second crash to the verdict; lets all instances report what
@@ -609,7 +613,7 @@
     # Time between probes of a server with overdue attempts.
     sign_probe_s: float = 0.2
     # Time within which an answer to a probe proves that the server works, also on a busy machine;
-    # and the shorter time that proves that it was not stalled until just before.
+    # and the shorter time, which also proves that it was not stalled until just before the answer.
     sign_answer_s: float = 0.1
     sign_at_once_s: float = 0.02
     # A longer time between ticks means that this process itself was stalled.
@@ -634,5 +638,6 @@
     first_silence_factor: float = 4.0
     # Decay of the longest wait, as a factor per answer.
     first_wait_decay: float = 0.95
-    # Share of the time to the deadline after which it is suspected, whatever the server reports.
+    # Share of the time to the deadline after which such an answer is suspected, whatever the server
+    # reports.
     first_silence_share: float = 0.5
--- a/packages/turmericweir-core/turmericweir_core/base/request.py
+++ b/packages/turmericweir-core/turmericweir_core/base/request.py
@@ -60,9 +60,9 @@
     tokens: int = 0
     first_token_at: float | None = None
     last_token_at: float | None = None
-    # A longer gap between tokens counts as late: the target of its class, if it has one.
+    # A longer gap between tokens is overdue; the target of the class, if it has one.
     late_gap_s: float = float("inf")
-    # Number of consecutive late gaps.
+    # Number of consecutive overdue gaps.
     consecutive_late_gaps: int = 0
     # The longest time between tokens since the previous tick, and since the first token.
     tick_max_gap_s: float = 0.0
@@ -100,8 +100,7 @@
     prompt_tokens: int = 0
     # Upper bound on the answer length that the caller set, tokens.
     max_tokens: int | None = None
-    # Answer length that the caller estimated, tokens; the median is accurate, single estimates may
-    # be far off.
+    # Answer length that the caller estimated, tokens; a single estimate may be far off.
     expected_tokens: int | None = None
     # The answer is streamed to the caller as it arrives.
     streamed: bool = False
--- a/packages/turmericweir-core/turmericweir_core/base/store_times.py
+++ b/packages/turmericweir-core/turmericweir_core/base/store_times.py
@@ -33,8 +33,8 @@
 
     # Time between two reads of the settings by a reader; a read proves that they are the newest.
     settings_read_s: float = 0.7
-    # Age of the proof at which the first instance reads by itself, and the time until the last one
-    # does.
+    # Age of the proof at which the first instance reads by itself, and the time from the first such
+    # instance to the last.
     settings_fallback_s: float = 1.6
     settings_fallback_spread_s: float = 0.3
     # The same for the entries of servers.
