--- a/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_ledger.py
@@ -21,9 +21,9 @@
 replaces them or a floor passes them: a holder that is still live is then in a later record, which
 this reader has read.
 
-An instance runs a call only if the ledger has a sure claim of its own for the key, entered while
-the ledger was whole. docs/design/claims.md explains why this is sufficient; `test_claim_ledger`
-checks it against a reader that has read every record since offset 0.
+An instance runs a call only if its ledger has a sure claim by this instance for the key, entered
+while the ledger was whole. docs/design/claims.md explains why this is sufficient;
+`test_claim_ledger` checks it against a reader that has read every record since offset 0.
 """
 
 from __future__ import annotations
--- a/packages/turmericweir-core/turmericweir_core/state/claim_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_state.py
@@ -140,7 +140,8 @@
     not_whole_since: float | None = None
     # Claims in records below this offset have to be carried forward; see `claim_carry`.
     carry_below: int = 0
-    # Offset of the stream at the last age mark, and when the next mark is set.
+    # Offset of the ledger when it was last recorded, to determine the age of records, and when it
+    # is recorded next.
     age_mark_offset: int = 0
     next_age_mark_at: float = 0.0
 
--- a/packages/turmericweir-core/turmericweir_core/state/lease_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_state.py
@@ -9,7 +9,7 @@
 
 
 class HeldLease(Struct, frozen=True):
-    """A lease held by this instance until a time of its own clock."""
+    """A lease held by this instance, until a time of this instance's clock."""
 
     fence: int
     # Counted from the time when its newest record was sent.
--- a/packages/turmericweir-core/turmericweir_core/state/straggler.py
+++ b/packages/turmericweir-core/turmericweir_core/state/straggler.py
@@ -4,7 +4,7 @@
 tokens of this instance's requests. It is sampled on ticks from the token counts of running
 attempts, which adds no cost per token, averaged by server, and compared with the median of the
 servers of the same service. A slow server gets work in inverse proportion to its gap. A very slow
-one gets only probes, single requests of the lowest tier, until its samples are good again.
+one gets only probes, single requests of the lowest tier, until its samples are normal again.
 
 The comparison is relative: if all servers are slow, as at peak load, none is a straggler, so at
 least half of the servers of a service always remain in use.
