--- a/packages/turmericweir-core/turmericweir_core/records/claim_answer.py
+++ b/packages/turmericweir-core/turmericweir_core/records/claim_answer.py
@@ -2,7 +2,7 @@
 
 Only the instance that ran the call stores the answer, in memory: the log records how a call ended,
 not its body. The number and total size of answers are bounded, and the oldest are dropped first.
-Later callers are told only that the first call completed.
+After that, callers who repeat the call learn only that it completed.
 """
 
 from __future__ import annotations
--- a/packages/turmericweir-core/turmericweir_core/records/lease_record.py
+++ b/packages/turmericweir-core/turmericweir_core/records/lease_record.py
@@ -89,14 +89,14 @@
             number=require_int(value["n"]),
             upto=require_int(value["upto"]),
             fence=require_int(value["fence"]),
-            lease_s=_duration_field(value["lease_s"]),
+            lease_s=_require_duration(value["lease_s"]),
             note=value.get("note"),
         )
     except (AttributeError, KeyError, TypeError, ValueError):
         return None
 
 
-def _duration_field(value: Any) -> float:
+def _require_duration(value: Any) -> float:
     if not isinstance(value, int | float) or isinstance(value, bool) or not 0 < value < 86_400:
-        raise ValueError(f"not a duration of less than a day: {value!r}")
+        raise ValueError(f"not a duration between 0 and one day, in seconds: {value!r}")
     return float(value)
--- a/packages/turmericweir-core/turmericweir_core/records/settings_model.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_model.py
@@ -4,8 +4,8 @@
 Consistency with other settings is checked in `settings_refs`, versions and permissions in
 `settings_state`.
 
-All instances must apply the same rules, as different ones lead to different settings at the same
-offset. The hash in the heartbeats reveals such a difference.
+All instances must apply the same rules; otherwise their settings at the same offset differ, which
+the hash in the heartbeats reveals.
 """
 
 from __future__ import annotations
@@ -281,8 +281,8 @@
 def written_form(value: SettingsValue) -> dict[str, Any]:
     """Return a value as JSON, with only the fields that the operator wrote.
 
-    Numbers have the form of their field's type, which gives `1` and `1.0` the same hash whichever
-    of the two a codec produced.
+    Numbers have the form of their field's type. Prevents `1` and `1.0`, which codecs may exchange,
+    from having different hashes.
     """
     return value.model_dump(mode="json", exclude_unset=True)
 
@@ -341,8 +341,10 @@
         case ServerPath(name), WrittenServer():
             new_config.servers[ServerName(name)] = _server(name, value)
         case ModelPath(name), WrittenModel():
-            want = config.ModelReplicas(name, value.version, value.min_servers, value.max_servers)
-            new_config.model_replicas[name] = want
+            replicas = config.ModelReplicas(
+                name, value.version, value.min_servers, value.max_servers
+            )
+            new_config.model_replicas[name] = replicas
         case OperatorPath(name), WrittenOperator():
             operator = config.Operator(name, value.token_sha256, tuple(value.paths))
             new_config.operators[name] = operator
@@ -413,9 +415,9 @@
         return
     default = caps.get(LimitPath(LimitScope.DEFAULT), NO_LIMIT)
     for name, customer in new_config.customers.items():
-        own = default if customer.limit == NO_LIMIT else customer.limit
+        customer_limit = default if customer.limit == NO_LIMIT else customer.limit
         cap = caps.get(LimitPath(LimitScope.CUSTOMER, name), NO_LIMIT)
-        new_config.customers[name] = replace(customer, limit=_tighter_limit(own, cap))
+        new_config.customers[name] = replace(customer, limit=_tighter_limit(customer_limit, cap))
     for path, cap in caps.items():
         if path.scope is LimitScope.TEAM:
             new_config.teams[path.name] = _tighter_limit(
--- a/packages/turmericweir-core/turmericweir_core/records/settings_record.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_record.py
@@ -56,7 +56,7 @@
 
 
 class SeenEntry(_Record):
-    """A change that was judged before the snapshot."""
+    """A change that got its verdict before the snapshot."""
 
     change_id: ChangeId
     offset: Offset
--- a/packages/turmericweir-core/turmericweir_core/records/settings_verdict.py
+++ b/packages/turmericweir-core/turmericweir_core/records/settings_verdict.py
@@ -79,7 +79,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Repeated:
-    """The change was judged before, and is skipped."""
+    """The change already has a verdict and is skipped."""
 
     subject: Subject
     first_offset: int
--- a/packages/turmericweir-core/turmericweir_core/records/usage_note.py
+++ b/packages/turmericweir-core/turmericweir_core/records/usage_note.py
@@ -1,4 +1,4 @@
-"""The note of the duty holder in its lease record: the usage windows that it has settled."""
+"""The note of the duty holder in its lease record: the usage windows whose counts are final."""
 
 from __future__ import annotations
 
