--- a/packages/turmericweir-core/turmericweir_core/base/request.py
+++ b/packages/turmericweir-core/turmericweir_core/base/request.py
@@ -61,14 +61,14 @@
     first_token_at: float | None = None
     last_token_at: float | None = None
     # A longer gap between tokens is overdue; the target of the class, if it has one.
-    late_gap_s: float = float("inf")
+    overdue_gap_s: float = float("inf")
     # Number of consecutive overdue gaps.
-    consecutive_late_gaps: int = 0
+    consecutive_overdue_gaps: int = 0
     # The longest time between tokens since the previous tick, and since the first token.
     tick_max_gap_s: float = 0.0
     max_gap_s: float = 0.0
     # Why the reducer cancelled it; the end of the attempt is still awaited.
-    cancelled: CancelReason | None = None
+    cancel_reason: CancelReason | None = None
     # The pool whose accounting includes this attempt, and the work counted for it there.
     pool: str = ""
     work: float = 0.0
--- a/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
+++ b/packages/turmericweir-core/turmericweir_core/claims/claim_carry.py
@@ -51,7 +51,7 @@
 def _needs_carrying(state: State, record_offset: int) -> bool:
     claims = state.claims
     distance = claims.ledger.offset - record_offset
-    return distance > state.options.claim_carry_records or record_offset < claims.carry_below
+    return distance > state.options.claim_carry_records or record_offset < claims.carry_below_offset
 
 
 def _update_carry_offset(state: State, now: float) -> None:
@@ -62,7 +62,7 @@
     claims = state.claims
     if now < claims.next_age_mark_at:
         return
-    claims.carry_below = claims.age_mark_offset
+    claims.carry_below_offset = claims.age_mark_offset
     claims.age_mark_offset = claims.ledger.offset
     claims.next_age_mark_at = now + state.options.claim_carry_s
 
@@ -79,11 +79,11 @@
     """Mark the ledger as whole once all claims that may be missing from it have expired."""
     claims = state.claims
     if claims.ledger.has_all_claims:
-        claims.not_whole_since = None
+        claims.incomplete_since = None
         return []
-    if claims.not_whole_since is None:
-        claims.not_whole_since = now
-    waited_s = now - claims.not_whole_since
+    if claims.incomplete_since is None:
+        claims.incomplete_since = now
+    waited_s = now - claims.incomplete_since
     if waited_s <= state.options.claim_retention_s * state.options.claim_blind_margin:
         return []
     claims.ledger.has_all_claims = True
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_assured.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_assured.py
@@ -30,7 +30,7 @@
     for tier in _active_tiers(ledger):
         accrued_slot_s = ledger.accrued_slot_s.get(tier, 0.0)
         waiting, running = _tier_totals(ledger, tier)
-        if tier in ledger.assured:
+        if tier in ledger.assured_tiers:
             accrued_slot_s -= elapsed_s
         elif waiting and not running:
             accrued_slot_s += elapsed_s * capacity.slots * shares.get(tier, 0.0)
@@ -42,21 +42,21 @@
     options: Options, ledger: CreditLedger, tier: int, has_waiting: bool, has_running: bool
 ) -> None:
     accrued_slot_s = ledger.accrued_slot_s[tier]
-    if tier not in ledger.assured:
+    if tier not in ledger.assured_tiers:
         if accrued_slot_s >= options.credit_assured_s:
-            ledger.assured.add(tier)
+            ledger.assured_tiers.add(tier)
         return
     # A running attempt may exceed the accrued slot seconds; its tier then has to accrue the debt.
     is_used_up = accrued_slot_s <= -options.credit_assured_debt_s or (
         accrued_slot_s <= 0.0 and not has_running
     )
     if is_used_up or not (has_waiting or has_running):
-        ledger.assured.discard(tier)
+        ledger.assured_tiers.discard(tier)
 
 
 def _active_tiers(ledger: CreditLedger) -> Iterable[int]:
     tiers = {tier for each in ledger.holdings.values() for tier in each.demand}
-    return tiers | ledger.assured
+    return tiers | ledger.assured_tiers
 
 
 def _tier_totals(ledger: CreditLedger, tier: int) -> tuple[int, int]:
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_demand.py
@@ -256,9 +256,9 @@
     credits, options = state.credits, state.options
     demands_left = options.credit_demands_burst
     if credits.demands_left is not None:
-        refilled = (now - credits.demands_at) * options.credit_demands_s
+        refilled = (now - credits.demands_left_at) * options.credit_demands_s
         demands_left = min(demands_left, credits.demands_left + refilled)
-    credits.demands_at = now
+    credits.demands_left_at = now
     credits.demands_left = demands_left
     if demands_left < max(1.0, reserved * options.credit_demands_burst):
         credits.demands_put_off += 1
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_dispatcher.py
@@ -236,7 +236,7 @@
     return [
         _outgoing(state, now, server, ledger, name, holding)
         for name, holding in ledger.holdings.items()
-        if name in changed_instances or holding.contended != is_contended
+        if name in changed_instances or holding.is_contended != is_contended
     ]
 
 
@@ -244,7 +244,7 @@
     for name, holding in list(ledger.holdings.items()):
         # Counts from the receipt of the last demand, so the holder's credit expires before this.
         has_lapsed = now - holding.received_at > state.options.credit_ttl_s
-        if has_lapsed or name not in state.credits.alive:
+        if has_lapsed or name not in state.credits.live_instances:
             del ledger.holdings[name]
 
 
@@ -283,9 +283,9 @@
     )
     if is_short:
         ledger.contended_until = now + options.credit_contended_s
-    was_contended = any(each.contended for each in holdings)
+    was_contended = any(each.is_contended for each in holdings)
     has_lapsed = any(now - each.received_at > options.credit_ttl_s for each in holdings)
-    if is_short or was_contended or has_lapsed or ledger.assured:
+    if is_short or was_contended or has_lapsed or ledger.assured_tiers:
         ledger.is_settlement_pending = True
 
 
@@ -309,12 +309,12 @@
     name: InstanceName,
     holding: CreditHolding,
 ) -> Outgoing:
-    holding.contended = now < ledger.contended_until
+    holding.is_contended = now < ledger.contended_until
     tiers = [
         TierGrant(tier, slots, holding.assured.get(tier, 0))
         for tier, slots in sorted(holding.granted.items())
     ]
-    if not holding.contended and grant_covers(tiers, holding.demand.values()):
+    if not holding.is_contended and grant_covers(tiers, holding.demand.values()):
         # The holder does the same on receipt, which saves a demand.
         holding.demand = {each.tier: each for each in demand_once_started(holding.demand.values())}
     grant = CreditGrant(
@@ -322,7 +322,7 @@
         demand_seq=holding.seq,
         grant_number=holding.number,
         ttl_s=state.options.credit_ttl_s,
-        is_contended=holding.contended,
+        is_contended=holding.is_contended,
         # Repeated with every grant, as the first one may be lost.
         attempts_to_keep=holding.attempts_to_keep,
         displace_above=holding.displace_above,
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_holder.py
@@ -205,7 +205,7 @@
     state.credits.grants_taken += 1
     _apply_load(state, now, name, grant.load)
     if credit.attempts_to_keep is not None and name in state.servers.by_name:
-        state.credits.recalled.add(name)
+        state.credits.recalled_servers.add(name)
     return True
 
 
--- a/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/credit_settlement.py
@@ -34,7 +34,7 @@
         for each in ledger.holdings[name].demand.values()
         if each.running + each.waiting
     ]
-    return allocate(capacity, names, wants, sorted(ledger.assured, reverse=True))
+    return allocate(capacity, names, wants, sorted(ledger.assured_tiers, reverse=True))
 
 
 def _rank(options: Options, holding: CreditHolding) -> tuple[int, bool, float]:
@@ -112,7 +112,7 @@
     changed: set[InstanceName] = set()
     for name in sorted(shares, key=lambda each: -_surplus(ledger, shares, each)):
         holding, share = ledger.holdings[name], shares[name]
-        is_enough = missing <= 0 and is_lower_covered and not ledger.assured
+        is_enough = missing <= 0 and is_lower_covered and not ledger.assured_tiers
         if share.total() > holding.total() or (is_enough and not missing_slots(holding, capacity)):
             continue
         total_before = holding.total()
--- a/packages/turmericweir-core/turmericweir_core/credits/dispatcher_selection.py
+++ b/packages/turmericweir-core/turmericweir_core/credits/dispatcher_selection.py
@@ -18,9 +18,9 @@
     credits = state.credits
     name = server.entry.name
     if name not in credits.dispatchers:
-        if not credits.live:
+        if not credits.live_by_data_centre:
             update_live_instances(state, now)
-        live = credits.live.get(server.entry.data_centre, ())
+        live = credits.live_by_data_centre.get(server.entry.data_centre, ())
         credits.dispatchers[name] = max(
             live, key=lambda each: rendezvous_weight(name, each), default=None
         )
@@ -36,13 +36,13 @@
     """Update the live instances; clear the cached dispatchers if they have changed."""
     state.credits.next_live_update_at = now + state.options.credit_live_s
     members = membership.live_instances(state, now)
-    state.credits.alive = frozenset(member.name for member in members)
+    state.credits.live_instances = frozenset(member.name for member in members)
     live: dict[str, list[InstanceName]] = {}
     for member in members:
         # A leaving instance hands its servers over before it stops.
         if not member.leaving:
             live.setdefault(member.data_centre, []).append(member.name)
     live_by_data_centre = {data_centre: tuple(names) for data_centre, names in live.items()}
-    if live_by_data_centre != state.credits.live:
-        state.credits.live = live_by_data_centre
+    if live_by_data_centre != state.credits.live_by_data_centre:
+        state.credits.live_by_data_centre = live_by_data_centre
         state.credits.dispatchers.clear()
--- a/packages/turmericweir-core/turmericweir_core/duties/capacity.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity.py
@@ -165,15 +165,15 @@
     if previous is not None:
         if subject in capacity_state.calls_in_flight.values() or now < previous.unavailable_until:
             return []
-        waited_s = now - previous.at
+        waited_s = now - previous.ordered_at
         is_done_or_recent = count == present_count or waited_s < capacity.boot_s + _ORDER_REPEAT_S
-        if previous.count == count and previous.is_taken and is_done_or_recent:
+        if previous.count == count and previous.is_accepted and is_done_or_recent:
             return []
         if previous.count == count and waited_s < _EVALUATION_INTERVAL_S:
             return []
     lease = election.usable_lease(state, now)
     if lease is None:
-        lease_flow.set_resting(state, election.SCOPE, resting=False)
+        lease_flow.set_idle(state, election.SCOPE, resting=False)
         return []
     if len(capacity_state.calls_in_flight) >= _PENDING_ORDERS_MAX:
         return []
@@ -199,7 +199,7 @@
     if subject is None:
         return []
     order = capacity_state.orders[subject]
-    order.is_taken = event.outcome is DutyOutcome.DONE
+    order.is_accepted = event.outcome is DutyOutcome.DONE
     if event.outcome is DutyOutcome.NONE_LEFT:
         order.unavailable_until = now + _UNAVAILABLE_S
     service, data_centre, spot = subject
@@ -215,7 +215,7 @@
     """Return whether orders are pending or have to be repeated."""
     capacity_state = _capacity(state)
     return bool(capacity_state.calls_in_flight) or any(
-        not order.is_taken for order in capacity_state.orders.values()
+        not order.is_accepted for order in capacity_state.orders.values()
     )
 
 
--- a/packages/turmericweir-core/turmericweir_core/duties/duty_view.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/duty_view.py
@@ -118,8 +118,8 @@
                         present,
                         leaving,
                         None if order is None else order.count,
-                        None if order is None else now - order.at,
-                        order is not None and order.is_taken,
+                        None if order is None else now - order.ordered_at,
+                        order is not None and order.is_accepted,
                     )
                 )
     return views
--- a/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/cache_handover.py
@@ -32,7 +32,7 @@
     if handover.started_at is None:
         handover.started_at = now
     if (
-        handover.has_cache_contents
+        handover.has_received_caches
         or now < handover.next_query_at
         or now - handover.started_at > _GIVE_UP_AFTER_S
     ):
@@ -69,9 +69,9 @@
 
 def on_caches_received(state: State, sender: InstanceName, message: CachesSend) -> list[Effect]:
     """Record a peer's cache data; parts that this instance observed count as newer."""
-    if state.handover.has_cache_contents:
+    if state.handover.has_received_caches:
         return []
-    state.handover.has_cache_contents = True
+    state.handover.has_received_caches = True
     part_count = 0
     for row in message.servers:
         server = state.servers.by_name.get(ServerName(row.server))
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_model.py
@@ -96,7 +96,7 @@
     for part, size in req.parts:
         if part in record.cached:
             continue
-        if record.uncached_parts.get(part, now) <= now:
+        if record.prefilling_until.get(part, now) <= now:
             break
         tokens += size
     return tokens
@@ -190,9 +190,9 @@
     load = record.load
     if (
         load is None
-        or load.at != now
+        or load.computed_at != now
         or load.load_version != record.load_version
-        or load.own != own_counts
+        or load.local_counts != own_counts
     ):
         load = record.load = _sum_load(record, now, own_counts)
     return load
@@ -325,14 +325,14 @@
 
 def record_prefilling(record: EngineInfo, part: str, expected_until: float) -> None:
     """Record that an engine is expected to prefill a part until a time."""
-    record.uncached_parts[part] = max(
-        expected_until, record.uncached_parts.get(part, expected_until)
+    record.prefilling_until[part] = max(
+        expected_until, record.prefilling_until.get(part, expected_until)
     )
 
 
 def record_cached(record: EngineInfo, server: Server, part: str, tokens: int) -> None:
     """Record that an engine holds a part, and evict its least recently used parts."""
-    record.uncached_parts.pop(part, None)
+    record.prefilling_until.pop(part, None)
     previous_tokens = record.cached.pop(part, None)
     record.cached[part] = tokens
     record.cached_tokens += tokens - (previous_tokens or 0)
@@ -400,7 +400,7 @@
     if record is None:
         return
     record.cached.clear()
-    record.uncached_parts.clear()
+    record.prefilling_until.clear()
     record.cached_tokens = 0
     record.pace = 1.0
     record.load_version += 1
--- a/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/engine_pools.py
@@ -109,7 +109,7 @@
     """Record the work of a new request, as on the engine with the least work for it."""
     if not engines or not req.prompt_tokens:
         return
-    demand = state.pools.own.setdefault(req.target, EngineDemand(at=now))
+    demand = state.pools.local_demand.setdefault(req.target, EngineDemand(decayed_at=now))
     _decay(demand, now)
     records = (engine_model.engine_info_of(state, each.entry.name) for each in engines)
     work_ms = min(engine_model.own_work_ms(state, record, req) for record in records)
@@ -155,17 +155,17 @@
 
 def _decay(demand: EngineDemand, now: float) -> None:
     """Decay the demand to the current time."""
-    decay_factor = exp((demand.at - now) / _DEMAND_WINDOW_S)
+    decay_factor = exp((demand.decayed_at - now) / _DEMAND_WINDOW_S)
     demand.long_prompt_ms *= decay_factor
     demand.short_prompt_ms *= decay_factor
     demand.medium_prompt_ms *= decay_factor
-    demand.at = now
+    demand.decayed_at = now
 
 
 def demand_rows(state: State, now: float) -> list[DemandRow]:
     """Return this instance's demand, in milliseconds of work per second."""
     rows = []
-    for target, demand in state.pools.own.items():
+    for target, demand in state.pools.local_demand.items():
         _decay(demand, now)
         row = DemandRow(
             target,
@@ -183,7 +183,7 @@
 ) -> None:
     """Record a peer's demand."""
     for row in rows:
-        peer_demand = state.pools.peers.setdefault(Target(row.target), {})
+        peer_demand = state.pools.peer_demand.setdefault(Target(row.target), {})
         peer_demand[sender] = ReportedDemand(
             now, row.long_prompt_ms_s, row.short_prompt_ms_s, row.medium_prompt_ms_s
         )
@@ -265,7 +265,7 @@
 def prefill_engine_count(state: State, target: Target) -> int:
     """Return the number of prefill engines, for logs."""
     split = state.pools.splits.get(target)
-    return 0 if split is None else split.prefill_count
+    return 0 if split is None else split.prefill_engine_count
 
 
 def _prefill_engine_count(state: State, now: float, target: Target, engine_count: int) -> int:
@@ -274,18 +274,20 @@
         split = state.pools.splits[target] = EngineSplit(ceil(_START_SHARE * engine_count))
     if split.cached_settings != state.config.offset:
         split.cached_settings = state.config.offset
-        split.is_short_first = _is_decode_first(state, target)
+        split.is_decode_first = _is_decode_first(state, target)
         split.lowest_gap_target_s = _shortest_gap_s(state, target)
     plan = _plan(state, now, target, engine_count, split)
-    split.prefill_count = max(plan.needed_count, min(split.prefill_count, plan.available_count))
-    if split.prefill_count == plan.fair_count:
+    split.prefill_engine_count = max(
+        plan.needed_count, min(split.prefill_engine_count, plan.available_count)
+    )
+    if split.prefill_engine_count == plan.fair_count:
         split.mismatch_since = None
     elif split.mismatch_since is None:
         split.mismatch_since = now
     elif now - split.mismatch_since >= _move_interval_s(engine_count):
-        split.prefill_count += 1 if plan.fair_count > split.prefill_count else -1
+        split.prefill_engine_count += 1 if plan.fair_count > split.prefill_engine_count else -1
         split.mismatch_since = now
-    return min(split.prefill_count, engine_count - 1)
+    return min(split.prefill_engine_count, engine_count - 1)
 
 
 def _move_interval_s(engine_count: int) -> float:
@@ -309,17 +311,17 @@
     short_need = min(decode_count - 1, _engines_needed(demand.short_prompt_ms, _PLANNED_BUSY_SHARE))
     proportional_count = round(decode_count * short_need / (medium_need + short_need))
     target_count = max(1, min(proportional_count, decode_count - 1))
-    if not split.short_prompt_count:
-        split.short_prompt_count, split.short_changed_at = target_count, now
+    if not split.short_engine_count:
+        split.short_engine_count, split.short_changed_at = target_count, now
     elif (
-        split.short_prompt_count != target_count
+        split.short_engine_count != target_count
         and now - split.short_changed_at >= _move_interval_s(decode_count)
     ):
-        split.short_prompt_count += 1 if target_count > split.short_prompt_count else -1
+        split.short_engine_count += 1 if target_count > split.short_engine_count else -1
         split.short_changed_at = now
-    split.short_prompt_count = max(split.short_prompt_count, short_need)
+    split.short_engine_count = max(split.short_engine_count, short_need)
     short_min = short_need if short_need + medium_need <= decode_count else 1
-    return max(short_min, min(split.short_prompt_count, decode_count - medium_need))
+    return max(short_min, min(split.short_engine_count, decode_count - medium_need))
 
 
 class _Plan(Struct, frozen=True):
@@ -339,7 +341,7 @@
     prefill_max = engine_count - 1
     long_need = min(prefill_max, _engines_needed(demand.long_prompt_ms, _PLANNED_BUSY_SHARE))
     available_count = prefill_max
-    if split.is_short_first:
+    if split.is_decode_first:
         available_count = max(
             1,
             engine_count
@@ -353,7 +355,7 @@
         return _Plan(
             needed_count,
             available_count,
-            max(needed_count, min(available_count, split.prefill_count)),
+            max(needed_count, min(available_count, split.prefill_engine_count)),
         )
     decode_need = _engines_needed(
         demand.short_prompt_ms + demand.medium_prompt_ms, _PLANNED_BUSY_SHARE
@@ -409,7 +411,7 @@
 def _total_demand(state: State, now: float, target: Target) -> ReportedDemand:
     """Return the demand of all instances, in milliseconds of work per second."""
     long_ms = short_ms = medium_ms = 0.0
-    own_demand = state.pools.own.get(target)
+    own_demand = state.pools.local_demand.get(target)
     if own_demand is not None:
         _decay(own_demand, now)
         long_ms, short_ms = (
@@ -417,8 +419,8 @@
             own_demand.short_prompt_ms / _DEMAND_WINDOW_S,
         )
         medium_ms = own_demand.medium_prompt_ms / _DEMAND_WINDOW_S
-    for peer_demand in state.pools.peers.get(target, {}).values():
-        if now - peer_demand.at <= _PEER_DEMAND_VALID_S:
+    for peer_demand in state.pools.peer_demand.get(target, {}).values():
+        if now - peer_demand.received_at <= _PEER_DEMAND_VALID_S:
             long_ms += peer_demand.long_prompt_ms
             short_ms += peer_demand.short_prompt_ms
             medium_ms += peer_demand.medium_prompt_ms
--- a/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_relay.py
@@ -77,7 +77,7 @@
     me = state.me.name
     if relays.is_direct_delivery(state, now):
         region = membership.region_instances(state, now)
-        current_plan = RelayPlan(direct=[each for each in region if each.name != me])
+        current_plan = RelayPlan(direct_peers=[each for each in region if each.name != me])
     else:
         current_plan = _plan_with_relays(state, now)
     current_plan.next_plan_at = now + _PLAN_INTERVAL_S
@@ -132,7 +132,7 @@
     if state.load_updates.plan.is_direct or peer is None:
         return
     relay_state = state.load_updates.relayed_updates
-    relay_state.relayed_peers[sender] = (peer.peer_address, now)
+    relay_state.group_members[sender] = (peer.peer_address, now)
     # Bounded, because an instance that others wrongly take for a relay never passes parts on.
     relay_state.parts = [*relay_state.parts, *update.parts][-_PARTS_PER_BUNDLE_MAX:]
     _gather(state, now, sender, update)
@@ -142,7 +142,7 @@
     state: State, now: float, sender: InstanceName, origin: InstanceName, update: LoadNews
 ) -> None:
     """Keep the sum that another relay sent, for this relay's group."""
-    if origin == sender + _SUM_SUFFIX and state.load_updates.relayed_updates.relayed_peers:
+    if origin == sender + _SUM_SUFFIX and state.load_updates.relayed_updates.group_members:
         _gather(state, now, origin, update)
 
 
@@ -188,14 +188,14 @@
     bundle = LoadBundle(bundled)
     bundles = [
         SendDatagram(name, address, bundle)
-        for name, (address, _) in relay_state.relayed_peers.items()
+        for name, (address, _) in relay_state.group_members.items()
     ]
     return [*effects, *bundles]
 
 
 def _drop_unresponsive(state: State, now: float) -> list[Effect]:
     """Drop the instances of the group that sent no recent update."""
-    group = state.load_updates.relayed_updates.relayed_peers
+    group = state.load_updates.relayed_updates.group_members
     removed = [
         name for name, (_, received_at) in group.items() if now - received_at > _GROUP_TIMEOUT_S
     ]
@@ -212,7 +212,7 @@
 def _sum_group(state: State, now: float, own_update: LoadNews) -> BundledNews:
     """Return the sum of the group's load: changed rows only, except for regular complete sums."""
     relay_state = state.load_updates.relayed_updates
-    is_complete = now >= relay_state.next_full_send_at
+    is_complete = now >= relay_state.next_complete_sum_at
     rows: list[LoadRow] = []
     current_rows: dict[ServerName, LoadRow] = {}
     for name, record in state.engines.by_server.items():
@@ -227,7 +227,7 @@
             rows.append(row)
     relay_state.rows = current_rows
     if is_complete:
-        relay_state.next_full_send_at = now + _COMPLETE_SUM_INTERVAL_S
+        relay_state.next_complete_sum_at = now + _COMPLETE_SUM_INTERVAL_S
     relay_state.seq += 1
     parts = [*relay_state.parts, *own_update.parts][-_PARTS_PER_BUNDLE_MAX:]
     relay_state.parts.clear()
@@ -238,7 +238,7 @@
 
 def _sum_row(state: State, now: float, name: ServerName, record: EngineInfo) -> LoadRow | None:
     """Return the sum of the group's load on a server, or None without any."""
-    group = state.load_updates.relayed_updates.relayed_peers
+    group = state.load_updates.relayed_updates.group_members
     pending = [
         PendingPrompt(each.work_ms, each.rank, each.sent_at) for each in record.prefills.values()
     ]
@@ -271,9 +271,9 @@
 
 def _sum_demand(state: State, now: float, own: list[DemandRow]) -> list[DemandRow]:
     """Return the sum of the group's demand."""
-    group = state.load_updates.relayed_updates.relayed_peers
+    group = state.load_updates.relayed_updates.group_members
     rows_by_target = {each.target: each for each in own}
-    for target, peers in state.pools.peers.items():
+    for target, peers in state.pools.peer_demand.items():
         group_demand = [row for origin, row in peers.items() if origin in group]
         if not group_demand:
             continue
--- a/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
+++ b/packages/turmericweir-core/turmericweir_core/engines/load_updates.py
@@ -55,13 +55,15 @@
     is_renewal_due = now >= update_state.next_renewal_at and update_state.needs_renewal
     if not (state.engines.has_unsent_load or is_renewal_due):
         return []
-    update_state.next_send_at = now + max(_INTERVAL_MIN_S, _INTERVAL_PER_PEER_S * len(plan.direct))
+    update_state.next_send_at = now + max(
+        _INTERVAL_MIN_S, _INTERVAL_PER_PEER_S * len(plan.direct_peers)
+    )
     update = _build_update(state, now)
     # An empty update is sent once more, in case the first one is lost.
     update_state.needs_renewal = bool(update.rows) or (
         update_state.needs_renewal and not is_renewal_due
     )
-    return [SendDatagram(each.name, each.peer_address, update) for each in plan.direct]
+    return [SendDatagram(each.name, each.peer_address, update) for each in plan.direct_peers]
 
 
 def _send_to_relay(state: State, now: float) -> list[Effect]:
@@ -129,10 +131,10 @@
     state: State, now: float, origin: InstanceName, update: LoadNews, delay_ms: float = 0.0
 ) -> bool:
     """Record an update, and return whether it is newer than the last one of its incarnation."""
-    origin_state = state.load_updates.origins.get(origin)
+    origin_state = state.load_updates.sources.get(origin)
     if origin_state is None or origin_state.incarnation != update.incarnation:
         _forget_origin(state, origin)
-        origin_state = state.load_updates.origins[origin] = UpdateSource(
+        origin_state = state.load_updates.sources[origin] = UpdateSource(
             update.incarnation, -1, ReceiptTime(now)
         )
     if update.seq <= origin_state.seq:
@@ -210,7 +212,7 @@
 
 
 def _forget_origin(state: State, origin: InstanceName) -> None:
-    origin_state = state.load_updates.origins.pop(origin, None)
+    origin_state = state.load_updates.sources.pop(origin, None)
     if origin_state is not None:
         for name in list(origin_state.servers):
             _drop_load(state, origin, origin_state, name)
@@ -220,7 +222,7 @@
     """Forget the load of instances without a recent update."""
     stale_origins = [
         origin
-        for origin, origin_state in state.load_updates.origins.items()
+        for origin, origin_state in state.load_updates.sources.items()
         if now - origin_state.last_receipt.received_at > _FORGET_AFTER_S
     ]
     for origin in stale_origins:
--- a/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
@@ -61,7 +61,7 @@
     state.leases.idle_scopes.discard(scope)
 
 
-def set_resting(state: State, scope: LeaseScope, *, resting: bool) -> None:
+def set_idle(state: State, scope: LeaseScope, *, resting: bool) -> None:
     """Let a lease expire while there are no orders under it, or resume its renewal."""
     if resting:
         state.leases.idle_scopes.add(scope)
@@ -186,9 +186,9 @@
     # The lease counts from this time, before any part of the record is sent.
     leases.in_flight = SentBatch(token, now, records)
     for record in records:
-        leases.sent[record.number] = now
-    while len(leases.sent) > state.options.lease_sent_max:
-        del leases.sent[next(iter(leases.sent))]
+        leases.record_sent_at[record.number] = now
+    while len(leases.record_sent_at) > state.options.lease_sent_max:
+        del leases.record_sent_at[next(iter(leases.record_sent_at))]
     values = tuple(encode(record) for record in records)
     if not state.options.lease_keyed:
         return [AppendRecords(LEASES_STREAM, token, values), Count("lease.appends")]
@@ -447,7 +447,7 @@
     leases = state.leases
     record = folded.record
     assert record is not None
-    sent_at = leases.sent.pop(record.number, None)
+    sent_at = leases.record_sent_at.pop(record.number, None)
     if not (folded.is_valid and folded.is_sure):
         return [Count("lease.void")]
     if record.act is LeaseAction.RELEASE or sent_at is None:
--- a/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_demand.py
@@ -193,7 +193,7 @@
     oldest_at = now - _VALID_PERIODS * state.options.model_demand_s
     busy, waiting = 0.0, 0
     for name, reported in list(reports.items()):
-        if reported.at < oldest_at:
+        if reported.received_at < oldest_at:
             del reports[name]
             continue
         usage = reported.by_model.get(model, ModelUsage())
--- a/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
@@ -151,7 +151,7 @@
 def _holding(state: State, now: float, server: Server) -> Holding | None:
     """Return a server's models by its report and by later orders that it may have carried out."""
     last_report = state.models.seen.get(server.entry.name)
-    if last_report is None or now - last_report.at >= state.options.model_gone_s:
+    if last_report is None or now - last_report.received_at >= state.options.model_gone_s:
         return None
     report = last_report.report
     loaded = {parse_model_label(text) for text in report.models}
--- a/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
@@ -127,7 +127,7 @@
     if lease.is_taken_over and not server.service.checks_fence:
         ready_at += state.options.order_longest_s
     last_report = state.models.seen.get(order.server)
-    return lease if last_report is not None and last_report.at >= ready_at <= now else None
+    return lease if last_report is not None and last_report.received_at >= ready_at <= now else None
 
 
 def _send_order(state: State, now: float, order: Order) -> list[Effect]:
--- a/packages/turmericweir-core/turmericweir_core/limits/limit.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit.py
@@ -88,7 +88,7 @@
         return
     requests = -1.0 if outcome is Outcome.NOT_RUN else 0.0
     for key in charge_record.keys:
-        holding = state.rate_limits.held.get(key)
+        holding = state.rate_limits.held_shares.get(key)
         if holding is not None:
             for quantity in holding.quantities():
                 quantity.bucket.refill(now)
@@ -115,9 +115,9 @@
 def _record_use(state: State, now: float, key: SubjectKey, tokens: float) -> HeldShare:
     """Add a request to the demand of a subject and update its buckets."""
     limits = state.rate_limits
-    holding = limits.held.get(key)
+    holding = limits.held_shares.get(key)
     if holding is None:
-        holding = limits.held[key] = HeldShare()
+        holding = limits.held_shares[key] = HeldShare()
     _apply_limit(state, now, key, holding)
     holding.used_at = now
     _add_demand(state, now, holding.requests, 1.0)
@@ -194,14 +194,14 @@
 def on_tick(state: State, now: float) -> list[Effect]:
     """Request the shares that are due, and send those that this instance grants as home."""
     limits = state.rate_limits
-    if not limits.held and not limits.home:
+    if not limits.held_shares and not limits.home:
         return []
     _participants(state, now)
     keys = list(limits.touched_subjects)
     limits.touched_subjects.clear()
     if now >= limits.next_scan_at:
         limits.next_scan_at = now + state.options.rate_scan_s
-        keys = list(limits.held)
+        keys = list(limits.held_shares)
     demands: dict[InstanceName, list[LimitDemand]] = {}
     for key in keys:
         _review_holding(state, now, key, demands)
@@ -213,9 +213,9 @@
     state: State, now: float, key: SubjectKey, demands: dict[InstanceName, list[LimitDemand]]
 ) -> None:
     limits = state.rate_limits
-    holding = limits.held[key]
+    holding = limits.held_shares[key]
     if _is_idle(state, now, key, holding):
-        del limits.held[key]
+        del limits.held_shares[key]
         return
     if now >= holding.valid_until:
         _shrink_share(state, now, key, holding)
@@ -233,8 +233,8 @@
 
 def _is_request_due(state: State, now: float, holding: HeldShare) -> bool:
     options = state.options
-    if holding.asked_at is not None:
-        return now - holding.asked_at >= holding.answer_wait_s
+    if holding.query_sent_at is not None:
+        return now - holding.query_sent_at >= holding.answer_wait_s
     if now >= holding.next_query_at:
         return now - holding.used_at <= options.rate_idle_s
     return any(_has_changed(state, now, quantity) for quantity in holding.quantities())
@@ -278,10 +278,10 @@
 
 def _record_request(state: State, now: float, holding: HeldShare, home: InstanceName) -> None:
     options = state.options
-    is_unanswered = holding.asked_at is not None and holding.home == home
+    is_unanswered = holding.query_sent_at is not None and holding.home == home
     wait_s = min(2 * holding.answer_wait_s, options.rate_answer_max_s) if is_unanswered else 0.0
     holding.answer_wait_s = wait_s or options.rate_answer_s
-    holding.asked_at = now
+    holding.query_sent_at = now
     holding.home = home
 
 
@@ -326,7 +326,7 @@
 def on_grant(state: State, now: float, sender: InstanceName, grant: LimitGrant) -> list[Effect]:
     """Apply shares from a home."""
     for share in grant.shares:
-        holding = state.rate_limits.held.get(SubjectKey(share.key))
+        holding = state.rate_limits.held_shares.get(SubjectKey(share.key))
         # A share from a former home is stale. Prevents the use of two shares.
         if holding is not None and holding.home == sender:
             _apply_share(state, now, holding, share)
@@ -335,7 +335,7 @@
 
 def _apply_share(state: State, now: float, holding: HeldShare, share: LimitShare) -> None:
     options = state.options
-    holding.asked_at = None
+    holding.query_sent_at = None
     holding.answer_wait_s = 0.0
     holding.valid_until = now + options.rate_lease_s
     # Random, so that renewals of many instances do not stay synchronized after a restart.
--- a/packages/turmericweir-core/turmericweir_core/membership/leaving.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/leaving.py
@@ -17,8 +17,8 @@
 from turmericweir_core.state.leaving_notices import (
     LeavingNotice,
     expire_notices,
-    note_notice,
     recent_notices,
+    record_notice,
 )
 from turmericweir_core.state.membership_state import Member
 from turmericweir_core.state.server_table import Server, apply_notices
@@ -59,7 +59,7 @@
     state: State, now: float, server: Server, incarnation: str, *, drained: bool
 ) -> list[Effect]:
     name = server.entry.name
-    is_new = note_notice(
+    is_new = record_notice(
         state.servers.leaving_notices, state.options, now, now, name, incarnation, drained
     )
     if not is_new:
@@ -90,7 +90,7 @@
         name = ServerName(notice.server)
         # Prevents a negative age from a faulty peer from delaying the expiry of the notice.
         seen_at = now - max(0, notice.age_s)
-        if not note_notice(
+        if not record_notice(
             state.servers.leaving_notices,
             state.options,
             seen_at,
--- a/packages/turmericweir-core/turmericweir_core/membership/membership_status.py
+++ b/packages/turmericweir-core/turmericweir_core/membership/membership_status.py
@@ -92,7 +92,7 @@
 def _local_status(state: State, local_members: list[Member]) -> Word:
     return Word(
         data_centre=state.me.data_centre,
-        relay_key=self_key(state),
+        gateway_key=self_key(state),
         seq=state.members.seq,
         members_hash=hash_members(local_members),
         live_members=len(local_members),
@@ -142,7 +142,7 @@
     centre = centres.get(status.data_centre)
     if centre is None:
         centre = centres[status.data_centre] = RemoteCentre(status.data_centre)
-    if status.seq <= centre.seqs.get(status.relay_key, -1):
+    if status.seq <= centre.seqs.get(status.gateway_key, -1):
         return []
     _record_seq(centre, status)
     if now < state.members.trust_after:
@@ -156,8 +156,8 @@
 
 def _record_seq(centre: RemoteCentre, status: Word) -> None:
     # Moved to the end, so that the counter of the most recent gateway is dropped last.
-    centre.seqs.pop(status.relay_key, None)
-    centre.seqs[status.relay_key] = status.seq
+    centre.seqs.pop(status.gateway_key, None)
+    centre.seqs[status.gateway_key] = status.seq
     while len(centre.seqs) > _GATEWAY_COUNTERS_MAX:
         del centre.seqs[next(iter(centre.seqs))]
 
--- a/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
+++ b/packages/turmericweir-core/turmericweir_core/messages/peer_messages.py
@@ -18,7 +18,7 @@
 
     data_centre: str
     # The key of the gateway, and its heartbeat counter at the time of sending.
-    relay_key: int
+    gateway_key: int
     seq: int
     # Hash of the keys of the live members.
     members_hash: int
--- a/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/answer_moves.py
@@ -39,10 +39,10 @@
 
     The server gets no new work until its pace shows that it has recovered.
     """
-    attempt.consecutive_late_gaps += 1
+    attempt.consecutive_overdue_gaps += 1
     had_late_gap_before = straggler.is_repeated_gap(state.stragglers, now, attempt.server, gap_s)
     straggler.note_overdue_token(state.stragglers, now, attempt.server)
-    if attempt.consecutive_late_gaps < state.options.move_late_gaps and not had_late_gap_before:
+    if attempt.consecutive_overdue_gaps < state.options.move_late_gaps and not had_late_gap_before:
         return []
     if not _can_move(state, req, attempt) or not _would_move_help(state, now, req, attempt, gap_s):
         return []
@@ -59,7 +59,7 @@
 
 
 def _can_move(state: State, req: Request, attempt: Attempt) -> bool:
-    if attempt.cancelled is not None or req.was_moved or not req.repeatable:
+    if attempt.cancel_reason is not None or req.was_moved or not req.repeatable:
         return False
     if req.sends_max is not None and req.sent_attempts >= req.sends_max:
         return False
@@ -100,7 +100,7 @@
             continue
         other_server = state.servers.by_name.get(running_attempt.server)
         if other_server is not None and other_server.service.name == server.service.name:
-            is_in_time = now - running_attempt.last_token_at <= running_attempt.late_gap_s
+            is_in_time = now - running_attempt.last_token_at <= running_attempt.overdue_gap_s
             in_time_by_server[running_attempt.server] = is_in_time or in_time_by_server.get(
                 running_attempt.server, False
             )
--- a/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/attempt_accounting.py
@@ -50,7 +50,7 @@
         engine_model.record_started(state, now, req, attempt, server)
     if req.kind is ServiceKind.MODEL:
         work_by_server[attempt.server] = work_by_server.get(attempt.server, 0.0) + attempt.work
-        attempt.late_gap_s = req.service_class.token_gap_target_s or inf
+        attempt.overdue_gap_s = req.service_class.token_gap_target_s or inf
         prefix.note_sent(state.prefixes, state.options, now, attempt.server, req.prefixes)
 
 
@@ -58,7 +58,7 @@
     """Record the end of an attempt, whatever its result."""
     load = pool_load.pool_load(state.pool_loads, attempt.pool)
     pool_load.note_end(load, attempt.tier)
-    displacement.record_displaced_end(state, attempt.cancelled, attempt.pool)
+    displacement.record_displaced_end(state, attempt.cancel_reason, attempt.pool)
     engine_model.record_ended(state, attempt)
     if req.kind is not ServiceKind.MODEL:
         return
@@ -78,7 +78,7 @@
         case EndComplete(status=status):
             failed = status >= _SERVER_ERROR_STATUS_MIN
         case EndCancelled():
-            if attempt.cancelled not in (CancelReason.UNRESPONSIVE, CancelReason.SERVER_DEAD):
+            if attempt.cancel_reason not in (CancelReason.UNRESPONSIVE, CancelReason.SERVER_DEAD):
                 return
             failed = True
         case EndRefused() | EndUnsent() | EndBroken() | EndServerError():
--- a/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dead_server.py
@@ -59,7 +59,7 @@
 
 
 def _is_unresponsive(state: State, now: float, attempt: Attempt) -> bool:
-    if not attempt.sent or attempt.cancelled is not None:
+    if not attempt.sent or attempt.cancel_reason is not None:
         return False
     if attempt.last_token_at is not None:
         return now - attempt.last_token_at >= _UNRESPONSIVE_S
--- a/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/dispatch.py
@@ -217,15 +217,15 @@
 def cancel(req: Request, reason: CancelReason) -> list[Effect]:
     """Cancel the attempt of a request; the first reason given stands."""
     attempt = req.attempt
-    if attempt is None or attempt.cancelled is not None:
+    if attempt is None or attempt.cancel_reason is not None:
         return []
-    attempt.cancelled = reason
+    attempt.cancel_reason = reason
     return [CancelAttempt(req.request_id, attempt.attempt_id, attempt.server, reason)]
 
 
 def displace(state: State, req: Request) -> list[Effect]:
     """Displace the attempt of a request; it resumes later from its last token."""
-    if req.attempt is None or req.attempt.cancelled is not None:
+    if req.attempt is None or req.attempt.cancel_reason is not None:
         return []
     displacement.record_displaced(state, req, req.attempt.pool)
     return cancel(req, CancelReason.DISPLACED)
@@ -244,13 +244,13 @@
 def displace_recalled(state: State) -> list[Effect]:
     """Displace requests on credit that the dispatchers recalled for upper work."""
     effects: list[Effect] = []
-    for name in sorted(state.credits.recalled):
+    for name in sorted(state.credits.recalled_servers):
         server = state.servers.by_name.get(name)
         if server is None:
             continue
         for req in displacement.requests_on_recalled_credit(state, server):
             effects += displace(state, req)
-    state.credits.recalled.clear()
+    state.credits.recalled_servers.clear()
     return effects
 
 
--- a/packages/turmericweir-core/turmericweir_core/placement/displacement.py
+++ b/packages/turmericweir-core/turmericweir_core/placement/displacement.py
@@ -96,7 +96,7 @@
         req = state.requests.get(request_id_of(running_id))
         if req is None or req.attempt is None or req.attempt.attempt_id != running_id:
             continue
-        if req.attempt.cancelled is None and req.repeatable:
+        if req.attempt.cancel_reason is None and req.repeatable:
             yield req
 
 
@@ -116,7 +116,7 @@
 def _ending_requests(state: State, server: Server) -> Iterator[Request]:
     for name in server.in_flight:
         req = state.requests.get(request_id_of(name))
-        if req is not None and req.attempt is not None and req.attempt.cancelled is not None:
+        if req is not None and req.attempt is not None and req.attempt.cancel_reason is not None:
             yield req
 
 
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
@@ -77,7 +77,7 @@
 def _run_duties(state: State, now: float) -> list[Effect]:
     duties = state.duties
     assert duties is not None
-    lease_flow.set_resting(state, election.SCOPE, resting=True)
+    lease_flow.set_idle(state, election.SCOPE, resting=True)
     effects: list[Effect] = []
     has_work = False
     if duties.settings.orders_servers:
@@ -87,7 +87,7 @@
         effects += usage.on_tick(state, now)
         has_work = has_work or usage.has_work(state)
     if has_work:
-        lease_flow.set_resting(state, election.SCOPE, resting=False)
+        lease_flow.set_idle(state, election.SCOPE, resting=False)
     return effects
 
 
--- a/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/attempt_flow.py
@@ -59,7 +59,7 @@
     if event.tokens == 0:
         # The caller does not read, so the missing tokens say nothing about the server.
         attempt.last_token_at = now if attempt.first_token_at is not None else None
-        attempt.consecutive_late_gaps = 0
+        attempt.consecutive_overdue_gaps = 0
         return []
     quarantine.note_progress(state, attempt)
     previous_token_at = attempt.last_token_at
@@ -70,8 +70,8 @@
         return _on_first_token(state, now, req, attempt)
     attempt.tick_max_gap_s = max(attempt.tick_max_gap_s, now - previous_token_at)
     attempt.max_gap_s = max(attempt.max_gap_s, now - previous_token_at)
-    if now - previous_token_at <= attempt.late_gap_s * event.tokens:
-        attempt.consecutive_late_gaps = 0
+    if now - previous_token_at <= attempt.overdue_gap_s * event.tokens:
+        attempt.consecutive_overdue_gaps = 0
         return []
     return answer_moves.on_late_gap(
         state, now, req, attempt, (now - previous_token_at) / event.tokens
@@ -140,7 +140,7 @@
         "attempt_id": attempt.attempt_id,
         "peer": attempt.server,
         "end": type(end).__name__,
-        "cancelled": attempt.cancelled,
+        "cancelled": attempt.cancel_reason,
         "sent": attempt.sent,
         "kept_connection": attempt.reused_connection,
         "events": attempt.tokens,
@@ -196,7 +196,7 @@
                 note_unreachable(state.servers, state.options, now, attempt.server)
             quarantine.record_broken_connection(state, now, req, attempt, server_alive)
             log = _failure_log(req, attempt, "broken", error)
-            if attempt.cancelled is not None:
+            if attempt.cancel_reason is not None:
                 # It broke while being cancelled; the reason of the cancellation still applies.
                 return [log, *_handle_cancelled(state, now, req, attempt)]
             # Retries after a crash add no load, as the server has none now. Prevents the crash of a
@@ -249,7 +249,7 @@
 
 def _handle_cancelled(state: State, now: float, req: Request, attempt: Attempt) -> list[Effect]:
     """Retry or end a request whose attempt was cancelled, by the reason."""
-    reason = attempt.cancelled
+    reason = attempt.cancel_reason
     match reason:
         case CancelReason.CALLER_LEFT:
             return finish(state, now, req, unanswered_outcome(req), Reason.CALLER_LEFT)
--- a/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/lifecycle.py
@@ -221,7 +221,7 @@
     if req.end_by is not None and now >= req.end_by:
         # The operator's limit also ends answers that have begun.
         return cancel(req, CancelReason.DEADLINE)
-    if attempt.cancelled is not None or not lost_connections.is_suspected_lost(
+    if attempt.cancel_reason is not None or not lost_connections.is_suspected_lost(
         state, now, req, attempt
     ):
         return []
--- a/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/requests/quarantine_flow.py
@@ -30,7 +30,7 @@
     EndAtDeadline,
     MoveToQueue,
     RefuseQuarantined,
-    SendTrialMessage,
+    SendRunMessage,
     StartIsolatedRun,
 )
 
@@ -115,7 +115,7 @@
         case EndAtDeadline(req):
             outcome = lifecycle.unanswered_outcome(req)
             return lifecycle.finish(state, now, req, outcome, Reason.DEADLINE)
-        case SendTrialMessage(effect):
+        case SendRunMessage(effect):
             return [effect]
         case unreachable:
             assert_never(unreachable)
--- a/packages/turmericweir-core/turmericweir_core/state/claim_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/claim_state.py
@@ -137,9 +137,9 @@
     # When the stream is read next, unless an event causes an earlier read.
     next_read_at: float = 0.0
     # Since when the ledger is not whole; None while it is.
-    not_whole_since: float | None = None
+    incomplete_since: float | None = None
     # Claims in records below this offset have to be carried forward; see `claim_carry`.
-    carry_below: int = 0
+    carry_below_offset: int = 0
     # Offset of the ledger when it was last recorded, to determine the age of records, and when it
     # is recorded next.
     age_mark_offset: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/credit_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/credit_state.py
@@ -68,7 +68,7 @@
     # The server's concurrency limit, as computed by that instance.
     limit: int = 0
     # The contention flag of the newest grant, and the newest load report passed on.
-    contended: bool = False
+    is_contended: bool = False
     load_seq: int = -1
     load_at: float = NEVER
     load_leaving: bool = False
@@ -116,7 +116,7 @@
     # Slot seconds accrued by tiers that wait without a slot; negative while they are repaid.
     accrued_slot_s: dict[int, float] = field(default_factory=dict)
     # Tiers that currently have an assured slot.
-    assured: set[int] = field(default_factory=set)
+    assured_tiers: set[int] = field(default_factory=set)
     # Since when some instance's demand exceeds its grant; None if none does.
     short_since: float | None = None
     # Until then instances report every change, because demand recently exceeded capacity.
@@ -136,21 +136,21 @@
     held_by_server: dict[ServerName, HeldCredit] = field(default_factory=dict)
     granted_by_server: dict[ServerName, CreditLedger] = field(default_factory=dict)
     # Live instances that are not leaving, by data centre, as of the last tick.
-    live: dict[str, tuple[InstanceName, ...]] = field(default_factory=dict)
+    live_by_data_centre: dict[str, tuple[InstanceName, ...]] = field(default_factory=dict)
     next_live_update_at: float = NEVER
     # All live instances, including leaving ones: these hold credit until their attempts have ended.
-    alive: frozenset[InstanceName] = frozenset()
-    # Dispatchers by server; emptied when `live` changes.
+    live_instances: frozenset[InstanceName] = frozenset()
+    # Dispatchers by server; emptied when `live_by_data_centre` changes.
     dispatchers: dict[ServerName, InstanceName | None] = field(default_factory=dict)
     # Servers where this instance runs more attempts than it now has credit for.
-    recalled: set[ServerName] = field(default_factory=set)
+    recalled_servers: set[ServerName] = field(default_factory=set)
     # Servers whose dispatchers have been sent a demand for waiting requests.
     demanded_servers: set[ServerName] = field(default_factory=set)
     # Credit was lost at several servers: until then it is requested in the subset's order.
     in_subset_order_until: float = NEVER
     # Rate limit: demands allowed now, and when that was computed; None before the first demand.
     demands_left: float | None = None
-    demands_at: float = 0.0
+    demands_left_at: float = 0.0
     # Demands postponed by the rate limit, demands sent and grants accepted, for the state dump.
     demands_put_off: int = 0
     demands_sent: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/duty_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/duty_state.py
@@ -61,9 +61,9 @@
     """The newest order of servers of one kind in one data centre."""
 
     count: int
-    at: float
+    ordered_at: float
     # The platform has accepted it.
-    is_taken: bool = False
+    is_accepted: bool = False
     # No servers of this kind are available before this time.
     unavailable_until: float = NEVER
 
--- a/packages/turmericweir-core/turmericweir_core/state/engine_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/engine_state.py
@@ -52,11 +52,11 @@
 class EngineLoad(Struct, frozen=True):
     """Total load of all instances on a server at one time."""
 
-    at: float
+    computed_at: float
     # `EngineInfo.load_version` when this was computed.
     load_version: int
     # Number of this instance's prompts without a first token, and of its running requests.
-    own: tuple[int, int]
+    local_counts: tuple[int, int]
     # Prompts that the server has not begun to answer.
     pending: list[PendingPrompt]
     # Those of them in prefill, and the remaining prefill time, milliseconds.
@@ -79,7 +79,7 @@
     cached_tokens: int = 0
     # Prompt parts that it was sent but has not begun to answer, with the time until which this is
     # assumed. They are not in its cache yet.
-    uncached_parts: dict[str, float] = field(default_factory=dict)
+    prefilling_until: dict[str, float] = field(default_factory=dict)
     pace: float = 1.0
     # When the engine began the prefill of the prompts that wait for it now.
     prefilling_since: float = 0.0
--- a/packages/turmericweir-core/turmericweir_core/state/first_wait_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/first_wait_state.py
@@ -13,4 +13,4 @@
     # The longest wait by server, reduced by newer and shorter waits.
     longest_first_wait_s: dict[ServerName, float] = field(default_factory=dict)
     # Number of attempts that were suspected, for the state dump.
-    doubted: int = 0
+    suspected_count: int = 0
--- a/packages/turmericweir-core/turmericweir_core/state/handover_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/handover_state.py
@@ -10,4 +10,4 @@
 
     started_at: float | None = None
     next_query_at: float = 0.0
-    has_cache_contents: bool = False
+    has_received_caches: bool = False
--- a/packages/turmericweir-core/turmericweir_core/state/lease_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_state.py
@@ -45,7 +45,7 @@
     in_flight: SentBatch | None = None
     # When each record of this instance was sent, by number. Its arrival in the log may be observed
     # much later.
-    sent: dict[int, float] = field(default_factory=dict)
+    record_sent_at: dict[int, float] = field(default_factory=dict)
     # Number of this instance's newest record.
     number: int = 0
     # Consecutive failed appends, and when the next may be made.
--- a/packages/turmericweir-core/turmericweir_core/state/leaving_notices.py
+++ b/packages/turmericweir-core/turmericweir_core/state/leaving_notices.py
@@ -41,7 +41,7 @@
     digest: int = 0
 
 
-def note_notice(
+def record_notice(
     notices: LeavingNotices,
     options: Options,
     seen_at: float,
--- a/packages/turmericweir-core/turmericweir_core/state/limit_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/limit_state.py
@@ -133,7 +133,7 @@
     # When the next query is sent.
     next_query_at: float = NEVER
     # When the pending query was sent, if any, and how long to wait for the next answer.
-    asked_at: float | None = None
+    query_sent_at: float | None = None
     answer_wait_s: float = 0.0
     # When the last request of the subject arrived.
     used_at: float = NEVER
@@ -194,7 +194,7 @@
 class RateLimits(Struct):
     """State of the rate limits of an instance."""
 
-    held: dict[SubjectKey, HeldShare] = field(default_factory=dict)
+    held_shares: dict[SubjectKey, HeldShare] = field(default_factory=dict)
     home: dict[SubjectKey, HomeSubject] = field(default_factory=dict)
     charges: dict[RequestId, Charge] = field(default_factory=dict)
     participants: LimitParticipants = field(default_factory=LimitParticipants)
--- a/packages/turmericweir-core/turmericweir_core/state/load_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/load_state.py
@@ -26,9 +26,10 @@
 class RelayPlan(Struct):
     """The instances to which this instance sends its load updates."""
 
-    # True if there are few enough instances for each to send to all others, which are `direct`.
+    # True if there are few enough instances for each to send to all others, which are
+    # `direct_peers`.
     is_direct: bool = True
-    direct: list[Member] = field(default_factory=list)
+    direct_peers: list[Member] = field(default_factory=list)
     # The relay that forwards its updates; None if it sends directly or is a relay itself.
     own_relay: Member | None = None
     # The other relays of the region, if it is a relay.
@@ -40,7 +41,7 @@
     """Updates that a relay has received but not forwarded yet, and its last combined update."""
 
     # Instances that this one relays for, with their address and when they last sent.
-    relayed_peers: dict[InstanceName, tuple[str, float]] = field(default_factory=dict)
+    group_members: dict[InstanceName, tuple[str, float]] = field(default_factory=dict)
     # The newest update of each of them and of the other relays, with the time of receipt.
     newest_updates: dict[InstanceName, tuple[float, LoadNews]] = field(default_factory=dict)
     # Prompt parts that they have sent or that were prefilled.
@@ -49,7 +50,7 @@
     seq: int = 0
     rows: dict[ServerName, LoadRow] = field(default_factory=dict)
     next_send_at: float = _NEVER
-    next_full_send_at: float = _NEVER
+    next_complete_sum_at: float = _NEVER
     next_bundle_at: float = _NEVER
 
 
@@ -58,7 +59,7 @@
 
     # Counter of this instance's updates.
     seq: int = 0
-    origins: dict[InstanceName, UpdateSource] = field(default_factory=dict)
+    sources: dict[InstanceName, UpdateSource] = field(default_factory=dict)
     # Earliest time of the next update, and the time at which an unchanged one is sent again.
     next_send_at: float = _NEVER
     next_renewal_at: float = _NEVER
--- a/packages/turmericweir-core/turmericweir_core/state/model_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/model_state.py
@@ -49,7 +49,7 @@
 class ReportedModelUsage(Struct, frozen=True):
     """The newest report of one instance about its use of models."""
 
-    at: float
+    received_at: float
     by_model: dict[str, ModelUsage]
 
 
@@ -105,7 +105,7 @@
     """
 
     report: ServerReport
-    at: float
+    received_at: float
 
 
 class ModelState(Struct):
--- a/packages/turmericweir-core/turmericweir_core/state/pool_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/pool_state.py
@@ -10,7 +10,7 @@
 class EngineDemand(Struct):
     """Recently arrived work, decayed, milliseconds, by length of the prompt."""
 
-    at: float = 0.0
+    decayed_at: float = 0.0
     long_prompt_ms: float = 0.0
     short_prompt_ms: float = 0.0
     medium_prompt_ms: float = 0.0
@@ -19,7 +19,7 @@
 class ReportedDemand(Struct, frozen=True):
     """The demand reported by a peer, milliseconds of work per second."""
 
-    at: float
+    received_at: float
     long_prompt_ms: float
     short_prompt_ms: float
     medium_prompt_ms: float
@@ -28,26 +28,26 @@
 class EngineSplit(Struct):
     """Number of prefill engines of a service, and since when another number would be better."""
 
-    prefill_count: int = 0
+    prefill_engine_count: int = 0
     mismatch_since: float | None = None
     # Whether short-prompt requests go first. Cached with the version of the settings because every
     # placement uses it and there may be hundreds of routes.
-    is_short_first: bool = True
+    is_decode_first: bool = True
     # The lowest target of any route of the service for the time between tokens, seconds, if any.
     lowest_gap_target_s: float | None = None
     cached_settings: int | None = None
     # Number of engines reserved for short-prompt requests, and when it last changed; 0 until there
     # are medium prompts.
-    short_prompt_count: int = 0
+    short_engine_count: int = 0
     short_changed_at: float = 0.0
 
 
 class PoolState(Struct):
     """The demand and split of each service."""
 
-    own: dict[Target, EngineDemand] = field(default_factory=dict)
+    local_demand: dict[Target, EngineDemand] = field(default_factory=dict)
     # The newest demand reported by each peer.
-    peers: dict[Target, dict[InstanceName, ReportedDemand]] = field(default_factory=dict)
+    peer_demand: dict[Target, dict[InstanceName, ReportedDemand]] = field(default_factory=dict)
     # Cached order of the engines of a service: the engines it was computed for, and the order.
     orders: dict[Target, tuple[tuple[ServerName, ...], tuple[ServerName, ...]]] = field(
         default_factory=dict
--- a/packages/turmericweir-core/turmericweir_core/state/quarantine_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/quarantine_state.py
@@ -79,7 +79,7 @@
     incarnation: str
     fingerprint: str
     # When the attempt began.
-    started: float
+    attempt_started_at: float
     # It was given up because the server was unresponsive.
     is_unresponsive: bool = False
 
@@ -124,7 +124,7 @@
     crash_counts: dict[str, int] = field(default_factory=dict)
     # Refused fingerprints, and until when.
     refused: dict[str, float] = field(default_factory=dict)
-    breaks: dict[ServerName, list[BrokenConnection]] = field(default_factory=dict)
+    broken_connections: dict[ServerName, list[BrokenConnection]] = field(default_factory=dict)
     waiting_suspects: dict[RequestId, WaitingSuspect] = field(default_factory=dict)
     isolated_runs: dict[AttemptId, IsolatedRun] = field(default_factory=dict)
     permits: dict[ServerName, IsolatedRunPermit] = field(default_factory=dict)
--- a/packages/turmericweir-core/turmericweir_core/state/state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/state.py
@@ -123,7 +123,7 @@
     quarantine: QuarantineState = field(default_factory=QuarantineState)
     leases: LeaseState = field(default_factory=LeaseState)
     models: ModelState = field(default_factory=ModelState)
-    silence: FirstWaitState = field(default_factory=FirstWaitState)
+    first_waits: FirstWaitState = field(default_factory=FirstWaitState)
     server_liveness: LivenessState = field(default_factory=LivenessState)
     # Servers that are probed because attempts on them are unresponsive.
     dead: DeadState = field(default_factory=DeadState)
--- a/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/isolated_runs.py
@@ -61,14 +61,14 @@
     req: Request
 
 
-class SendTrialMessage(Struct, frozen=True):
+class SendRunMessage(Struct, frozen=True):
     """Send a message of this module."""
 
     effect: Effect
 
 
 Decision: TypeAlias = (
-    StartIsolatedRun | MoveToQueue | RefuseQuarantined | EndAtDeadline | SendTrialMessage
+    StartIsolatedRun | MoveToQueue | RefuseQuarantined | EndAtDeadline | SendRunMessage
 )
 
 
@@ -203,7 +203,7 @@
     suspect.asked_server = name
     suspect.asked_at = now
     ask = TrialAsk(name, fingerprint)
-    return [SendTrialMessage(SendDatagram(home.name, home.peer_address, ask))]
+    return [SendRunMessage(SendDatagram(home.name, home.peer_address, ask))]
 
 
 def _start_run(
@@ -244,7 +244,7 @@
         return []
     end = TrialEnd(run.server, run.fingerprint, broken)
     decisions = _end_run(state, now, run.home, end)
-    return [each.effect for each in decisions if isinstance(each, SendTrialMessage)]
+    return [each.effect for each in decisions if isinstance(each, SendRunMessage)]
 
 
 def review_isolated_runs(state: State, now: float) -> list[Effect]:
@@ -285,7 +285,7 @@
     if home == state.me.name:
         on_end(state, now, home, end)
         return []
-    return [SendTrialMessage(each) for each in _send_to_home(state, home, end)]
+    return [SendRunMessage(each) for each in _send_to_home(state, home, end)]
 
 
 def _send_to_home(state: State, home: InstanceName, message: TrialAsk | TrialEnd) -> list[Effect]:
--- a/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/liveness_evidence.py
@@ -174,7 +174,7 @@
     if waited_s < min(state.options.first_overdue_min_s, state.options.stream_overdue_min_s):
         # Returns early for nearly all streams.
         return False
-    if not req.repeatable or attempt.cancelled is not None or not attempt.sent:
+    if not req.repeatable or attempt.cancel_reason is not None or not attempt.sent:
         return False
     if req.kind is ServiceKind.PLAIN and req.delivered:
         # A plain answer that has begun cannot be retried.
@@ -193,7 +193,7 @@
     # Doubled with each attempt. Prevents repeated retries of a request that is slow everywhere.
     doublings: float = 2.0 ** max(0, req.counted_attempts - 1)
     if attempt.last_token_at is None:
-        usual_gap_s = state.silence.longest_first_wait_s.get(attempt.server)
+        usual_gap_s = state.first_waits.longest_first_wait_s.get(attempt.server)
         min_s, max_s = options.first_overdue_min_s, options.first_silence_s
     else:
         usual_gap_s = evidence_of(state, attempt.server).longest_gap_s
--- a/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/lost_connections.py
@@ -29,7 +29,7 @@
 
 def record_first_wait(state: State, now: float, attempt: Attempt) -> None:
     """Record the wait for the first token or for a whole plain answer."""
-    waits = state.silence.longest_first_wait_s
+    waits = state.first_waits.longest_first_wait_s
     decayed = waits.get(attempt.server, 0.0) * state.options.first_wait_decay
     waits[attempt.server] = max(decayed, now - attempt.started_at)
 
@@ -49,7 +49,7 @@
         return False
     if has_evidence:
         record_lost_connection(state, now, attempt.server)
-    state.silence.doubted += 1
+    state.first_waits.suspected_count += 1
     return True
 
 
@@ -91,7 +91,7 @@
         return waited_s >= limit_s * 2.0 ** max(0, req.counted_attempts - 1)
     if waited_s >= options.first_silence_share * (req.deadline - attempt.started_at):
         return True
-    longest_wait_s = state.silence.longest_first_wait_s.get(attempt.server, 0.0)
+    longest_wait_s = state.first_waits.longest_first_wait_s.get(attempt.server, 0.0)
     # Doubled with each attempt. Prevents repeated retries of a request that is slow everywhere.
     doublings: float = 2.0 ** max(0, req.counted_attempts - 1)
     limit_s = (
--- a/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/quarantine.py
@@ -131,7 +131,7 @@
     connection_break = BrokenConnection(
         now, attempt.incarnation, req.fingerprint, attempt.started_at, is_unresponsive
     )
-    state.quarantine.breaks.setdefault(attempt.server, []).append(connection_break)
+    state.quarantine.broken_connections.setdefault(attempt.server, []).append(connection_break)
 
 
 def may_have_crashed(state: State, now: float, req: Request) -> bool:
@@ -147,7 +147,7 @@
         each.fingerprint == req.fingerprint
         and not each.is_unresponsive
         and now - each.broke_at < wait_s
-        for breaks in state.quarantine.breaks.values()
+        for breaks in state.quarantine.broken_connections.values()
         for each in breaks
     )
 
@@ -158,11 +158,11 @@
     A break may be recorded up to `crash_doubt_s` after the crash, so an attempt that started within
     that time before the record may already run on the restarted server.
     """
-    breaks = state.quarantine.breaks.get(attempt.server)
+    breaks = state.quarantine.broken_connections.get(attempt.server)
     if breaks:
         break_delay_s = state.options.crash_doubt_s
         remaining = [each for each in breaks if each.broke_at - attempt.started_at <= break_delay_s]
-        state.quarantine.breaks[attempt.server] = remaining
+        state.quarantine.broken_connections[attempt.server] = remaining
 
 
 def _record_sighting(
@@ -181,14 +181,16 @@
 def note_report(state: State, now: float, report: ServerReport) -> None:
     """Compare a reported incarnation with the broken connections and the recorded crashes."""
     quarantine = state.quarantine
-    for broken in quarantine.breaks.pop(report.server, ()):
+    for broken in quarantine.broken_connections.pop(report.server, ()):
         if now - broken.broke_at > _BREAK_KEEP_S:
             continue
         if broken.incarnation and broken.incarnation != report.incarnation:
             key = CrashKey(report.server, broken.incarnation)
-            _record_sighting(state, now, key, broken.broke_at, broken.fingerprint, broken.started)
+            _record_sighting(
+                state, now, key, broken.broke_at, broken.fingerprint, broken.attempt_started_at
+            )
         elif now - broken.broke_at < _BUSY_REPORT_DELAY_S:
-            quarantine.breaks.setdefault(report.server, []).append(broken)
+            quarantine.broken_connections.setdefault(report.server, []).append(broken)
     key = CrashKey(report.server, report.incarnation)
     crash = quarantine.crashes.get(key)
     if crash is not None and now - crash.first_seen_at > _REPORT_DELAY_S:
@@ -197,9 +199,9 @@
 
 def note_cleared(state: State, now: float, fingerprint: str) -> None:
     """Clear a suspect that has completed or got further than at the crash."""
-    for server, breaks in state.quarantine.breaks.items():
+    for server, breaks in state.quarantine.broken_connections.items():
         remaining = [each for each in breaks if each.fingerprint != fingerprint]
-        state.quarantine.breaks[server] = remaining
+        state.quarantine.broken_connections[server] = remaining
     if not is_suspect(state, fingerprint):
         return
     for key, crash in state.quarantine.crashes.items():
@@ -273,9 +275,9 @@
     for fingerprint, until in list(quarantine.refused.items()):
         if now >= until:
             del quarantine.refused[fingerprint]
-    for server, breaks in list(quarantine.breaks.items()):
+    for server, breaks in list(quarantine.broken_connections.items()):
         if not breaks or now - breaks[-1].broke_at > _BREAK_KEEP_S:
-            del quarantine.breaks[server]
+            del quarantine.broken_connections[server]
     for fingerprint, until in list(quarantine.runs_barred_until.items()):
         if now >= until:
             del quarantine.runs_barred_until[fingerprint]
--- a/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
+++ b/packages/turmericweir-standins/turmericweir_standins/measure_limits.py
@@ -130,7 +130,12 @@
         remote.roster = roster
         remote.last_seen_at = self.now if is_partitioned else float("inf")
         remote.status_message = Word(
-            centre, relay_key=0, seq=1, members_hash=0, live_members=len(roster), settings_offset=0
+            centre,
+            gateway_key=0,
+            seq=1,
+            members_hash=0,
+            live_members=len(roster),
+            settings_offset=0,
         )
 
     def kill(self, name: InstanceName) -> None:
@@ -147,7 +152,7 @@
         """Return the home of a customer's limit, by the view of the first live instance."""
         state = next(each for name, each in self.states.items() if name not in self.killed)
         key = customer_key(customer)
-        return state.rate_limits.held[key].home
+        return state.rate_limits.held_shares[key].home
 
     # --- time ------------------------------------------------------------------------------
 
--- a/packages/turmericweir/turmericweir/daemon.py
+++ b/packages/turmericweir/turmericweir/daemon.py
@@ -119,7 +119,7 @@
         peers=parts.streams,
         datagrams=parts.datagrams,
         servers=parts.servers,
-        operators=parts.verdict_waiters,
+        verdicts=parts.verdict_waiters,
         metrics=parts.metrics,
     )
     node = Node(_make_state(cfg), reduce, adapters, group, unread_s=cfg.limits.unread_s)
--- a/packages/turmericweir/turmericweir/process/log_pipe.py
+++ b/packages/turmericweir/turmericweir/process/log_pipe.py
@@ -41,7 +41,7 @@
     _second_started_at: float
     _lines_in_second: int
     # Lines that were dropped since the last `log_dropped` line.
-    dropped: int
+    dropped_lines: int
     _was_blocking: bool
 
     def __init__(self, fd: int, name: str) -> None:
@@ -51,7 +51,7 @@
         self._buffered_bytes = 0
         self._second_started_at = 0.0
         self._lines_in_second = 0
-        self.dropped = 0
+        self.dropped_lines = 0
         self._handler = LibraryHandler(logging.WARNING)
 
     def __enter__(self) -> Self:
@@ -75,11 +75,11 @@
 
     def _write_message(self, message: dict[str, Any]) -> None:
         if _REQUEST_ID_FIELD in message and not self._is_within_rate(message["timestamp"]):
-            self.dropped += 1
+            self.dropped_lines += 1
             return
         line = self._format(message)
         if self._buffered_bytes + len(line) > _BUFFER_MAX_BYTES:
-            self.dropped += 1
+            self.dropped_lines += 1
             return
         self._buffered_lines.append(line)
         self._buffered_bytes += len(line)
@@ -105,8 +105,8 @@
 
     def flush(self) -> None:
         """Write as much of the buffer as the reader accepts."""
-        if self.dropped:
-            dropped_lines, self.dropped = self.dropped, 0
+        if self.dropped_lines:
+            dropped_lines, self.dropped_lines = self.dropped_lines, 0
             eliot.log_message(message_type="log_dropped", lines=dropped_lines)
         while self._buffered_lines:
             data = b"".join(self._buffered_lines)
--- a/packages/turmericweir/turmericweir/process/node.py
+++ b/packages/turmericweir/turmericweir/process/node.py
@@ -115,7 +115,7 @@
     def probe(self, effect: ProbeServer) -> None:
         """Probe a server in the background."""
 
-    def distrust(self, effect: RetireConnections) -> None:
+    def retire_connections(self, effect: RetireConnections) -> None:
         """Stop reusing the connections that are open to a server now."""
 
     def order(self, effect: SendOrder) -> None:
@@ -156,7 +156,7 @@
     metrics: Metrics
     # None if the process's platform does not use the effects of the adapter.
     platform: PlatformPort | None = None
-    operators: VerdictPort | None = None
+    verdicts: VerdictPort | None = None
     documents: DocumentPort | None = None
     duties: DutyPort | None = None
 
@@ -268,7 +268,7 @@
             case ProbeServer():
                 self._adapters.servers.probe(effect)
             case RetireConnections():
-                self._adapters.servers.distrust(effect)
+                self._adapters.servers.retire_connections(effect)
             case SendOrder():
                 self._adapters.servers.order(effect)
             case AppendRecords():
@@ -278,7 +278,7 @@
             case RequestLoadPermit():
                 _require_adapter(self._adapters.platform).request_load_permit(effect)
             case ReportVerdict():
-                _require_adapter(self._adapters.operators).settle(effect)
+                _require_adapter(self._adapters.verdicts).settle(effect)
             case DecodeDocument():
                 _require_adapter(self._adapters.documents).decode(effect)
             case ReportUsage():
--- a/packages/turmericweir/turmericweir/servers/backend_pool.py
+++ b/packages/turmericweir/turmericweir/servers/backend_pool.py
@@ -148,7 +148,7 @@
         else:
             await conn.close()
 
-    def distrust(self, address: str) -> None:
+    def retire_connections(self, address: str) -> None:
         """Stop reusing the connections that are open now, as all may be unresponsive."""
         self._distrusted_at[address] = anyio.current_time()
 
--- a/packages/turmericweir/turmericweir/servers/connection_probes.py
+++ b/packages/turmericweir/turmericweir/servers/connection_probes.py
@@ -53,9 +53,9 @@
         else:
             self._node.handle(ServerUnreachable(effect.server, "no connection"))
 
-    def distrust(self, effect: RetireConnections) -> None:
+    def retire_connections(self, effect: RetireConnections) -> None:
         """Stop reusing the connections that are open to a server now."""
-        self._pool.distrust(effect.address)
+        self._pool.retire_connections(effect.address)
 
     def order(self, effect: SendOrder) -> None:
         """Raise an error, since on this platform instances send no orders to servers."""
--- a/packages/turmericweir/turmericweir/servers/server_calls.py
+++ b/packages/turmericweir/turmericweir/servers/server_calls.py
@@ -86,9 +86,9 @@
         finally:
             self._probing.discard(effect.server)
 
-    def distrust(self, effect: RetireConnections) -> None:
+    def retire_connections(self, effect: RetireConnections) -> None:
         """Stop reusing the connections that are open to a server now."""
-        self._pool.distrust(effect.address)
+        self._pool.retire_connections(effect.address)
 
     def order(self, effect: SendOrder) -> None:
         """Send an order to a server in the background."""
--- a/tests/core/engines/test_engine_pools.py
+++ b/tests/core/engines/test_engine_pools.py
@@ -134,7 +134,7 @@
     req.expected_tokens = 50
     engine_pools.record_demand(world.state, world.now, req, servers(world))
     (estimated,) = engine_pools.demand_rows(world.state, world.now)
-    world.state.pools.own.clear()
+    world.state.pools.local_demand.clear()
     engine_pools.record_generated(world.state, req, 6.4)
     engine_pools.record_demand(world.state, world.now, req, servers(world))
     (learnt,) = engine_pools.demand_rows(world.state, world.now)
--- a/tests/core/limits/test_limit.py
+++ b/tests/core/limits/test_limit.py
@@ -42,7 +42,7 @@
     depth = sum(
         quantity.bucket.depth + 1
         for state in world.states.values()
-        for holding in state.rate_limits.held.values()
+        for holding in state.rate_limits.held_shares.values()
         for quantity in holding.quantities()
     )
     return RATE * seconds + depth
@@ -195,7 +195,7 @@
     state = next(iter(world.states.values()))
     for number in range(9):
         limit.charge(state, world.now, request_of(world, str(number)))
-    holding = state.rate_limits.held[customer_key(CUSTOMER)]
+    holding = state.rate_limits.held_shares[customer_key(CUSTOMER)]
     charges = state.rate_limits.charges
     assert holding.requests is not None
     assert holding.requests.bucket.level >= 1.0 - len(charges)
@@ -207,7 +207,7 @@
     state = next(iter(world.states.values()))
     req = request_of(world, "req", predicted=50.0)
     assert limit.charge(state, world.now, req) is None
-    tokens = state.rate_limits.held[customer_key(CUSTOMER)].tokens
+    tokens = state.rate_limits.held_shares[customer_key(CUSTOMER)].tokens
     assert tokens is not None
     level = tokens.bucket.level
     req.delivered = 80
@@ -222,7 +222,7 @@
     state = next(iter(world.states.values()))
     req = request_of(world, "req")
     assert limit.charge(state, world.now, req) is None
-    holding = state.rate_limits.held[customer_key(CUSTOMER)]
+    holding = state.rate_limits.held_shares[customer_key(CUSTOMER)]
     assert holding.requests is not None
     level = holding.requests.bucket.level
     limit.settle_charge(state, world.now, req, Outcome.NOT_RUN)
@@ -237,7 +237,7 @@
     world.run_until(world.now + 5.0)
     state.config = Config(customers={CUSTOMER: Customer(CUSTOMER, limit=Limit(requests_s=1.0))})
     limit.charge(state, world.now, request_of(world, "two"))
-    holding = state.rate_limits.held[customer_key(CUSTOMER)]
+    holding = state.rate_limits.held_shares[customer_key(CUSTOMER)]
     assert holding.requests is not None
     assert holding.requests.bucket.rate <= 1.0
 
@@ -256,7 +256,7 @@
     assert home != asker_name
     world.killed.add(InstanceName(home))
     world.run_until(world.now + 10.0)
-    holding = world.states[asker_name].rate_limits.held[customer_key(CUSTOMER)]
+    holding = world.states[asker_name].rate_limits.held_shares[customer_key(CUSTOMER)]
     assert holding.requests is not None
     assert holding.requests.bucket.rate <= RATE / 4 + 1e-9
 
--- a/tests/core/membership/test_membership.py
+++ b/tests/core/membership/test_membership.py
@@ -476,7 +476,7 @@
     centre = state.members.centres["south"]
     assert centre.status_message is not None
     newest_status = centre.status_message
-    old_status = Word("south", newest_status.relay_key, newest_status.seq - 1, 1, 99, 99)
+    old_status = Word("south", newest_status.gateway_key, newest_status.seq - 1, 1, 99, 99)
 
     beat = replace(sent_heartbeats(network, names[1])[0], status_messages=[old_status], seq=100_000)
     network.give(names[0], PeerReceived(InstanceName(names[1]), beat))
--- a/tests/core/placement/test_admission.py
+++ b/tests/core/placement/test_admission.py
@@ -54,7 +54,7 @@
                 # An attempt of the assured share runs at the most urgent tier.
                 droppable = (
                     req.kind is ServiceKind.MODEL
-                    and attempt.cancelled is None
+                    and attempt.cancel_reason is None
                     and attempt.tier > tier
                 )
             if droppable:
--- a/tests/core/placement/test_predicted_admission.py
+++ b/tests/core/placement/test_predicted_admission.py
@@ -113,7 +113,9 @@
     """Guards against spreading the wait over engines that do not serve the request."""
     world = StoreWorld(engines=5)
     world.wait(0.05)
-    split = world.state.pools.splits[MODEL] = EngineSplit(prefill_count=1, is_short_first=True)
+    split = world.state.pools.splits[MODEL] = EngineSplit(
+        prefill_engine_count=1, is_decode_first=True
+    )
     split.cached_settings = world.state.config.offset
     demand = [DemandRow(MODEL, 500, 3_500, None)]
     for number in range(14):
--- a/tests/core/trust/test_quarantine.py
+++ b/tests/core/trust/test_quarantine.py
@@ -273,7 +273,7 @@
     state = world.states[next(iter(world.states))]
     attempt = state.requests[RequestId("one")].attempt
     assert attempt is not None
-    attempt.cancelled = CancelReason.DISPLACED
+    attempt.cancel_reason = CancelReason.DISPLACED
     tokens = state.retries.tokens
     world.crash(attempt.server, "one", alive=True)
     world.tick()
--- a/tests/ctl/fake_daemon.py
+++ b/tests/ctl/fake_daemon.py
@@ -123,7 +123,7 @@
     def probe(self, effect: ProbeServer) -> None:
         """Ignore a probe."""
 
-    def distrust(self, effect: RetireConnections) -> None:
+    def retire_connections(self, effect: RetireConnections) -> None:
         """Ignore the effect; there are no connections."""
 
     def order(self, effect: SendOrder) -> None:
@@ -161,7 +161,12 @@
 
     def _report_centre(self, data_centre: str, offset: int, age_s: float) -> None:
         status = Word(
-            data_centre, relay_key=1, seq=1, members_hash=1, live_members=2, settings_offset=offset
+            data_centre,
+            gateway_key=1,
+            seq=1,
+            members_hash=1,
+            live_members=2,
+            settings_offset=offset,
         )
         heard_at = anyio.current_time() - age_s
         centre = RemoteCentre(data_centre, last_seen_at=heard_at, status_message=status)
@@ -177,7 +182,7 @@
 ) -> None:
     operators, null_adapter = VerdictWaiters(), NullAdapter()
     adapters = Adapters(
-        null_adapter, null_adapter, null_adapter, NullMetrics(), platform=log, operators=operators
+        null_adapter, null_adapter, null_adapter, NullMetrics(), platform=log, verdicts=operators
     )
     identity = Identity(InstanceName("a-1"), "a", "region", "127.0.0.1:1", "1")
     state = new_state(identity, Options(change_give_up_s=0.5, change_retry_s=0.2), seed=1)
--- a/tests/daemon/test_backend_pool.py
+++ b/tests/daemon/test_backend_pool.py
@@ -46,7 +46,7 @@
             group.start_soon(listener.serve, _answer_all)
             idle, in_use = await _use(pool, address), await _use(pool, address)
             await pool.release(address, idle)
-            pool.distrust(address)
+            pool.retire_connections(address)
             await pool.release(address, in_use)
             fresh = await _use(pool, address)
             assert (pool.opened_count, pool.reused_count) == (3, 0)
--- a/tests/daemon/test_log_pipe.py
+++ b/tests/daemon/test_log_pipe.py
@@ -70,7 +70,7 @@
     with log:
         for number in range(3_000):
             eliot.log_message(message_type="state", number=number, text="x" * 300)
-        assert log.dropped
+        assert log.dropped_lines
         reported = 0
         lines = reader.lines()
         while not reported:
--- a/tests/failures/test_silent_connection.py
+++ b/tests/failures/test_silent_connection.py
@@ -52,7 +52,7 @@
         assert answer.is_complete()
         # The attempt over the silent connection did not reach the engine.
         assert set(runs_by_request(callers.cluster.records("started")).values()) == {1}
-        suspected = callers.cluster.instances["entry-1"].state()["silence"]["doubted"]
+        suspected = callers.cluster.instances["entry-1"].state()["first_waits"]["suspected_count"]
         assert suspected == 1
 
 
