--- a/packages/turmericweir-core/turmericweir_core/duties/capacity.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity.py
@@ -173,7 +173,7 @@
             return []
     lease = election.usable_lease(state, now)
     if lease is None:
-        lease_flow.set_idle(state, election.SCOPE, resting=False)
+        lease_flow.set_idle(state, election.SCOPE, is_idle=False)
         return []
     if len(capacity_state.calls_in_flight) >= _PENDING_ORDERS_MAX:
         return []
--- a/packages/turmericweir-core/turmericweir_core/duties/election.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/election.py
@@ -141,10 +141,10 @@
         duties.holder_seen_at = now
 
 
-def note_call_outcome(state: State, now: float, *, works: bool) -> None:
+def note_call_outcome(state: State, now: float, *, is_successful: bool) -> None:
     """Record whether a call of the holder to the store or the platform succeeded."""
     duties = _duties(state)
-    if works:
+    if is_successful:
         duties.failing_since = None
     elif duties.failing_since is None:
         duties.failing_since = now
--- a/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
@@ -61,9 +61,9 @@
     state.leases.idle_scopes.discard(scope)
 
 
-def set_idle(state: State, scope: LeaseScope, *, resting: bool) -> None:
+def set_idle(state: State, scope: LeaseScope, *, is_idle: bool) -> None:
     """Let a lease expire while there are no orders under it, or resume its renewal."""
-    if resting:
+    if is_idle:
         state.leases.idle_scopes.add(scope)
     else:
         state.leases.idle_scopes.discard(scope)
--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
@@ -47,12 +47,12 @@
                 usage_meter.note_clock(state.meter, now, wall_s)
             return []
         case LogRead() | LogNewest() | LogExpired() | LogFailed():
-            _note_store_result(state, now, works=not isinstance(event, LogFailed))
+            _note_store_result(state, now, is_successful=not isinstance(event, LogFailed))
             effects = lease_flow.on_log(state, now, event)
             election.note_lease_holder(state, now)
             return effects
         case AppendDone() | AppendFailed():
-            _note_store_result(state, now, works=isinstance(event, AppendDone))
+            _note_store_result(state, now, is_successful=isinstance(event, AppendDone))
             return lease_flow.on_append(state, now, event)
         case DutyAnswered():
             return _on_duty_answered(state, now, event)
@@ -77,7 +77,7 @@
 def _run_duties(state: State, now: float) -> list[Effect]:
     duties = state.duties
     assert duties is not None
-    lease_flow.set_idle(state, election.SCOPE, resting=True)
+    lease_flow.set_idle(state, election.SCOPE, is_idle=True)
     effects: list[Effect] = []
     has_work = False
     if duties.settings.orders_servers:
@@ -87,13 +87,13 @@
         effects += usage.on_tick(state, now)
         has_work = has_work or usage.has_work(state)
     if has_work:
-        lease_flow.set_idle(state, election.SCOPE, resting=False)
+        lease_flow.set_idle(state, election.SCOPE, is_idle=False)
     return effects
 
 
-def _note_store_result(state: State, now: float, *, works: bool) -> None:
+def _note_store_result(state: State, now: float, *, is_successful: bool) -> None:
     if state.duties is not None:
-        election.note_call_outcome(state, now, works=works)
+        election.note_call_outcome(state, now, is_successful=is_successful)
 
 
 def _on_duty_answered(state: State, now: float, event: DutyAnswered) -> list[Effect]:
@@ -101,5 +101,5 @@
     if event.outcome is DutyOutcome.STALE:
         effects += lease_flow.drop_lease(state, now, election.SCOPE)
     works = event.outcome in (DutyOutcome.DONE, DutyOutcome.NONE_LEFT, DutyOutcome.STALE)
-    election.note_call_outcome(state, now, works=works)
+    election.note_call_outcome(state, now, is_successful=is_successful)
     return effects
