--- a/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
+++ b/packages/turmericweir-core/turmericweir_core/reducers/reducer_duties.py
@@ -100,6 +100,6 @@
     effects = usage.on_answered(state, now, event) + capacity.on_answered(state, now, event)
     if event.outcome is DutyOutcome.STALE:
         effects += lease_flow.drop_lease(state, now, election.SCOPE)
-    works = event.outcome in (DutyOutcome.DONE, DutyOutcome.NONE_LEFT, DutyOutcome.STALE)
+    is_successful = event.outcome in (DutyOutcome.DONE, DutyOutcome.NONE_LEFT, DutyOutcome.STALE)
     election.note_call_outcome(state, now, is_successful=is_successful)
     return effects
