--- a/tests/failures/test_straggler.py
+++ b/tests/failures/test_straggler.py
@@ -14,7 +14,7 @@
 # Target for the time between tokens. Prevents moves on a busy machine, where an engine process may
 # not be scheduled for some time.
 TOKEN_GAP_TARGET_MS: Final = 400
-# Makes a step of the engine clearly longer than GAP_MS.
+# Makes a step of the engine clearly longer than TOKEN_GAP_TARGET_MS.
 SLOW_FACTOR: Final = 150.0
 
 
