--- a/tests/failures/test_straggler.py
+++ b/tests/failures/test_straggler.py
@@ -28,6 +28,14 @@
     deployment = small(engines=3, instances=1, classes=classes, policy=policy)
     with chat_callers(deployment, tmp_path) as callers:
         cluster = callers.cluster
+
+        def lists_all_engines() -> bool:
+            """Return whether the instance knows each engine; the platform's list shows it late."""
+            names = cluster.instances["entry-1"].state()["servers"]["by_name"]
+            return {"lm-1", "lm-2", "lm-3"} <= set(names)
+
+        # Prevents nine requests from filling two engines, so that the third never shows a pace.
+        wait_until(lists_all_engines, "the instance lists three engines")
         sent = [callers.send(f"question {number} [len=900]") for number in range(9)]
 
         def has_all_paces() -> bool:
