--- a/tests/core/lease_world.py
+++ b/tests/core/lease_world.py
@@ -169,35 +169,37 @@
         while instance.answers:
             self.deliver_answer(instance)
 
-    def perform(self, instance: Instance, fate: EffectOutcome = EffectOutcome.DONE) -> None:
+    def perform(self, instance: Instance, outcome: EffectOutcome = EffectOutcome.DONE) -> None:
         """Decide the outcome of the oldest pending effect."""
         if not instance.pending:
             return
         effect = instance.pending.pop(0)
         match effect:
             case AppendRecords():
-                self._append(instance, effect, fate)
+                self._append(instance, effect, outcome)
             case ReadLog():
-                self._read(instance, effect, fate)
+                self._read(instance, effect, outcome)
             case _:
                 pass
 
-    def _append(self, instance: Instance, effect: AppendRecords, fate: EffectOutcome) -> None:
+    def _append(self, instance: Instance, effect: AppendRecords, outcome: EffectOutcome) -> None:
         stream, token = effect.stream, effect.token
-        if fate in (EffectOutcome.FAILED, EffectOutcome.LATE):
-            if fate is EffectOutcome.LATE:
+        if outcome in (EffectOutcome.FAILED, EffectOutcome.LATE):
+            if outcome is EffectOutcome.LATE:
                 self.late += effect.records
-            self.handle(instance, AppendFailed(stream, token, "lost", fate is EffectOutcome.LATE))
+            self.handle(
+                instance, AppendFailed(stream, token, "lost", outcome is EffectOutcome.LATE)
+            )
             return
         first = len(self.records)
         self.records += effect.records
-        if fate is EffectOutcome.UNACKNOWLEDGED:
+        if outcome is EffectOutcome.UNACKNOWLEDGED:
             self.handle(instance, AppendFailed(stream, token, "no answer", may_have_applied=True))
             return
-        self._answer(instance, AppendDone(stream, token, first, len(self.records)), fate)
+        self._answer(instance, AppendDone(stream, token, first, len(self.records)), outcome)
 
-    def _answer(self, instance: Instance, event: Any, fate: EffectOutcome) -> None:
-        if fate is EffectOutcome.SLOW:
+    def _answer(self, instance: Instance, event: Any, outcome: EffectOutcome) -> None:
+        if outcome is EffectOutcome.SLOW:
             instance.answers.append(event)
         else:
             self.handle(instance, event)
@@ -207,18 +209,18 @@
         if self.late:
             self.records.append(self.late.pop(0))
 
-    def _read(self, instance: Instance, effect: ReadLog, fate: EffectOutcome) -> None:
-        if fate in (EffectOutcome.FAILED, EffectOutcome.LATE, EffectOutcome.UNACKNOWLEDGED):
+    def _read(self, instance: Instance, effect: ReadLog, outcome: EffectOutcome) -> None:
+        if outcome in (EffectOutcome.FAILED, EffectOutcome.LATE, EffectOutcome.UNACKNOWLEDGED):
             self.handle(instance, LogFailed(effect.stream, "lost"))
             return
         end = len(self.records)
         if effect.offset < self.oldest:
-            self._answer(instance, LogExpired(effect.stream, self.oldest, end), fate)
+            self._answer(instance, LogExpired(effect.stream, self.oldest, end), outcome)
             return
         upto = end if effect.limit is None else min(end, effect.offset + effect.limit)
         numbered = enumerate(self.records[effect.offset : upto], effect.offset)
         records = tuple(LogRecord(offset, value) for offset, value in numbered)
-        self._answer(instance, LogRead(LEASES_STREAM, records, end), fate)
+        self._answer(instance, LogRead(LEASES_STREAM, records, end), outcome)
 
     def run(self, seconds: float, step_s: float = 0.1) -> None:
         """Run all instances for some time."""
--- a/tests/core/leases/test_model_placement.py
+++ b/tests/core/leases/test_model_placement.py
@@ -230,7 +230,7 @@
     assert world.having("big") == 0
     for _ in range(60):
         world.run(1.0)
-        world.tell(state, {"big": 0.0}, waiting=1)
+        world.report_use(state, {"big": 0.0}, waiting=1)
     assert world.having("big") == 1
     assert world.having("small") == 2
 
--- a/tests/core/member_network.py
+++ b/tests/core/member_network.py
@@ -110,7 +110,7 @@
         return node
 
     def seed(self, name: str, seeds: Iterable[str]) -> None:
-        """Return an instance the addresses of seeds."""
+        """Send the addresses of seeds to an instance."""
         self.give(name, SeedsGiven(tuple(self.nodes[seed].address for seed in seeds)))
 
     def kill(self, name: str) -> None:
--- a/tests/core/model_world.py
+++ b/tests/core/model_world.py
@@ -274,10 +274,10 @@
             self.now += step_s
             for state in self.states:
                 self.handle(state, Tick())
-                self.tell(state, busy)
+                self.report_use(state, busy)
             self._note_least()
 
-    def tell(self, state: State, busy: dict[str, float], waiting: int = 0) -> None:
+    def report_use(self, state: State, busy: dict[str, float], waiting: int = 0) -> None:
         """Send an instance the use of models on another one."""
         if busy:
             uses = [ModelUse(model, use, waiting) for model, use in busy.items()]
