--- a/packages/turmericweir-core/turmericweir_core/duties/capacity.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/capacity.py
@@ -50,13 +50,13 @@
     """Compare the present servers with the wanted ones, and order the difference."""
     capacity_state = _capacity(state)
     if not lease_flow.is_own_lease(state, election.SCOPE):
-        capacity_state.since = None
+        capacity_state.tracked_since = None
         return []
     if now < capacity_state.next_check_at or state.servers.listed_at is None:
         return []
     capacity_state.next_check_at = now + _EVALUATION_INTERVAL_S
-    if capacity_state.since is None:
-        capacity_state.since = now
+    if capacity_state.tracked_since is None:
+        capacity_state.tracked_since = now
     effects: list[Effect] = []
     for service in state.config.services.values():
         if service.capacity is not None:
@@ -131,7 +131,7 @@
     recorded_need, recorded_at = capacity_state.recent_need.get(service.name, (initial_need, now))
     if current_need >= recorded_need or now - recorded_at >= _NEED_RETENTION_S:
         recorded_need, recorded_at = current_need, now
-    if capacity_state.since is None or now - capacity_state.since < _OBSERVATION_S:
+    if capacity_state.tracked_since is None or now - capacity_state.tracked_since < _OBSERVATION_S:
         recorded_need = max(
             recorded_need, capacity_state.recent_need.get(service.name, (recorded_need, now))[0]
         )
--- a/packages/turmericweir-core/turmericweir_core/duties/election.py
+++ b/packages/turmericweir-core/turmericweir_core/duties/election.py
@@ -157,7 +157,7 @@
         return None
     if lease.is_taken_over and not _duties(state).settings.checks_fence:
         # Calls of the previous holder may still be executed, and the platform does not refuse them.
-        return lease if now - lease.since >= state.options.order_longest_s else None
+        return lease if now - lease.held_since >= state.options.order_longest_s else None
     return lease
 
 
--- a/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/lease_flow.py
@@ -95,7 +95,7 @@
     successor's. Calling this right before each order is sufficient, as the clock advances during a
     pause.
     """
-    lease = state.leases.held.get(scope)
+    lease = state.leases.held_leases.get(scope)
     return lease if lease is not None and now < lease.expires_at else None
 
 
@@ -112,7 +112,7 @@
 
 def drop_lease(state: State, now: float, scope: LeaseScope) -> list[Effect]:
     """Stop using a lease after a server refused an order under it as outdated."""
-    lease = state.leases.held.pop(scope, None)
+    lease = state.leases.held_leases.pop(scope, None)
     state.leases.dropped.add(scope)
     # A newer fencing number exists; reading the log finds it.
     state.leases.ledger.caught_up_at = float("-inf")
@@ -127,7 +127,7 @@
 def on_tick(state: State, now: float) -> list[Effect]:
     """Drop expired leases; read and append what is due."""
     leases = state.leases
-    is_idle = not leases.wanted and not leases.held and not _scopes_to_release(state)
+    is_idle = not leases.wanted and not leases.held_leases and not _scopes_to_release(state)
     if is_idle and leases.in_flight is None:
         return []
     effects = _drop_expired(state, now)
@@ -138,7 +138,7 @@
 
 
 def _must_read(leases: LeaseState, state: State, scope: LeaseScope) -> bool:
-    if scope in leases.held:
+    if scope in leases.held_leases:
         return False
     lease = leases.ledger.leases.get(scope)
     can_renew = lease is not None and _can_renew(state, scope, lease)
@@ -147,9 +147,9 @@
 
 def _drop_expired(state: State, now: float) -> list[Effect]:
     effects: list[Effect] = []
-    for scope, lease in list(state.leases.held.items()):
+    for scope, lease in list(state.leases.held_leases.items()):
         if now >= lease.expires_at:
-            del state.leases.held[scope]
+            del state.leases.held_leases[scope]
             if scope in state.leases.idle_scopes:
                 continue
             effects += [
@@ -200,10 +200,10 @@
 def _due_records(state: State, now: float) -> tuple[LeaseRecord, ...]:
     leases = state.leases
     records: list[LeaseRecord] = []
-    for scope, lease in list(leases.held.items()):
+    for scope, lease in list(leases.held_leases.items()):
         if scope not in leases.wanted:
             # The lease is not used from now on, even if the release is lost.
-            del leases.held[scope]
+            del leases.held_leases[scope]
             records.append(_record(state, LeaseAction.RELEASE, scope, lease.fence))
     for scope in _scopes_to_release(state):
         if all(record.scope != scope for record in records):
@@ -231,7 +231,7 @@
 
 def _fence_for_record(leases: LeaseState, scope: LeaseScope) -> int:
     """Return the fencing number for a record; for a grant, that of the previous lease."""
-    held_lease = leases.held.get(scope)
+    held_lease = leases.held_leases.get(scope)
     if held_lease is not None:
         # The ledger may have been reset since, after the log dropped records.
         return held_lease.fence
@@ -243,7 +243,7 @@
     """Return the action that is due for a scope, if any."""
     leases = state.leases
     options = state.options
-    held_lease = leases.held.get(scope)
+    held_lease = leases.held_leases.get(scope)
     ledger_lease = leases.ledger.leases.get(scope)
     is_note_written = scope not in leases.notes or (
         ledger_lease is not None and ledger_lease.note == leases.notes[scope]
@@ -367,10 +367,10 @@
     leases = state.leases
     malformed_offsets = start_from_newest(leases.ledger, now, event.records, event.end_offset)
     leases.ledger.caught_up_at = now
-    for scope in [*leases.held, *leases.notes]:
+    for scope in [*leases.held_leases, *leases.notes]:
         lease = leases.ledger.leases.get(scope)
         if lease is None or lease.incarnation != state.me.incarnation:
-            leases.held.pop(scope, None)
+            leases.held_leases.pop(scope, None)
             leases.notes.pop(scope, None)
     effects: list[Effect] = [_malformed_log(offset) for offset in malformed_offsets]
     return effects + _append_due(state, now)
@@ -413,7 +413,7 @@
     leases.dropped.discard(folded.record.scope)
     leases.notes.pop(folded.record.scope, None)
     leases.idle_scopes.discard(folded.record.scope)
-    if leases.held.pop(folded.record.scope, None) is None:
+    if leases.held_leases.pop(folded.record.scope, None) is None:
         return []
     return [Log("lease_lost", {"scope": str(folded.record.scope), "to": folded.record.instance})]
 
@@ -461,15 +461,15 @@
     expires_at = sent_at + record.lease_s
     if expires_at <= now:
         return []
-    previous = leases.held.get(scope)
+    previous = leases.held_leases.get(scope)
     if previous is not None and previous.fence == lease.fence:
-        leases.held[scope] = HeldLease(
+        leases.held_leases[scope] = HeldLease(
             lease.fence,
             max(expires_at, previous.expires_at),
-            previous.since,
+            previous.held_since,
             previous.is_taken_over,
         )
         return []
-    leases.held[scope] = HeldLease(lease.fence, expires_at, now, is_taken_over)
+    leases.held_leases[scope] = HeldLease(lease.fence, expires_at, now, is_taken_over)
     fields = {"scope": str(scope), "fence": lease.fence, "act": record.act.value}
     return [Count("lease.held"), Log("lease_held", fields)]
--- a/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/model_flow.py
@@ -61,7 +61,7 @@
         plan = state.models.plans.setdefault(scope, ScopePlan(now))
         servers = _servers(state, scope)
         effects += _request_reports(state, now, plan, servers)
-        if now - plan.since < state.options.model_settle_s or _is_report_missing(
+        if now - plan.responsible_since < state.options.model_settle_s or _is_report_missing(
             state, now, plan, servers
         ):
             continue
@@ -140,17 +140,17 @@
     Prevents a new placer from loading a model again on another server. The wait for reports is
     limited.
     """
-    if now - plan.since >= state.options.model_gone_s:
+    if now - plan.responsible_since >= state.options.model_gone_s:
         return False
     return any(
-        server.entry.name not in state.models.seen and server.unreachable_until == 0.0
+        server.entry.name not in state.models.direct_reports and server.unreachable_until == 0.0
         for server in servers
     )
 
 
 def _holding(state: State, now: float, server: Server) -> Holding | None:
     """Return a server's models by its report and by later orders that it may have carried out."""
-    last_report = state.models.seen.get(server.entry.name)
+    last_report = state.models.direct_reports.get(server.entry.name)
     if last_report is None or now - last_report.received_at >= state.options.model_gone_s:
         return None
     report = last_report.report
@@ -224,7 +224,7 @@
         bounds=bounds,
         servers=len(holdings),
         slots=mean_slots(holdings),
-        is_demand_known=now - plan.since >= state.options.model_warm_s,
+        is_demand_known=now - plan.responsible_since >= state.options.model_warm_s,
         has_stranded_requests=is_missing and usage.waiting > 0,
     )
     choose_count(target, state.options, now, count_input)
--- a/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
+++ b/packages/turmericweir-core/turmericweir_core/leases/order_flow.py
@@ -62,9 +62,9 @@
     if server is None:
         return
     if LeaseScope(server.entry.service, server.entry.data_centre) not in state.models.plans:
-        state.models.seen.pop(report.server, None)
+        state.models.direct_reports.pop(report.server, None)
         return
-    state.models.seen[report.server] = DirectReport(report, now)
+    state.models.direct_reports[report.server] = DirectReport(report, now)
     loaded = {parse_model_label(text) for text in report.models}
     loading = {parse_model_label(text) for text in report.loading}
     for key, _ in list(pending_orders(state, report.server)):
@@ -123,10 +123,10 @@
     # Prevents a delayed order of the previous holder from undoing this one on a server that does
     # not check fencing numbers. An order of a process that was paused between check and send may
     # come even later; a later round repairs its effect.
-    ready_at = lease.since
+    ready_at = lease.held_since
     if lease.is_taken_over and not server.service.checks_fence:
         ready_at += state.options.order_longest_s
-    last_report = state.models.seen.get(order.server)
+    last_report = state.models.direct_reports.get(order.server)
     return lease if last_report is not None and last_report.received_at >= ready_at <= now else None
 
 
@@ -202,7 +202,7 @@
 
 def _is_lease_current(state: State, sent_order: SentOrder) -> bool:
     """Return whether the lease is still the one under which the order was sent."""
-    lease = state.leases.held.get(sent_order.order.scope)
+    lease = state.leases.held_leases.get(sent_order.order.scope)
     return lease is not None and lease.fence == sent_order.fence
 
 
--- a/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
+++ b/packages/turmericweir-core/turmericweir_core/limits/limit_home.py
@@ -77,7 +77,7 @@
         return None
     home = state.rate_limits.home.get(key)
     if home is None:
-        home = state.rate_limits.home[key] = HomeSubject(since=now)
+        home = state.rate_limits.home[key] = HomeSubject(home_since=now)
     holder = home.share_holders.get(requester)
     if holder is None:
         holder = home.share_holders[requester] = ShareHolder()
@@ -85,7 +85,7 @@
     holder.requests.demand = max(0.0, demand.requests)
     holder.tokens.demand = max(0.0, demand.tokens)
     home.has_changed_demand = True
-    is_learning = now - home.since < state.options.rate_learn_s
+    is_learning = now - home.home_since < state.options.rate_learn_s
     for grant, held_rate, max_rate, grants in (
         (holder.requests, demand.held_requests, limit.requests_s, _requests(home)),
         (holder.tokens, demand.held_tokens, limit.tokens_s, _tokens(home)),
@@ -147,7 +147,7 @@
             del state.rate_limits.home[key]
             continue
         # A new home rebalances only after all instances had time to send a request.
-        home.has_changed_demand = now - home.since < state.options.rate_learn_s
+        home.has_changed_demand = now - home.home_since < state.options.rate_learn_s
         if not home.has_changed_demand:
             shares += _changed_shares(state, key, home)
     return shares
--- a/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
+++ b/packages/turmericweir-core/turmericweir_core/settings/settings_changes.py
@@ -64,7 +64,7 @@
     if not is_successful(result):
         return [_rejection(event, result.failure())]
     change = result.unwrap()
-    seen_change = sync.settings.seen.get(event.change_id)
+    seen_change = sync.settings.judged_changes.get(event.change_id)
     if seen_change is not None:
         return [ReportVerdict(event.change_id, _repeated_verdict(change, seen_change))]
     if len(sync.pending) >= options.change_pending_max:
@@ -202,7 +202,7 @@
     """Settle the pending changes whose ids a loaded snapshot contains."""
     effects: list[Effect] = []
     for change_id, pending in list(sync.pending.items()):
-        seen_change = sync.settings.seen.get(change_id)
+        seen_change = sync.settings.judged_changes.get(change_id)
         if seen_change is not None:
             effects += _settle_pending(
                 sync, change_id, _repeated_verdict(pending.record, seen_change)
--- a/packages/turmericweir-core/turmericweir_core/state/duty_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/duty_state.py
@@ -78,7 +78,7 @@
     # Servers in each data centre of a service at the first check of this instance.
     initial_servers: dict[str, dict[str, int]] = field(default_factory=dict)
     # Since when this instance has tracked the demand without interruption.
-    since: float | None = None
+    tracked_since: float | None = None
     next_check_at: float = NEVER
 
 
--- a/packages/turmericweir-core/turmericweir_core/state/lease_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/lease_state.py
@@ -15,7 +15,7 @@
     # Counted from the time when its newest record was sent.
     expires_at: float
     # When this instance got the fencing number.
-    since: float
+    held_since: float
     # It was taken over from another instance, which may not have noticed yet.
     is_taken_over: bool
 
@@ -34,7 +34,7 @@
     ledger: LeaseLedger = field(default_factory=LeaseLedger)
     # Scopes that this instance wants to hold, and since when. Without any, the stream is not read.
     wanted: dict[LeaseScope, float] = field(default_factory=dict)
-    held: dict[LeaseScope, HeldLease] = field(default_factory=dict)
+    held_leases: dict[LeaseScope, HeldLease] = field(default_factory=dict)
     # Scopes whose lease was dropped because a server had received a higher fencing number. It is
     # not renewed because a renewal keeps the same number.
     dropped: set[LeaseScope] = field(default_factory=set)
--- a/packages/turmericweir-core/turmericweir_core/state/limit_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/limit_state.py
@@ -162,7 +162,7 @@
     """State of a subject at its home."""
 
     # When this instance became its home.
-    since: float
+    home_since: float
     share_holders: dict[InstanceName, ShareHolder] = field(default_factory=dict)
     # When the shares are next recomputed and reduced shares are recalled.
     next_push_at: float = NEVER
--- a/packages/turmericweir-core/turmericweir_core/state/model_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/model_state.py
@@ -72,7 +72,7 @@
     """The plan for a scope while this instance holds the lease of the scope."""
 
     # Since when this instance is responsible for the scope.
-    since: float
+    responsible_since: float
     targets: dict[str, ModelTarget] = field(default_factory=dict)
     # When an order was last needed.
     busy_at: float = float("-inf")
@@ -113,7 +113,7 @@
 
     plans: dict[LeaseScope, ScopePlan] = field(default_factory=dict)
     # The newest report of each server in the scopes of `plans`.
-    seen: dict[ServerName, DirectReport] = field(default_factory=dict)
+    direct_reports: dict[ServerName, DirectReport] = field(default_factory=dict)
     # Reports of the instances about their use of models, by scope.
     reported: dict[LeaseScope, dict[InstanceName, ReportedModelUsage]] = field(default_factory=dict)
     # Sums of the samples of this instance's use since its last report, by model.
--- a/packages/turmericweir-core/turmericweir_core/state/retry_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/retry_state.py
@@ -12,7 +12,7 @@
 class RetryBucket(Struct):
     """Number of first attempts and retries in one short interval."""
 
-    since: float
+    started_at: float
     first_attempts: int = 0
     retries: int = 0
 
--- a/packages/turmericweir-core/turmericweir_core/state/settings_state.py
+++ b/packages/turmericweir-core/turmericweir_core/state/settings_state.py
@@ -100,7 +100,7 @@
     offset: int = 0
     entries: dict[str, SettingsEntry] = field(default_factory=dict)
     # Changes with a verdict, by id, oldest first; at most `SEEN_KEEP`.
-    seen: OrderedDict[str, SeenChange] = field(default_factory=OrderedDict)
+    judged_changes: OrderedDict[str, SeenChange] = field(default_factory=OrderedDict)
     # Sums of the hashes of all entries and of all seen ids.
     entries_hash: int = 0
     seen_hash: int = 0
@@ -168,7 +168,7 @@
     state: SettingsState, offset: int, change: ChangeRecord
 ) -> ChangeVerdict | Repeated:
     subject = Subject(change.change_id, change.path, change.operator, change.at, offset)
-    first = state.seen.get(change.change_id)
+    first = state.judged_changes.get(change.change_id)
     if first is not None:
         return Repeated(subject, first.offset, first.kind)
     verdict = _verdict_on_unseen(state, subject, change)
@@ -240,10 +240,10 @@
 
 
 def _add_seen(state: SettingsState, change_id: str, change: SeenChange) -> None:
-    state.seen[change_id] = change
+    state.judged_changes[change_id] = change
     state.seen_hash = (state.seen_hash + _hash_seen(change_id, change)) % _HASH_SPACE
-    while len(state.seen) > SEEN_KEEP:
-        oldest_id, oldest = state.seen.popitem(last=False)
+    while len(state.judged_changes) > SEEN_KEEP:
+        oldest_id, oldest = state.judged_changes.popitem(last=False)
         state.seen_hash = (state.seen_hash - _hash_seen(oldest_id, oldest)) % _HASH_SPACE
 
 
@@ -263,7 +263,7 @@
     }
     seen = [
         SeenEntry(change_id=change_id, offset=seen.offset, kind=seen.kind)
-        for change_id, seen in state.seen.items()
+        for change_id, seen in state.judged_changes.items()
     ]
     return SnapshotRecord(
         offset=state.offset, entries=entries, seen_ids=seen, hash=state_digest(state)
@@ -284,7 +284,7 @@
     state = SettingsState(
         offset=snapshot.offset,
         entries=entries,
-        seen=seen_changes,
+        judged_changes=seen_changes,
         entries_hash=_sum_hashes(_hash_entry(path, entry) for path, entry in entries.items()),
         seen_hash=_sum_hashes(
             _hash_seen(change_id, item) for change_id, item in seen_changes.items()
@@ -310,7 +310,7 @@
 def _replace(state: SettingsState, loaded: SettingsState) -> None:
     state.offset = loaded.offset
     state.entries = loaded.entries
-    state.seen = loaded.seen
+    state.judged_changes = loaded.judged_changes
     state.entries_hash = loaded.entries_hash
     state.seen_hash = loaded.seen_hash
     state.providers = loaded.providers
@@ -348,7 +348,7 @@
     }
     seen_changes = [(item.change_id, item.offset, item.kind) for item in snapshot.seen_ids]
     return entries == own_entries and seen_changes == [
-        (key, item.offset, item.kind) for key, item in state.seen.items()
+        (key, item.offset, item.kind) for key, item in state.judged_changes.items()
     ]
 
 
--- a/packages/turmericweir-core/turmericweir_core/trust/retry.py
+++ b/packages/turmericweir-core/turmericweir_core/trust/retry.py
@@ -99,7 +99,7 @@
 
 def _current_bucket(budget: RetryBudget, now: float, target: Target) -> RetryBucket:
     window = budget.windows.setdefault(target, deque())
-    if not window or now - window[-1].since >= _BUCKET_S:
+    if not window or now - window[-1].started_at >= _BUCKET_S:
         window.append(RetryBucket(now))
     return window[-1]
 
@@ -112,7 +112,7 @@
     if window is None:
         return 0, 0
     window_start = now - options.retry_window_s
-    while window and window[0].since < window_start - _BUCKET_S:
+    while window and window[0].started_at < window_start - _BUCKET_S:
         window.popleft()
-    first_attempts = sum(each.first_attempts for each in window if each.since >= window_start)
+    first_attempts = sum(each.first_attempts for each in window if each.started_at >= window_start)
     return first_attempts, sum(each.retries for each in window)
--- a/packages/turmericweir/turmericweir/operations/settings_app.py
+++ b/packages/turmericweir/turmericweir/operations/settings_app.py
@@ -199,7 +199,7 @@
             if not isinstance(verdict, Repeated) and _change_id_of(verdict) == change_id:
                 await request.answer(HTTPStatus.OK, verdict_json(verdict))
                 return
-        outcome = self._sync.settings.seen.get(change_id)
+        outcome = self._sync.settings.judged_changes.get(change_id)
         if outcome is None:
             raise ProblemError(HTTPStatus.NOT_FOUND, "this instance knows no change of that id")
         value = {"verdict": outcome.kind.value, "change_id": change_id, "offset": outcome.offset}
--- a/tests/core/duties/test_usage.py
+++ b/tests/core/duties/test_usage.py
@@ -253,7 +253,7 @@
 
 
 def _held_for_ever(state: object, now: float, scope: object) -> object:
-    return state.leases.held.get(scope)  # type: ignore[attr-defined]
+    return state.leases.held_leases.get(scope)  # type: ignore[attr-defined]
 
 
 def test_candidates_are_of_different_data_centres() -> None:
--- a/tests/core/leases/test_model_placement.py
+++ b/tests/core/leases/test_model_placement.py
@@ -330,7 +330,7 @@
         assert world.now < 600
     lease = lease_flow.current_lease(successor, world.now, SCOPE)
     assert lease is not None
-    assert world.orders()[-1].at - lease.since >= OPTIONS.order_longest_s
+    assert world.orders()[-1].at - lease.held_since >= OPTIONS.order_longest_s
 
 
 def test_holder_acquires_a_newer_lease_after_a_refused_fence() -> None:
--- a/tests/core/settings/test_settings.py
+++ b/tests/core/settings/test_settings.py
@@ -131,7 +131,7 @@
         state_digest(one) == state_digest(other)
         and one.offset == other.offset
         and one.entries == other.entries
-        and one.seen == other.seen
+        and one.judged_changes == other.judged_changes
         and one.providers == other.providers
     )
 
@@ -228,8 +228,8 @@
     fold(state, change("first", "/limits/default", value))
     for number in range(SEEN_KEEP):
         fold(state, change(f"id-{number}", "/limits/default", value))
-    assert len(state.seen) == SEEN_KEEP
-    assert "first" not in state.seen
+    assert len(state.judged_changes) == SEEN_KEEP
+    assert "first" not in state.judged_changes
     # The id was dropped, but the outdated expected version prevents a change.
     (verdict,) = fold(state, change("first", "/limits/default", {"requests_s": 9}))
     assert verdict_kind(verdict) is VerdictKind.CONFLICT
--- a/tests/core/settings/test_settings_sync.py
+++ b/tests/core/settings/test_settings_sync.py
@@ -368,7 +368,7 @@
 
 def verdicts_of(log: list[Any]) -> dict[str, VerdictKind]:
     """Return the verdict of a reader of the whole log on each change."""
-    return {change_id: seen.kind for change_id, seen in fold(log).seen.items()}
+    return {change_id: seen.kind for change_id, seen in fold(log).judged_changes.items()}
 
 
 def handle(data: st.DataObject, operator: Operator, effects: list[Effect]) -> None:
--- a/tests/failures/order_cluster.py
+++ b/tests/failures/order_cluster.py
@@ -174,7 +174,7 @@
 
     def leases(self, instance: Instance) -> dict[str, Any]:
         """Return the leases that an instance holds, by scope."""
-        leases: dict[str, Any] = instance.state()["leases"]["held"]
+        leases: dict[str, Any] = instance.state()["leases"]["held_leases"]
         return leases
 
     def lease_holder(self) -> Instance:
@@ -183,7 +183,7 @@
 
     def newest_report_seq(self, instance: Instance) -> int:
         """Return the sequence number of the first engine's newest report on an instance."""
-        model_record = instance.state()["models"]["seen"].get(f"{SERVICE}-1")
+        model_record = instance.state()["models"]["direct_reports"].get(f"{SERVICE}-1")
         return 0 if model_record is None else int(model_record["report"]["seq"])
 
     def wait_newer_reports(self, instance: Instance, count: int) -> None:
